--- a/bench/mesh/hop_cost.cpp
+++ b/bench/mesh/hop_cost.cpp
@@ -178,7 +178,7 @@
     asio::io_context io;
     merlinrun::net::AsioLoop loop(io);
     egress::HopClient hops(io, loop, {"machine-1", "127.0.0.1:1", 9, 300, 400});
-    quota::Gauge gauge({});
+    quota::Limiter gauge({});
     egress::Outbound outbound(loop, OutboundSettings(), hops, gauge);
     registry::Listing listing = ListingOf(1, 2, each);
     outbound.OnListing(listing, 3, listing.sidecars.size());
@@ -205,7 +205,7 @@
   asio::io_context io;
   merlinrun::net::AsioLoop loop(io);
   egress::HopClient hops(io, loop, {"machine-1", "127.0.0.1:1", 9, 300, 400});
-  quota::Gauge gauge({});
+  quota::Limiter gauge({});
   egress::Outbound outbound(loop, OutboundSettings(), hops, gauge);
   outbound.OnListing(ListingOf(hop, stub), 3, kServices * kServersEach);
   outbound.OnTables(TablesOf());
--- a/bench/mesh/order_cost.cpp
+++ b/bench/mesh/order_cost.cpp
@@ -319,13 +319,13 @@
         Spread cpu;
         double calls = 0, shares = 0;
         const double memory = MemoryKb(::getpid(), "VmRSS");
-        quota::Cutter cutter({}, 2'000'000);
+        quota::ShareAllocator cutter({}, 2'000'000);
         std::map<std::string, quota::TenantLimit> limits;
         for (std::size_t t = 0; t < tenants; ++t) limits["tenant-" + std::to_string(t)] = {1000, 500};
         Micros now = 1'000'000;
-        cutter.OnLimits(now, limits);
-        cutter.OnSidecars(now, sidecars);
-        cutter.OnDuty(now);
+        cutter.UpdateLimits(now, limits);
+        cutter.SetSidecarCount(now, sidecars);
+        cutter.OnBecameLeader(now);
         std::vector<std::string> names;
         for (std::size_t s = 0; s < sidecars; ++s) names.push_back("machine-" + std::to_string(1000 + s));
         const auto round = [&] {
--- a/src/mesh/egress/outbound.cpp
+++ b/src/mesh/egress/outbound.cpp
@@ -87,7 +87,7 @@
   std::string service;
   std::unique_ptr<core::Egress> egress;
   std::unique_ptr<core::Exchanges> exchanges;
-  quota::Budget budget;
+  quota::RetryBudget budget;
 };
 
 namespace {
@@ -355,7 +355,7 @@
     if (result != Result::kSuccess && result != Result::kError && flight.arrivals > 0) {
       if (flight.arrivals >= flight.most_arrivals)
         out.spent = true;
-      else if (!flight.reserved && !(flight.reserved = lane_.budget.Take(owner_.loop_.Now())))
+      else if (!flight.reserved && !(flight.reserved = lane_.budget.TryAcquire(owner_.loop_.Now())))
         ++owner_.counters_.over_budget, out.spent = true;
     }
     const Done done = std::move(state->done);
@@ -368,7 +368,7 @@
   std::unordered_map<AttemptId, HopClient::Handle> out_;  // 0: its end is about to be told
 };
 
-Outbound::Outbound(core::Loop& loop, Settings settings, HopClient& hops, quota::Gauge& gauge,
+Outbound::Outbound(core::Loop& loop, Settings settings, HopClient& hops, quota::Limiter& gauge,
                    metrics::RequestMetrics& request_metrics)
     : loop_(loop),
       settings_(std::move(settings)),
@@ -404,8 +404,8 @@
   // Connections to a server are its own sidecar's alone here: a wide window costs links, and balances.
   set.tuning.windows_per_server = kWindowsPerServer;
   set.tuning.out_full = 2 * kNever;
-  auto lane = std::make_unique<Lane>(Lane{service, nullptr, nullptr, quota::Budget(settings_.budget)});
-  lane->budget.OnSidecars(count_);
+  auto lane = std::make_unique<Lane>(Lane{service, nullptr, nullptr, quota::RetryBudget(settings_.budget)});
+  lane->budget.SetSidecarCount(count_);
   lane->egress = std::make_unique<Egress>(*this, *lane);
   lane->exchanges = std::make_unique<core::Exchanges>(
       loop_, set, random_.Next(), [] {}, [](std::string_view) {});
@@ -499,7 +499,7 @@
   update.servers = servers;
   update.rank = static_cast<std::uint32_t>(rank_);
   update.siblings = static_cast<std::uint32_t>(std::max(count_, rank_ + 1));
-  lane.budget.OnSidecars(count_);
+  lane.budget.SetSidecarCount(count_);
   lane.exchanges->OnServers(update);
 }
 
@@ -542,7 +542,7 @@
   const Micros now = loop_.Now();
   const int request_class = ClassOf(found);
   const metrics::RequestLabels labels{found.route->name, ClassName(request_class)};
-  if (found.tenant != nullptr && !gauge_.Take(now, found.tenant->name)) {
+  if (found.tenant != nullptr && !gauge_.TryAcquire(now, found.tenant->name)) {
     ++counters_.over_quota;
     CountRefused(labels, "over_quota");
     return Refuse(session, 429, "over the tenant's limit: it has not run",
--- a/src/mesh/egress/outbound.hpp
+++ b/src/mesh/egress/outbound.hpp
@@ -32,7 +32,7 @@
     std::string zone;
     std::map<std::string, std::string> zones;
     std::uint64_t seed = 1;
-    quota::Budget::Bounds budget;
+    quota::RetryBudget::Bounds budget;
     double cold_share = 0.5;
     Micros warm_after = 3'000'000;
   };
@@ -45,7 +45,7 @@
   };
 
   // All that it is given must outlive it.
-  Outbound(merlinrun::core::Loop& loop, Settings settings, HopClient& hops, quota::Gauge& gauge,
+  Outbound(merlinrun::core::Loop& loop, Settings settings, HopClient& hops, quota::Limiter& gauge,
            metrics::RequestMetrics& request_metrics);
   ~Outbound();
 
@@ -87,7 +87,7 @@
   merlinrun::core::Loop& loop_;
   const Settings settings_;
   HopClient& hops_;
-  quota::Gauge& gauge_;
+  quota::Limiter& gauge_;
   metrics::RequestMetrics& request_metrics_;
   merlinrun::Random random_;
   Counters counters_;
--- a/src/mesh/node/sidecar.cpp
+++ b/src/mesh/node/sidecar.cpp
@@ -233,8 +233,8 @@
     out.me = {settings_.node_name, life_, self_, settings_.zone, settings_.service};
     out.seeds = settings_.SeedInternals();
     out.seed = life_ ^ 0x5eed;
-    out.demand = [this](Micros now) { return gauge_.Told(now); };
-    out.held = [this](Micros now) { return gauge_.Held(now); };
+    out.demand = [this](Micros now) { return gauge_.TakeDemand(now); };
+    out.held = [this](Micros now) { return gauge_.HeldShares(now); };
     return out;
   }
 
@@ -479,7 +479,7 @@
     std::map<std::string, quota::TenantLimit> limits;
     for (const auto& tenant : (*tables)->tenants())
       if (tenant.rate_per_s > 0) limits[tenant.name] = {tenant.rate_per_s, tenant.burst};
-    gauge_.OnLimits(loop_.Now(), limits);
+    gauge_.UpdateLimits(loop_.Now(), limits);
     const configuration::Limits& told = (*tables)->limits();
     HttpServer::Limits front;
     front.header_bytes = told.header_bytes;
@@ -491,7 +491,7 @@
   }
 
   void OnListing(const registry::Listing& listing, std::size_t, std::size_t count) override {
-    gauge_.OnSidecars(loop_.Now(), count);
+    gauge_.SetSidecarCount(loop_.Now(), count);
     // Not the place by name: those of a service are not to stand side by side.
     outbound_.OnListing(listing, egress::SpreadRank(listing.sidecars, settings_.node_name), count);
   }
@@ -509,7 +509,7 @@
   const std::string self_;
   registry::Beats beats_;
   std::uint64_t lives_seen_ = 0;
-  quota::Gauge gauge_;
+  quota::Limiter gauge_;
   push::Client client_;
   Advice advice_{*this};
   gossip::View view_;
--- a/src/mesh/push/herald.cpp
+++ b/src/mesh/push/herald.cpp
@@ -100,9 +100,9 @@
 void Herald::AnswerDemand(Micros now, LinkId id, const Tell& tell) {
   if (registry_.tellers() != counted_) {
     counted_ = registry_.tellers();
-    cutter_.OnSidecars(now, counted_);
+    cutter_.SetSidecarCount(now, counted_);
   }
-  cutter_.OnHeld(now, tell.me.name, tell.held);
+  cutter_.OnHeldShares(now, tell.me.name, tell.held);
   News news = Plain(now);
   news.asked = tell.asked;
   news.shares = cutter_.OnDemand(now, tell.me.name, tell.demand);
@@ -149,7 +149,7 @@
 }
 
 void Herald::SetLimits(Micros now, const std::map<std::string, quota::TenantLimit>& limits) {
-  cutter_.OnLimits(now, limits);
+  cutter_.UpdateLimits(now, limits);
 }
 
 void Herald::SetDuty(Micros now, bool i_am_holder) {
@@ -158,8 +158,8 @@
   if (!duty_) return;
   LOG(INFO) << "push: gives shares from now on";
   counted_ = registry_.tellers();
-  cutter_.OnSidecars(now, counted_);
-  cutter_.OnDuty(now);
+  cutter_.SetSidecarCount(now, counted_);
+  cutter_.OnBecameLeader(now);
 }
 
 News Herald::Plain(Micros now) const {
--- a/src/mesh/push/herald.hpp
+++ b/src/mesh/push/herald.hpp
@@ -112,7 +112,7 @@
   Sink& sink_;
   Micros started_;
   registry::Registry registry_;
-  quota::Cutter cutter_;
+  quota::ShareAllocator cutter_;
   std::map<LinkId, Link> links_;
   std::map<std::pair<std::string, std::uint64_t>, Hearing> heard_;  // by name and life
   std::uint64_t entry_ = 0;
--- a/src/mesh/push/words.hpp
+++ b/src/mesh/push/words.hpp
@@ -17,11 +17,11 @@
 }
 template <class Archive>
 void serialize(Archive& a, Demand& d) {
-  a(d.tenant, d.asked_per_s, d.backlog, d.unmet);
+  a(d.tenant, d.requested_per_s, d.admitted_in_window, d.unmet);
 }
 template <class Archive>
 void serialize(Archive& a, Share& s) {
-  a(s.tenant, s.rate_per_s, s.burst, s.of);
+  a(s.tenant, s.rate_per_s, s.burst, s.source_limit);
 }
 }  // namespace fennelhollow::quota
 
--- a/src/mesh/quota/gauge.cpp
+++ b/src/mesh/quota/limiter.cpp
@@ -1,8 +1,8 @@
 #include <cmath>
 #include <utility>
 
-#include "mesh/quota/parts.hpp"
 #include "mesh/quota/quota.hpp"
+#include "mesh/quota/window_limits.hpp"
 
 namespace fennelhollow::quota {
 
@@ -10,17 +10,17 @@
 
 constexpr double kSecond = 1e6;
 constexpr double kLeastBurstS = 0.25;   // of a share's rate may come at once
-constexpr double kDemandMemoryS = 0.6;  // asked_per_s forgets by this time constant
+constexpr double kDemandMemoryS = 0.6;  // requested_per_s forgets by this time constant
 
 double Seconds(Micros span) { return static_cast<double>(std::max<Micros>(span, 0)) / kSecond; }
 
 }  // namespace
 
-Gauge::Gauge(const QuotaBounds& bounds) : bounds_(bounds) {
+Limiter::Limiter(const QuotaBounds& bounds) : bounds_(bounds) {
   slot_ = std::max<Micros>(1, static_cast<Micros>(std::ceil(bounds.window_s * kSecond / kSlots)));
 }
 
-void Gauge::OnLimits(Micros now, const std::map<std::string, TenantLimit>& limits) {
+void Limiter::UpdateLimits(Micros now, const std::map<std::string, TenantLimit>& limits) {
   if (born_ < 0) born_ = now;
   for (auto it = buckets_.begin(); it != buckets_.end();) {
     const auto limit = limits.find(it->first);
@@ -40,14 +40,14 @@
   }
 }
 
-void Gauge::OnSidecars(Micros now, std::size_t count) {
+void Limiter::SetSidecarCount(Micros now, std::size_t count) {
   if (born_ < 0) born_ = now;
   sidecars_ = std::max<std::size_t>(count, 1);
 }
 
 // What counts now: the share while its lease lasts and its limit is in force, else the cautious part.
-Gauge::Allowance Gauge::Now(Micros now, const Bucket& bucket) const {
-  if (now < bucket.until && bucket.share.of == bucket.limit) {
+Limiter::Allowance Limiter::Now(Micros now, const Bucket& bucket) const {
+  if (now < bucket.until && bucket.share.source_limit == bucket.limit) {
     const double rate = bucket.share.rate_per_s;
     return {bucket.share.burst + rate * bounds_.window_s, rate,
             std::max({bucket.share.burst, rate * kLeastBurstS, 1.0})};
@@ -56,7 +56,7 @@
   return {base * FreshPart(now - born_, slot_ * kSlots), 0, base};
 }
 
-void Gauge::Slide(Micros now, Bucket& bucket) const {
+void Limiter::Slide(Micros now, Bucket& bucket) const {
   const std::int64_t slot = now / slot_;
   if (slot <= bucket.slot) return;
   if (slot - bucket.slot > kSlots) {
@@ -71,14 +71,15 @@
   }
 }
 
-void Gauge::OnShares(Micros now, const std::vector<Share>& shares, Micros until) {
+void Limiter::OnShares(Micros now, const std::vector<Share>& shares, Micros until) {
   if (born_ < 0) born_ = now;
   if (until <= now) return;
   for (const Share& share : shares) {
     const auto it = buckets_.find(share.tenant);
     // An answer overtaken by that to a later question is dropped: the holder may have given the difference
     // away.
-    if (it == buckets_.end() || until < it->second.until || !(share.of == it->second.limit)) continue;
+    if (it == buckets_.end() || until < it->second.until || !(share.source_limit == it->second.limit))
+      continue;
     Bucket& bucket = it->second;
     Slide(now, bucket);
     const Allowance before = Now(now, bucket);
@@ -93,7 +94,7 @@
   }
 }
 
-bool Gauge::Take(Micros now, std::string_view tenant) {
+bool Limiter::TryAcquire(Micros now, std::string_view tenant) {
   const auto it = buckets_.find(tenant);
   if (it == buckets_.end()) return true;
   Bucket& bucket = it->second;
@@ -116,39 +117,39 @@
   return true;
 }
 
-Micros Gauge::RetryAfter(Micros now, std::string_view tenant) const {
+Micros Limiter::RetryAfter(Micros now, std::string_view tenant) const {
   const auto it = buckets_.find(tenant);
   if (it == buckets_.end()) return 0;
   const Bucket& bucket = it->second;
   const Allowance allowance = Now(now, bucket);
   const double per_s = allowance.rate_per_s > 0 ? allowance.rate_per_s : allowance.window / bounds_.window_s;
   // The clients that are refused come back together: one place in time for each that was asked lately.
-  const double behind = 1 + std::max(0.0, bucket.asked_per_s - per_s) * 0.25;
+  const double behind = 1 + std::max(0.0, bucket.requested_per_s - per_s) * 0.25;
   return static_cast<Micros>(std::clamp(behind / std::max(per_s, 0.1), 0.05, bounds_.window_s) * kSecond);
 }
 
-std::vector<Demand> Gauge::Told(Micros now) {
+std::vector<Demand> Limiter::TakeDemand(Micros now) {
   std::vector<Demand> told;
   for (auto& [tenant, bucket] : buckets_) {
     Slide(now, bucket);
     const double span = Seconds(now - bucket.told);
     if (span > 0) {
       const double lately = bucket.asked / span;
-      bucket.asked_per_s += (lately - bucket.asked_per_s) * (1 - std::exp(-span / kDemandMemoryS));
+      bucket.requested_per_s += (lately - bucket.requested_per_s) * (1 - std::exp(-span / kDemandMemoryS));
       bucket.asked = 0;
       bucket.told = now;
     }
-    if (bucket.asked_per_s < 0.01 && bucket.used == 0) continue;
-    told.push_back(
-        {tenant, bucket.asked_per_s, static_cast<double>(bucket.used), std::exchange(bucket.refused, false)});
+    if (bucket.requested_per_s < 0.01 && bucket.used == 0) continue;
+    told.push_back({tenant, bucket.requested_per_s, static_cast<double>(bucket.used),
+                    std::exchange(bucket.refused, false)});
   }
   return told;
 }
 
-std::vector<Share> Gauge::Held(Micros now) const {
+std::vector<Share> Limiter::HeldShares(Micros now) const {
   std::vector<Share> held;
   for (const auto& [tenant, bucket] : buckets_) {
-    if (now < bucket.until && bucket.share.of == bucket.limit) held.push_back(bucket.share);
+    if (now < bucket.until && bucket.share.source_limit == bucket.limit) held.push_back(bucket.share);
   }
   return held;
 }
--- a/src/mesh/quota/quota.hpp
+++ b/src/mesh/quota/quota.hpp
@@ -36,9 +36,9 @@
 // What a sidecar tells the holder, every few hundred milliseconds, of the tenants that asked for something.
 struct Demand {
   std::string tenant;
-  double asked_per_s = 0;  // lately, refused ones included
-  double backlog = 0;      // let in within the last window: what of its share is used
-  bool unmet = false;      // some were refused since the last one was told
+  double requested_per_s = 0;     // lately, refused ones included
+  double admitted_in_window = 0;  // let in within the last window: what of its share is used
+  bool unmet = false;             // some were refused since the last one was told
 };
 
 // What the holder gives: this sidecar's share of a tenant's rate and burst. Its use in any window is at most
@@ -48,27 +48,27 @@
   std::string tenant;
   double rate_per_s = 0;
   double burst = 0;
-  TenantLimit of;  // the limit that it was cut from: a share of another limit counts for nothing
+  TenantLimit source_limit;  // the limit that it was cut from: a share of another limit counts for nothing
 };
 
 // In a sidecar: whether a request is within its share.
-class Gauge {
+class Limiter {
  public:
-  explicit Gauge(const QuotaBounds& bounds);
+  explicit Limiter(const QuotaBounds& bounds);
   // The limits in force, by tenant; and how many sidecars there may be, at most: without a share it takes a
   // cautious part of the limit, such that all of them together, in touch or not, stay within the bound beside
   // all shares that are given.
-  void OnLimits(Micros now, const std::map<std::string, TenantLimit>& limits);
-  void OnSidecars(Micros now, std::size_t count);
+  void UpdateLimits(Micros now, const std::map<std::string, TenantLimit>& limits);
+  void SetSidecarCount(Micros now, std::size_t count);
   // Holds until `until` on this process's steady clock: counted from when it asked, not from when the answer
   // came.
   void OnShares(Micros now, const std::vector<Share>& shares, Micros until);
   // True: may go on, and is counted. False: 429.
-  bool Take(Micros now, std::string_view tenant);
+  bool TryAcquire(Micros now, std::string_view tenant);
   // How long until a request is likely to be let in; for Retry-After.
   Micros RetryAfter(Micros now, std::string_view tenant) const;
-  std::vector<Demand> Told(Micros now);
-  std::vector<Share> Held(Micros now) const;  // told to a new holder, which then knows what was given
+  std::vector<Demand> TakeDemand(Micros now);
+  std::vector<Share> HeldShares(Micros now) const;  // told to a new holder, which then knows what was given
 
  private:
   static constexpr std::int64_t kSlots = 50;  // of a window; it is counted in whole slots, never too short
@@ -83,7 +83,7 @@
     Micros filled = 0;
     std::uint32_t asked = 0;  // since `told`
     bool refused = false;     // one of these
-    double asked_per_s = 0;
+    double requested_per_s = 0;
     Micros told = 0;
   };
   struct Allowance {
@@ -104,15 +104,15 @@
 
 // At the holder: cuts each tenant's limit into shares by demand. What one sidecar has been given and may
 // still use is never given to another before it has run out.
-class Cutter {
+class ShareAllocator {
  public:
-  explicit Cutter(const QuotaBounds& bounds, Micros lease);
-  void OnLimits(Micros now, const std::map<std::string, TenantLimit>& limits);
-  void OnSidecars(Micros now, std::size_t count);
+  explicit ShareAllocator(const QuotaBounds& bounds, Micros lease);
+  void UpdateLimits(Micros now, const std::map<std::string, TenantLimit>& limits);
+  void SetSidecarCount(Micros now, std::size_t count);
   // A new holder: knows nothing of what was given before, so counts with everything until `lease` has passed
   // or all of the sidecars have told what they hold.
-  void OnDuty(Micros now);
-  void OnHeld(Micros now, const std::string& sidecar, const std::vector<Share>& held);
+  void OnBecameLeader(Micros now);
+  void OnHeldShares(Micros now, const std::string& sidecar, const std::vector<Share>& held);
   // The shares of this sidecar from now on for `lease`.
   std::vector<Share> OnDemand(Micros now, const std::string& sidecar, const std::vector<Demand>& demand);
   void OnSidecarGone(Micros now, const std::string& sidecar);
@@ -120,7 +120,7 @@
  private:
   struct Grant {
     double window = 0;  // may be used in a window
-    TenantLimit of;
+    TenantLimit source_limit;
     Micros end = 0;      // no request is let in by it later
     bool flows = false;  // by a rate: the tenant pressed on its limit
   };
@@ -129,19 +129,19 @@
     bool acked = false;         // the first has been told as held
     double used = 0;            // told, of the window before used_at
     Micros used_at = 0;
-    double asked_per_s = 0;
+    double requested_per_s = 0;
     Micros unmet_until = 0;      // it was asked for more than its share: until those refused have come back
     double mean = 0, noise = 0;  // expected in a window, and its standard deviation
     double ghost = 0;            // may have been used by a process that is no more, until ghost_until
     Micros ghost_until = 0;
     bool ghost_stays = false;
-    bool held_told = false;  // OnHeld came since the last OnDemand
+    bool held_told = false;  // OnHeldShares came since the last OnDemand
     Share held;              // tenant empty: none
   };
   struct Tenant {
     TenantLimit limit;
-    double first_held = 0;  // sum over sidecars of what each told first after OnDuty
-    double reserved = 0, mean = 0, noise = 0, asked_per_s = 0;  // sums over cuts, at most kSumsAge old
+    double first_held = 0;  // sum over sidecars of what each told first after OnBecameLeader
+    double reserved = 0, mean = 0, noise = 0, requested_per_s = 0;  // sums over cuts, at most kSumsAge old
     Micros summed = -1;
     std::map<std::string, Cut> cuts;  // by sidecar
   };
@@ -164,23 +164,23 @@
   Micros duty_since_ = 0;
   Micros forgot_ = 0;
   std::map<std::string, Micros>
-      heard_;  // sidecars that told since OnDuty: at most kSidecars, each for kForget
+      heard_;  // sidecars that told since OnBecameLeader: at most kSidecars, each for kForget
   std::map<std::string, Tenant> tenants_;
 };
 
 // The retry budget of one service at one sidecar: further sends stay within ratio * own requests + a part of
 // the slack, in every window.
-class Budget {
+class RetryBudget {
  public:
   struct Bounds {
     double ratio = 0.2;
     double slack = 58;
     Micros window = 10'000'000;
   };
-  explicit Budget(const Bounds& bounds) : bounds_(bounds) {}
-  void OnSidecars(std::size_t count) { sidecars_ = count; }
+  explicit RetryBudget(const Bounds& bounds) : bounds_(bounds) {}
+  void SetSidecarCount(std::size_t count) { sidecars_ = count; }
   void OnRequest(Micros now);  // a client's or server's request for the service, taken by this sidecar
-  bool Take(
+  bool TryAcquire(
       Micros now,
       double cost = 1);  // a further send; `cost` counts the calls that a repeated run is expected to make
   void Charge(Micros now,
--- a/src/mesh/quota/budget.cpp
+++ b/src/mesh/quota/retry_budget.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void Budget::Expire(Micros now) {
+void RetryBudget::Expire(Micros now) {
   const Micros slot = std::max<Micros>(1, bounds_.window / kSlots);
   const Micros at = now / slot * slot;
   while (!slots_.empty() && slots_.front().at + slot + bounds_.window <= now) {
@@ -25,13 +25,13 @@
   if (slots_.empty() || slots_.back().at < at) slots_.push_back({at, 0, 0});
 }
 
-void Budget::OnRequest(Micros now) {
+void RetryBudget::OnRequest(Micros now) {
   Expire(now);
   slots_.back().requests += 1;
   requests_ += 1;
 }
 
-bool Budget::Take(Micros now, double cost) {
+bool RetryBudget::TryAcquire(Micros now, double cost) {
   Expire(now);
   // The oldest slot is only in part within the window: its further sends count, its requests don't.
   const Micros from = now - bounds_.window;
@@ -42,7 +42,7 @@
   return true;
 }
 
-void Budget::Charge(Micros now, double cost) {
+void RetryBudget::Charge(Micros now, double cost) {
   Expire(now);
   slots_.back().further += cost;
   further_ += cost;
--- a/src/mesh/quota/cutter.cpp
+++ b/src/mesh/quota/share_allocator.cpp
@@ -1,7 +1,7 @@
 #include <cmath>
 
-#include "mesh/quota/parts.hpp"
 #include "mesh/quota/quota.hpp"
+#include "mesh/quota/window_limits.hpp"
 
 namespace fennelhollow::quota {
 
@@ -16,7 +16,7 @@
 constexpr double kEqualPart = 0.5;  // of what nobody needs: spread equally; the rest by need
 
 constexpr double kDeviations = 4;                // of chance, for which there is room where there is enough
-constexpr double kChance = 1.5, kLatelyS = 1.2;  // deviations, and the span that asked_per_s tells of
+constexpr double kChance = 1.5, kLatelyS = 1.2;  // deviations, and the span that requested_per_s tells of
 constexpr double kTells = 4;             // requests of use from which it tells one process from the next
 constexpr double kUnseen = 0.25;         // of a share: used by a process between its last word and its end
 constexpr Micros kComeBack = 2'000'000;  // within it a client that was refused has tried again
@@ -25,23 +25,27 @@
 
 }  // namespace
 
-Cutter::Cutter(const QuotaBounds& bounds, Micros lease)
+ShareAllocator::ShareAllocator(const QuotaBounds& bounds, Micros lease)
     : bounds_(bounds), lease_(lease), window_(static_cast<Micros>(bounds.window_s * 1.02e6) + 1) {}
 
 // Use spread over the window slides out of it evenly; one that pressed on the limit may have come all at the
 // end.
-double Cutter::Ghost(Micros now, const Cut& cut) const {
+double ShareAllocator::Ghost(Micros now, const Cut& cut) const {
   if (cut.ghost_until <= now) return 0;
   const double left = static_cast<double>(cut.ghost_until - now) / static_cast<double>(window_);
   return cut.ghost * (cut.ghost_stays ? 1 : left);
 }
 // Whether more than the base part is of use to it.
-bool Cutter::Presses(const Cut& cut, double base) { return cut.mean + kDeviations * cut.noise > base; }
-double Cutter::Window(const Share& share) const { return share.burst + share.rate_per_s * bounds_.window_s; }
-double Cutter::Bound(const TenantLimit& limit) const { return WindowBound(bounds_, limit); }
-double Cutter::Base(const TenantLimit& limit) const { return BasePart(bounds_, limit, sidecars_); }
+bool ShareAllocator::Presses(const Cut& cut, double base) {
+  return cut.mean + kDeviations * cut.noise > base;
+}
+double ShareAllocator::Window(const Share& share) const {
+  return share.burst + share.rate_per_s * bounds_.window_s;
+}
+double ShareAllocator::Bound(const TenantLimit& limit) const { return WindowBound(bounds_, limit); }
+double ShareAllocator::Base(const TenantLimit& limit) const { return BasePart(bounds_, limit, sidecars_); }
 
-void Cutter::OnLimits(Micros, const std::map<std::string, TenantLimit>& limits) {
+void ShareAllocator::UpdateLimits(Micros, const std::map<std::string, TenantLimit>& limits) {
   for (auto it = tenants_.begin(); it != tenants_.end();) {
     const auto limit = limits.find(it->first);
     const bool stays = limit != limits.end() && limit->second.rate_per_s > 0;
@@ -55,12 +59,12 @@
   }
 }
 
-void Cutter::OnSidecars(Micros, std::size_t count) {
+void ShareAllocator::SetSidecarCount(Micros, std::size_t count) {
   sidecars_ = std::max<std::size_t>(count, 1);
   for (auto& [name, tenant] : tenants_) tenant.summed = -1;
 }
 
-void Cutter::OnDuty(Micros now) {
+void ShareAllocator::OnBecameLeader(Micros now) {
   duty_since_ = now;
   heard_.clear();
   for (auto& [name, tenant] : tenants_) {
@@ -70,7 +74,7 @@
   }
 }
 
-void Cutter::OnHeld(Micros now, const std::string& sidecar, const std::vector<Share>& held) {
+void ShareAllocator::OnHeldShares(Micros now, const std::string& sidecar, const std::vector<Share>& held) {
   if (heard_.size() >= kSidecars && !heard_.contains(sidecar)) return;
   const bool first = heard_.insert_or_assign(sidecar, now).second;
   std::unordered_map<std::string_view, const Share*> by_tenant;
@@ -88,20 +92,22 @@
     tenant.first_held += std::max(window, Base(tenant.limit)) - Base(tenant.limit);
     // Held from an earlier holder, by a lease that it counts from an earlier time than this.
     if (share != nullptr && cut->second.grants.empty()) {
-      cut->second.grants.push_back({window, share->of, now + lease_, share->rate_per_s > 0});
+      cut->second.grants.push_back({window, share->source_limit, now + lease_, share->rate_per_s > 0});
       cut->second.acked = true;
     }
   }
 }
 
 // What this sidecar may have used, or may still use, in a window that reaches beyond now.
-double Cutter::Reserved(Micros now, const Tenant& tenant, const Cut& cut) const {
+double ShareAllocator::Reserved(Micros now, const Tenant& tenant, const Cut& cut) const {
   double reserved = Base(tenant.limit);
   for (const Grant& grant : cut.grants) {
     if (grant.end + window_ <= now) continue;
     // Of a limit that is lowered: the lower one binds when all have heard of it, and then the share is void.
-    const bool lowered = !(grant.of == tenant.limit) && Bound(grant.of) > Bound(tenant.limit);
-    reserved = std::max(reserved, grant.window * (lowered ? Bound(tenant.limit) / Bound(grant.of) : 1));
+    const bool lowered =
+        !(grant.source_limit == tenant.limit) && Bound(grant.source_limit) > Bound(tenant.limit);
+    reserved =
+        std::max(reserved, grant.window * (lowered ? Bound(tenant.limit) / Bound(grant.source_limit) : 1));
   }
   if (cut.used_at + window_ > now) reserved = std::max(reserved, cut.used);
   return reserved + Ghost(now, cut);
@@ -110,7 +116,7 @@
 // What may be out in all. A new holder counts with the parts it has been told, and with those that it has not
 // as given until their leases and the window after have passed; a process that began lately may have had a
 // predecessor.
-double Cutter::Total(Micros now, const Tenant& tenant) const {
+double ShareAllocator::Total(Micros now, const Tenant& tenant) const {
   const double bound = Bound(tenant.limit);
   const bool all_told = heard_.size() >= sidecars_;
   double part =
@@ -125,12 +131,12 @@
   return std::min(bound, std::max(tenant.first_held + base, bound * part));
 }
 
-void Cutter::Sum(Micros now, Tenant& tenant) const {
+void ShareAllocator::Sum(Micros now, Tenant& tenant) const {
   // Its cost grows with the sidecars, and so does the time that it is good for.
   const Micros sums_age = kSumsAge * static_cast<Micros>(1 + sidecars_ / 64);
   if (tenant.summed >= 0 && now - tenant.summed < sums_age) return;
   tenant.summed = now;
-  tenant.reserved = tenant.mean = tenant.noise = tenant.asked_per_s = 0;
+  tenant.reserved = tenant.mean = tenant.noise = tenant.requested_per_s = 0;
   for (auto it = tenant.cuts.begin(); it != tenant.cuts.end();) {
     Cut& cut = it->second;
     std::erase_if(cut.grants, [&](const Grant& g) {
@@ -138,7 +144,7 @@
       if (over && &g == cut.grants.data()) cut.acked = false;
       return over;
     });
-    if (cut.used_at + window_ <= now) cut.used = cut.mean = cut.asked_per_s = 0;
+    if (cut.used_at + window_ <= now) cut.used = cut.mean = cut.requested_per_s = 0;
     if (cut.grants.empty() && cut.used_at + window_ <= now && cut.ghost_until <= now && !cut.held_told) {
       it = tenant.cuts.erase(it);  // counted among those not heard
       continue;
@@ -149,8 +155,8 @@
 }
 
 // Takes in what the sidecar told: which grant it has received, and what of it is used.
-void Cutter::Hear(Micros now, const TenantLimit& limit, Cut& cut, const Demand* demand) const {
-  const double used = demand == nullptr ? 0 : demand->backlog;
+void ShareAllocator::Hear(Micros now, const TenantLimit& limit, Cut& cut, const Demand* demand) const {
+  const double used = demand == nullptr ? 0 : demand->admitted_in_window;
   if (cut.held_told) {
     cut.held_told = false;
     const bool none = cut.held.tenant.empty();
@@ -158,20 +164,21 @@
     // The earliest grant that looks like the one held; those before it never come into force again.
     const auto in_force =
         none ? cut.grants.end() : std::find_if(cut.grants.begin(), cut.grants.end(), [&](const Grant& g) {
-          return std::abs(g.window - window) < 1e-6 && g.of == cut.held.of;
+          return std::abs(g.window - window) < 1e-6 && g.source_limit == cut.held.source_limit;
         });
     if (in_force != cut.grants.end()) {
       cut.grants.erase(cut.grants.begin(), in_force);
       cut.acked = true;
     } else if (!none) {
-      cut.grants.insert(cut.grants.begin(), {window, cut.held.of, now + lease_, cut.held.rate_per_s > 0});
+      cut.grants.insert(cut.grants.begin(),
+                        {window, cut.held.source_limit, now + lease_, cut.held.rate_per_s > 0});
       cut.acked = true;
     } else if (cut.acked && !cut.grants.empty()) {
       // It had a share and has none: run out, void, or another process. What the old one may have used stays
       // counted for a window; a process that tells much of that use is still the same one.
       const Grant& had = cut.grants.front();
       const double before = cut.used_at + window_ > now ? cut.used : 0;
-      const bool run_out = had.end < now + lease_ / 2 || !(had.of == limit);
+      const bool run_out = had.end < now + lease_ / 2 || !(had.source_limit == limit);
       // Use of a few requests tells no process from the next.
       const bool few = had.window < kFractionMatters;
       const bool same = before >= kTells ? used >= before / 2 : run_out && !few;
@@ -192,10 +199,10 @@
   cut.used = used;
   if (demand != nullptr && demand->unmet) cut.unmet_until = now + kComeBack;
   cut.used_at = now;
-  cut.asked_per_s = demand == nullptr ? 0 : demand->asked_per_s;
+  cut.requested_per_s = demand == nullptr ? 0 : demand->requested_per_s;
   // The window's use is the steadier figure; what was asked lately counts where chance does not explain the
   // difference.
-  const double slow = used / bounds_.window_s, fast = cut.asked_per_s;
+  const double slow = used / bounds_.window_s, fast = cut.requested_per_s;
   const double chance = kChance * std::sqrt(std::max(slow, fast) / kLatelyS);
   cut.mean = std::max(0.0, std::clamp(slow, fast - chance, fast + chance)) * bounds_.window_s;
   cut.noise = std::sqrt(cut.mean + 3);
@@ -203,14 +210,14 @@
 
 // A part of a request is of no use to anybody. Where shares are that small they are whole requests instead,
 // for those who ask; who does not ask gets what is whole of its share.
-double Cutter::WholeRequests(Micros now, double window, double free, double base, const Cut& cut) {
-  const bool asks = cut.asked_per_s > 0;
+double ShareAllocator::WholeRequests(Micros now, double window, double free, double base, const Cut& cut) {
+  const bool asks = cut.requested_per_s > 0;
   const double needed = std::max(cut.used + (now < cut.unmet_until ? 1.0 : 0.0), asks ? 1.0 : 0.0);
   const double wanted = std::max(std::floor(window), needed);
   return std::max(base, std::min(wanted, std::floor(free)));
 }
 
-Share Cutter::Give(Micros now, const std::string& name, Tenant& tenant, Cut& cut) const {
+Share ShareAllocator::Give(Micros now, const std::string& name, Tenant& tenant, Cut& cut) const {
   const double base = Base(tenant.limit);
   const double sidecars = static_cast<double>(std::max(sidecars_, tenant.cuts.size()));
   const double unknown = base * (sidecars - static_cast<double>(tenant.cuts.size()));
@@ -232,7 +239,7 @@
   const double others = tenant.reserved - Reserved(now, tenant, cut) + unknown;
   double free = total - others - Ghost(now, cut);
   // What it holds already may be renewed while not all is known: the holder before has counted it.
-  if (total < Bound(tenant.limit) && cut.acked && cut.grants.front().of == tenant.limit) {
+  if (total < Bound(tenant.limit) && cut.acked && cut.grants.front().source_limit == tenant.limit) {
     free = std::max(free, cut.grants.front().window);
   }
   window = std::max(base, std::min(window, free));
@@ -249,16 +256,17 @@
   // Beyond the limit the share flows by its rate, else it would be used up at once and refuse for the rest of
   // the window.
   double rate = 0;
-  if (!small && tenant.asked_per_s > tenant.limit.rate_per_s) {
-    rate = tenant.limit.rate_per_s * kFlow * std::max(cut.asked_per_s / tenant.asked_per_s, 1 / sidecars);
+  if (!small && tenant.requested_per_s > tenant.limit.rate_per_s) {
+    rate = tenant.limit.rate_per_s * kFlow *
+           std::max(cut.requested_per_s / tenant.requested_per_s, 1 / sidecars);
   }
   Share share{name, rate, window - rate * bounds_.window_s, tenant.limit};
   cut.grants.push_back({window, tenant.limit, now + lease_, rate > 0});
   return share;
 }
 
-std::vector<Share> Cutter::OnDemand(Micros now, const std::string& sidecar,
-                                    const std::vector<Demand>& demand) {
+std::vector<Share> ShareAllocator::OnDemand(Micros now, const std::string& sidecar,
+                                            const std::vector<Demand>& demand) {
   std::vector<Share> shares;
   if (heard_.size() >= kSidecars && !heard_.contains(sidecar)) return shares;
   heard_[sidecar] = now;
@@ -283,27 +291,27 @@
   return shares;
 }
 
-void Cutter::Add(Micros now, Tenant& tenant, const Cut& cut, int sign) const {
+void ShareAllocator::Add(Micros now, Tenant& tenant, const Cut& cut, int sign) const {
   tenant.reserved += sign * Reserved(now, tenant, cut);
   if (Presses(cut, Base(tenant.limit))) {
     tenant.mean += sign * std::max(0.0, cut.mean - Base(tenant.limit));
     tenant.noise += sign * cut.noise;
   }
-  tenant.asked_per_s += sign * cut.asked_per_s;
+  tenant.requested_per_s += sign * cut.requested_per_s;
 }
 
-void Cutter::Forget(Micros now) {
+void ShareAllocator::Forget(Micros now) {
   if (now - forgot_ < kForget / 8) return;
   forgot_ = now;
   std::erase_if(heard_, [&](const auto& one) { return now - one.second >= kForget; });
 }
 
 // Its shares stay counted until they have run out: it may be no more than out of sight.
-void Cutter::OnSidecarGone(Micros, const std::string& sidecar) {
+void ShareAllocator::OnSidecarGone(Micros, const std::string& sidecar) {
   for (auto& [name, tenant] : tenants_) {
     const auto it = tenant.cuts.find(sidecar);
     if (it == tenant.cuts.end()) continue;
-    it->second.mean = it->second.asked_per_s = 0;
+    it->second.mean = it->second.requested_per_s = 0;
     it->second.held_told = false;
     tenant.summed = -1;
   }
--- a/src/mesh/quota/parts.hpp
+++ b/src/mesh/quota/window_limits.hpp
@@ -1,6 +1,6 @@
-// What the Gauge and the Cutter have to agree on.
-#ifndef FENNELHOLLOW_MESH_QUOTA_PARTS_HPP_
-#define FENNELHOLLOW_MESH_QUOTA_PARTS_HPP_
+// What the Limiter and the ShareAllocator have to agree on.
+#ifndef FENNELHOLLOW_MESH_QUOTA_WINDOW_LIMITS_HPP_
+#define FENNELHOLLOW_MESH_QUOTA_WINDOW_LIMITS_HPP_
 
 #include <algorithm>
 #include <cstddef>
@@ -35,4 +35,4 @@
 
 }  // namespace fennelhollow::quota
 
-#endif  // FENNELHOLLOW_MESH_QUOTA_PARTS_HPP_
+#endif  // FENNELHOLLOW_MESH_QUOTA_WINDOW_LIMITS_HPP_
--- a/tests/mesh/egress_outbound_test.cpp
+++ b/tests/mesh/egress_outbound_test.cpp
@@ -389,7 +389,7 @@
   std::vector<int> arrived;
   std::string answer;
   std::vector<std::unique_ptr<Machine>> machines;
-  quota::Gauge gauge{{}};
+  quota::Limiter gauge{{}};
   HopClient hops{io, loop, {"me", "127.0.0.1:1", 5, 300, 400}};
   prometheus::Registry registry;
   metrics::RequestMetrics request_metrics{registry};
--- a/tests/mesh/quota_test.cpp
+++ b/tests/mesh/quota_test.cpp
@@ -29,27 +29,27 @@
   }
   void ChangeHolder() {
     ++epoch_;
-    cutter_ = std::make_unique<Cutter>(bounds, kLease);
-    cutter_->OnLimits(now, limits_);
-    cutter_->OnSidecars(now, sidecars_.size());
-    cutter_->OnDuty(now);
+    cutter_ = std::make_unique<ShareAllocator>(bounds, kLease);
+    cutter_->UpdateLimits(now, limits_);
+    cutter_->SetSidecarCount(now, sidecars_.size());
+    cutter_->OnBecameLeader(now);
   }
   void Start(std::size_t i, Micros after = 0) {
     Sidecar& s = sidecars_[i];
-    s = {std::make_unique<Gauge>(bounds), now + after, s.life + 1, 0, now};
-    s.gauge->OnSidecars(now, sidecars_.size());
-    s.gauge->OnLimits(now, limits_);
+    s = {std::make_unique<Limiter>(bounds), now + after, s.life + 1, 0, now};
+    s.gauge->SetSidecarCount(now, sidecars_.size());
+    s.gauge->UpdateLimits(now, limits_);
   }
   void Freeze(std::size_t i, Micros span) { sidecars_[i].frozen = now + span; }
   void Change(const Limits& limits) {  // reaches holder and sidecars at different times
     limits_ = limits;
     for (std::size_t i = 0; i < sidecars_.size(); ++i) {
       At(Delay(), [this, i, limits] {
-        sidecars_[i].gauge->OnLimits(now, limits);
+        sidecars_[i].gauge->UpdateLimits(now, limits);
         sidecars_[i].tells = now;
       });
     }
-    At(Delay(), [this, limits] { cutter_->OnLimits(now, limits); });
+    At(Delay(), [this, limits] { cutter_->UpdateLimits(now, limits); });
   }
   // Demand in requests a second, of a tenant at a sidecar.
   void Run(double seconds, const std::function<double(const std::string&, std::size_t)>& demand) {
@@ -106,7 +106,7 @@
 
  private:
   struct Sidecar {
-    std::unique_ptr<Gauge> gauge;
+    std::unique_ptr<Limiter> gauge;
     Micros tells = 0;
     int life = 0;
     Micros frozen = 0, last = 0;
@@ -119,15 +119,15 @@
   void Tell(std::size_t i) {
     Sidecar& s = sidecars_[i];
     s.tells = now + kTell;
-    const auto held = s.gauge->Held(now);
-    const auto told = s.gauge->Told(now);
+    const auto held = s.gauge->HeldShares(now);
+    const auto told = s.gauge->TakeDemand(now);
     if (Lost(i) || !holder_up) return;
     // Now and then an answer stays away for seconds: later ones overtake it.
     const Micros back = random_() % 50 == 0 ? 2 * kSecond : Delay();
     At(Delay(), [this, i, held, told, back, asked = now, life = s.life, epoch = epoch_] {
       if (epoch != epoch_) return;
       const std::string name = "sidecar-" + std::to_string(i);
-      cutter_->OnHeld(now, name, held);
+      cutter_->OnHeldShares(now, name, held);
       const auto shares = cutter_->OnDemand(now, name, told);
       if (Lost(i)) return;
       At(back, [this, i, shares, asked, life] {
@@ -152,8 +152,8 @@
   // A client that is refused comes back when it is told to, if it has tries left.
   void Try(std::size_t i, const std::string& tenant, int left) {
     Count& count = counts[tenant];
-    const Gauge& gauge = *sidecars_[i].gauge;
-    if (sidecars_[i].gauge->Take(now, tenant)) return count.let_in.push_back(now);
+    const Limiter& gauge = *sidecars_[i].gauge;
+    if (sidecars_[i].gauge->TryAcquire(now, tenant)) return count.let_in.push_back(now);
     if (left <= 1) return static_cast<void>(++count.refused);
     const Micros wait = std::min(gauge.RetryAfter(now, tenant), most_wait);
     At(wait, [this, i, tenant, left] { Try(i, tenant, left - 1); });
@@ -161,7 +161,7 @@
 
   Limits limits_;
   std::mt19937 random_;
-  std::unique_ptr<Cutter> cutter_;
+  std::unique_ptr<ShareAllocator> cutter_;
   int epoch_ = 0;
   std::multimap<Micros, std::function<void()>> at_;
   std::vector<Sidecar> sidecars_;
@@ -372,11 +372,11 @@
 }
 
 TEST_CASE("The budget of further sends holds in every window, and is given out") {
-  const Budget::Bounds bounds;
+  const RetryBudget::Bounds bounds;
   for (unsigned seed = 0; seed < 8; ++seed) {
     std::mt19937 random(seed);
-    Budget budget(bounds);
-    budget.OnSidecars(14);
+    RetryBudget budget(bounds);
+    budget.SetSidecarCount(14);
     std::vector<std::pair<Micros, double>> requests, further;
     double let_in = 0;
     for (Micros now = 0; now < 60 * kSecond; now += 1 + static_cast<Micros>(random() % 20) * kMs) {
@@ -386,7 +386,7 @@
         requests.emplace_back(now, 1);
       }
       const double cost = random() % 4 == 0 ? 1.5 : 1;
-      if (!budget.Take(now, cost)) continue;
+      if (!budget.TryAcquire(now, cost)) continue;
       let_in += cost;
       further.emplace_back(now, cost);
       const auto sum = [&](const std::vector<std::pair<Micros, double>>& all) {
