--- a/src/diameter/io/front.cpp
+++ b/src/diameter/io/front.cpp
@@ -40,7 +40,7 @@
 };
 
 // Brings a request's final answer to whoever waits for it, which need not be who asked first.
-class Front::Caller : public core::Caller {
+class Front::Caller : public core::ResponseSink {
  public:
   Caller(Front& front, RequestKey key, const diameter::Message& request, Repeat repeat, int request_class)
       : front_(front),
@@ -53,7 +53,7 @@
       session_ = AvpWriter().Copy(*session).Take();
   }
 
-  void Serve(core::MessagePtr answer) override {
+  void Deliver(core::MessagePtr answer) override {
     taken_.End(stats::Ending::kOk);
     Pass(std::move(answer));
   }
@@ -69,10 +69,11 @@
                     static_cast<double>(retry_after) / kMicrosASecond);
     front_.Finish(key_, Own(ResultCode::kTooBusy, text), proxy_info_, /*keep=*/false);
   }
-  void Fail(core::Failure why, core::MessagePtr answer) override {
+  void Fail(core::FailureReason why, core::MessagePtr answer) override {
     taken_.End(stats::Ending::kError);
     if (answer != nullptr) return Pass(std::move(answer));  // the server's own words say more
-    const char* const text = why == core::Failure::kOutOfTime ? "out of time" : "failed; it may have run";
+    const char* const text =
+        why == core::FailureReason::kDeadlineExceeded ? "out of time" : "failed; it may have run";
     front_.Finish(key_, Own(ResultCode::kUnableToComply, text), proxy_info_, keep_);
   }
 
@@ -91,7 +92,8 @@
 
 Front::Front(boost::asio::io_context& io, core::Loop& loop, const std::vector<Listener>& listeners,
              Limits limits, const Application& application, const Identity& self, net::Budget& budget,
-             stats::Counters& counters, core::Exchanges& exchanges, Upstream& upstream, std::uint64_t seed)
+             stats::Counters& counters, core::RequestManager& exchanges, Upstream& upstream,
+             std::uint64_t seed)
     : loop_(loop),
       limits_(limits),
       application_(application),
@@ -279,7 +281,7 @@
   // run. Guards against the second run of a port whose first went through a sidecar that is gone.
   if (resend && its_class.repeat != Repeat::kSafe)
     return say(ResultCode::kUnableToComply, "sent before, with an outcome that is not known here");
-  if (!reading.id.empty() && exchanges_.Holds(reading.id))
+  if (!reading.id.empty() && exchanges_.Contains(reading.id))
     return say(ResultCode::kUnableToComply, "a request of this id is under way");
   auto message = std::make_unique<RequestMessage>();
   // Twice: the request is copied when it is sent on.
@@ -289,22 +291,23 @@
     return say(ResultCode::kTooBusy, "too many requests to remember");
   ++client.under_way;
 
-  core::Arrival arrival;
+  core::IncomingRequest arrival;
   arrival.id = reading.id.empty() ? "d/" + key.host + "/" + std::to_string(key.end_to_end) : reading.id;
   arrival.request_class = reading.request_class;
   arrival.tenant = reading.tenant;
-  arrival.deadline = reading.deadline;
-  arrival.repeated = resend;
+  arrival.client_timeout = reading.deadline;
+  arrival.is_retry = resend;
   arrival.write = its_class.repeat != Repeat::kSafe;
   arrival.key = reading.object;
-  arrival.front = kDiameterFront;
-  arrival.caller = std::make_unique<Caller>(*this, key, request, its_class.repeat, reading.request_class);
+  arrival.protocol = kDiameterFront;
+  arrival.response_sink =
+      std::make_unique<Caller>(*this, key, request, its_class.repeat, reading.request_class);
   arrival.egress = &upstream_;
   message->deadline = application_.FindCommand(request.header.command)->deadline;
   message->from = client.host;
   message->message = std::move(request);
   arrival.request = std::move(message);
-  exchanges_.Take(std::move(arrival));
+  exchanges_.Submit(std::move(arrival));
 }
 
 void Front::Finish(const RequestKey& key, const Message& answer, const std::string& proxy_info, bool keep) {
--- a/src/diameter/io/front.hpp
+++ b/src/diameter/io/front.hpp
@@ -15,8 +15,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/exchange.hpp"
-#include "core/front.hpp"
+#include "core/protocol_listener.hpp"
+#include "core/request_manager.hpp"
 #include "diameter/application.hpp"
 #include "diameter/io/peer_host.hpp"
 #include "diameter/io/upstream.hpp"
@@ -45,7 +45,7 @@
   // it.
   Front(boost::asio::io_context& io, core::Loop& loop, const std::vector<Listener>& listeners, Limits limits,
         const Application& application, const Identity& self, net::Budget& budget, stats::Counters& counters,
-        core::Exchanges& exchanges, Upstream& upstream, std::uint64_t seed);
+        core::RequestManager& exchanges, Upstream& upstream, std::uint64_t seed);
   ~Front() override;
   Front(const Front&) = delete;
   Front& operator=(const Front&) = delete;
@@ -88,7 +88,7 @@
   const Identity& self_;
   net::Budget& budget_;
   stats::Counters& counters_;
-  core::Exchanges& exchanges_;
+  core::RequestManager& exchanges_;
   Upstream& upstream_;
   Recall recall_;
   std::uint64_t seed_;
--- a/src/diameter/io/messages.hpp
+++ b/src/diameter/io/messages.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <utility>
 
-#include "core/exchange.hpp"
+#include "core/request_manager.hpp"
 #include "diameter/application.hpp"
 #include "diameter/codec.hpp"
 #include "net/budget.hpp"
--- a/src/diameter/io/upstream.cpp
+++ b/src/diameter/io/upstream.cpp
@@ -121,8 +121,8 @@
 
 // ---- Attempts ----
 
-Upstream::AttemptId Upstream::Send(const std::string& id, const core::Message& request, const Order& order,
-                                   Done done) {
+Upstream::AttemptId Upstream::Send(const std::string& id, const core::Message& request,
+                                   const SendOptions& order, Done done) {
   const AttemptId attempt = ++last_attempt_;
   Pending& pending = pending_[attempt];
   pending.done = std::move(done);
@@ -140,7 +140,7 @@
   onward.resend = order.may_have_run;
   onward.deadline_code = from.deadline.code;
   onward.deadline_vendor = from.deadline.vendor;
-  onward.deadline = static_cast<std::uint32_t>(std::max<Micros>(order.left / kMillisecond, 1));
+  onward.deadline = static_cast<std::uint32_t>(std::max<Micros>(order.response_timeout / kMillisecond, 1));
   pending.waiting = Forward(from.message, onward);
   server.needed = true;
   if (server.host->peer().usable()) {
@@ -172,7 +172,7 @@
   server.out.emplace(message.header.hop_by_hop, attempt);
 }
 
-void Upstream::GiveUp(AttemptId attempt) {
+void Upstream::CancelAttempt(AttemptId attempt) {
   const auto it = pending_.find(attempt);
   if (it == pending_.end()) return;
   const std::shared_ptr<Server> server = it->second.server;
@@ -190,7 +190,7 @@
   Pending pending = std::move(it->second);
   pending_.erase(it);
   if (pending.connection != nullptr) pending.server->out.erase(pending.sent.hop_by_hop);
-  core::Answer out;
+  core::AttemptResult out;
   out.result = result;
   if (answer) out.message = std::make_unique<AnswerMessage>(std::move(*answer));
   pending.done(std::move(out));
--- a/src/diameter/io/upstream.hpp
+++ b/src/diameter/io/upstream.hpp
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/exchange.hpp"
+#include "core/request_manager.hpp"
 #include "diameter/application.hpp"
 #include "diameter/io/peer_host.hpp"
 #include "stats/counters.hpp"
@@ -48,9 +48,9 @@
   // drains or is gone is sent nothing new, and is parted from when it has answered what is out.
   void Apply(bool whole, const std::vector<ServerAddress>& servers);
 
-  AttemptId Send(const std::string& server, const core::Message& request, const Order& order,
+  AttemptId Send(const std::string& server, const core::Message& request, const SendOptions& order,
                  Done done) override;
-  void GiveUp(AttemptId attempt) override;
+  void CancelAttempt(AttemptId attempt) override;
   // Attempts that are handed to a connection are counted there from now on.
   void CountIn(stats::Counters& counters) { counters_ = &counters; }
 
--- a/src/fleet/io/talk.cpp
+++ b/src/fleet/io/talk.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-Talk::Talk(boost::asio::io_context& io, core::Loop& loop, core::Exchanges& exchanges, Peers peers,
+Talk::Talk(boost::asio::io_context& io, core::Loop& loop, core::RequestManager& exchanges, Peers peers,
            Manners manners, std::uint64_t seed, std::function<std::int64_t()> generation)
     : loop_(loop),
       exchanges_(exchanges),
--- a/src/fleet/io/talk.hpp
+++ b/src/fleet/io/talk.hpp
@@ -11,8 +11,8 @@
 #include <memory>
 #include <vector>
 
-#include "core/exchange.hpp"
 #include "core/loop.hpp"
+#include "core/request_manager.hpp"
 #include "fleet/conversation.hpp"
 
 namespace merlinrun::fleet {
@@ -28,7 +28,7 @@
 class Talk {
  public:
   // Binds nothing yet. `generation` tells that of the list in force.
-  Talk(boost::asio::io_context& io, core::Loop& loop, core::Exchanges& exchanges, Peers peers,
+  Talk(boost::asio::io_context& io, core::Loop& loop, core::RequestManager& exchanges, Peers peers,
        Manners manners, std::uint64_t seed, std::function<std::int64_t()> generation);
   Talk(const Talk&) = delete;
   Talk& operator=(const Talk&) = delete;
@@ -50,7 +50,7 @@
   void Tick();
 
   core::Loop& loop_;
-  core::Exchanges& exchanges_;
+  core::RequestManager& exchanges_;
   const Peers peers_;
   const std::function<std::int64_t()> generation_;
   std::map<Udp::endpoint, std::uint32_t> numbers_;
--- a/src/mesh/egress/outbound_proxy.cpp
+++ b/src/mesh/egress/outbound_proxy.cpp
@@ -40,15 +40,15 @@
 // A route that tells no time-out, and a client that tells none.
 constexpr std::int64_t kDefaultTimeoutMs = 30'000;
 
-std::string_view ResultName(core::Ended::End end) {
+std::string_view ResultName(core::CompletedRequest::Disposition end) {
   switch (end) {
-    case core::Ended::End::kServed:
+    case core::CompletedRequest::Disposition::kServed:
       return "served";
-    case core::Ended::End::kRefused:
+    case core::CompletedRequest::Disposition::kRefused:
       return "refused";
-    case core::Ended::End::kFailed:
+    case core::CompletedRequest::Disposition::kFailed:
       return "failed";
-    case core::Ended::End::kLeft:
+    case core::CompletedRequest::Disposition::kClientGone:
       return "client_left";
   }
   return "unknown";
@@ -86,7 +86,7 @@
 struct OutboundProxy::Lane {
   std::string service;
   std::unique_ptr<core::Egress> egress;
-  std::unique_ptr<core::Exchanges> exchanges;
+  std::unique_ptr<core::RequestManager> exchanges;
   quota::RetryBudget budget;
 };
 
@@ -115,12 +115,12 @@
   std::shared_ptr<OutboundProxy::Flight> flight;
 };
 
-class Caller : public core::Caller {
+class Caller : public core::ResponseSink {
  public:
   Caller(OutboundProxy& owner, std::shared_ptr<OutboundProxy::Flight> flight)
       : owner_(owner), flight_(std::move(flight)) {}
 
-  void Serve(core::MessagePtr message) override {
+  void Deliver(core::MessagePtr message) override {
     ++owner_.counters_.served;
     auto& answer = static_cast<AnswerMessage&>(*message);
     Write(answer);
@@ -128,13 +128,13 @@
 
   void Refuse(Micros retry_after) override {
     // A plain error ends the request, and goes back as the server said it.
-    if (flight_->error != nullptr) return Fail(core::Failure::kFailed, std::move(flight_->error));
+    if (flight_->error != nullptr) return Fail(core::FailureReason::kNoSafeRetry, std::move(flight_->error));
     ++owner_.counters_.refused;
     owner_.Refuse(flight_->session, 503, "refused: it has not run", std::max<Micros>(retry_after, 20 * kMs));
   }
 
-  void Fail(core::Failure why, core::MessagePtr message) override {
-    if (message != nullptr && why == core::Failure::kFailed) {
+  void Fail(core::FailureReason why, core::MessagePtr message) override {
+    if (message != nullptr && why == core::FailureReason::kNoSafeRetry) {
       auto& answer = static_cast<AnswerMessage&>(*message);
       // What would promise that it has not run, and does not say that it did not.
       if (!flight_->safe && Promises(answer.status) && (flight_->may_have_run || flight_->unsettled > 0))
@@ -148,7 +148,8 @@
       return owner_.Refuse(flight_->session, 503, "refused", 20 * kMs);
     }
     const Micros due = owner_.end_ > 0 ? std::min(owner_.end_, flight_->deadline) : flight_->deadline;
-    const bool late = why == core::Failure::kOutOfTime || owner_.loop_.Now() + kAnswerMargin >= due;
+    const bool late =
+        why == core::FailureReason::kDeadlineExceeded || owner_.loop_.Now() + kAnswerMargin >= due;
     ++(late ? owner_.counters_.deadline_exceeded : owner_.counters_.failed);
     owner_.Refuse(flight_->session, late ? 504 : 502,
                   late ? "out of time: it may have run" : "failed: it may have run", 0);
@@ -180,7 +181,7 @@
  public:
   Egress(OutboundProxy& owner, Lane& lane) : owner_(owner), lane_(lane) {}
 
-  AttemptId Send(const std::string& server, const core::Message& request, const Order& order,
+  AttemptId Send(const std::string& server, const core::Message& request, const SendOptions& order,
                  Done done) override {
     const auto flight = static_cast<const RequestMessage&>(request).flight;
     const AttemptId attempt = ++last_;
@@ -193,7 +194,7 @@
     out.target = flight->target;
     out.headers = flight->headers;
     out.body = flight->body;
-    out.left_ms = std::max<std::int64_t>(order.left / kMs, 1);
+    out.left_ms = std::max<std::int64_t>(order.response_timeout / kMs, 1);
     out.wait_ms = std::clamp<std::int64_t>(
         static_cast<std::int64_t>(kWaitShare * static_cast<double>(flight->aim)) / kMs, kLeastWaitMs,
         std::max<std::int64_t>(out.left_ms / 2, kLeastWaitMs));
@@ -234,7 +235,7 @@
     return attempt;
   }
 
-  void GiveUp(AttemptId attempt) override {
+  void CancelAttempt(AttemptId attempt) override {
     const auto it = out_.find(attempt);
     if (it == out_.end()) return;
     const auto handle = it->second;
@@ -257,7 +258,7 @@
     out_[attempt] = 0;
     owner_.loop_.Post([this, attempt, done = std::move(done)] {
       if (out_.erase(attempt) == 0) return;  // given up
-      done(core::Answer());
+      done(core::AttemptResult());
     });
     return attempt;
   }
@@ -313,7 +314,7 @@
     stream->resume = [this, handle] { owner_.hops_.Resume(handle); };
     state->stream = stream;
     state->answer->stream = stream;
-    core::Answer out;
+    core::AttemptResult out;
     out.result = Result::kSuccess;
     out.message = std::move(state->answer);
     const Done done = std::move(state->done);
@@ -344,19 +345,19 @@
   void Finish(AttemptId attempt, const StatePtr& state, Result result, core::MessagePtr message) {
     if (out_.erase(attempt) == 0) return;
     Flight& flight = *state->flight;
-    core::Answer out;
+    core::AttemptResult out;
     out.result = result;
     out.message = std::move(message);
     // Where one server after the other is full a third is no help: its client is told at once when to come
     // back.
-    if (flight.full >= kMostFull) out.spent = true;
+    if (flight.full >= kMostFull) out.cannot_retry = true;
     // Whether it may be sent further is settled here, so that a request that is given up has its answer at
     // once.
     if (result != Result::kSuccess && result != Result::kError && flight.arrivals > 0) {
       if (flight.arrivals >= flight.most_arrivals)
-        out.spent = true;
+        out.cannot_retry = true;
       else if (!flight.reserved && !(flight.reserved = lane_.budget.TryAcquire(owner_.loop_.Now())))
-        ++owner_.counters_.retry_budget_exhausted, out.spent = true;
+        ++owner_.counters_.retry_budget_exhausted, out.cannot_retry = true;
     }
     const Done done = std::move(state->done);
     done(std::move(out));
@@ -408,14 +409,14 @@
       std::make_unique<Lane>(Lane{service, nullptr, nullptr, quota::RetryBudget(settings_.retry_budget)});
   lane->budget.SetSidecarCount(count_);
   lane->egress = std::make_unique<Egress>(*this, *lane);
-  lane->exchanges = std::make_unique<core::Exchanges>(
+  lane->exchanges = std::make_unique<core::RequestManager>(
       loop_, set, random_.Next(), [] {}, [](std::string_view) {});
   auto& why = counters_.refusals_by_cause[service];
-  lane->exchanges->OnEnded([this, &why](const core::Ended& ended) {
-    if (ended.why) ++why[static_cast<std::size_t>(*ended.why)];
+  lane->exchanges->OnRequestCompleted([this, &why](const core::CompletedRequest& ended) {
+    if (ended.end_cause) ++why[static_cast<std::size_t>(*ended.end_cause)];
     OnEnded(ended);
   });
-  if (end_ > 0) lane->exchanges->EndBy(end_);
+  if (end_ > 0) lane->exchanges->SetShutdownDeadline(end_);
   Lane& out = *lane;
   lanes_[service] = std::move(lane);
   Feed(out);
@@ -423,35 +424,35 @@
 }
 
 void OutboundProxy::CountRefused(const metrics::RequestLabels& labels, std::string_view cause) {
-  request_metrics_.OnEnded(labels, ResultName(core::Ended::End::kRefused));
+  request_metrics_.OnEnded(labels, ResultName(core::CompletedRequest::Disposition::kRefused));
   request_metrics_.OnRefused(labels, metrics::Hop::kOutbound, cause);
 }
 
 // The request's message, which holds its flight, lives until after this.
-void OutboundProxy::OnEnded(const core::Ended& ended) {
+void OutboundProxy::OnEnded(const core::CompletedRequest& ended) {
   const auto it = flights_.find(std::stoull(std::string(ended.id)));
   if (it == flights_.end()) return;
   const auto flight = it->second.lock();
   flights_.erase(it);
   if (flight == nullptr) return;
-  request_metrics_.OnEnded(flight->labels, ResultName(ended.end));
-  if (ended.end != core::Ended::End::kRefused || !ended.why) return;
-  const bool turned_away = *ended.why == merlinrun::Cause::kTurnedAway;
+  request_metrics_.OnEnded(flight->labels, ResultName(ended.disposition));
+  if (ended.disposition != core::CompletedRequest::Disposition::kRefused || !ended.end_cause) return;
+  const bool turned_away = *ended.end_cause == merlinrun::Cause::kTurnedAway;
   if (turned_away && flight->turned_away)
     return request_metrics_.OnRefused(flight->labels, metrics::Hop::kLastHop,
                                       ingress::NameOf(*flight->turned_away));
   const auto hop = turned_away && flight->refused_by_server ? metrics::Hop::kServer : metrics::Hop::kOutbound;
-  const auto cause = merlinrun::kCauseNames[static_cast<std::size_t>(*ended.why)];
+  const auto cause = merlinrun::kCauseNames[static_cast<std::size_t>(*ended.end_cause)];
   request_metrics_.OnRefused(flight->labels, hop, cause);
 }
 
 void OutboundProxy::SetShutdownDeadline(Micros end) {
   end_ = end;
-  for (auto& [service, lane] : lanes_) lane->exchanges->EndBy(end);
+  for (auto& [service, lane] : lanes_) lane->exchanges->SetShutdownDeadline(end);
 }
 
 void OutboundProxy::FinishInFlight() {
-  for (auto& [service, lane] : lanes_) lane->exchanges->Hurry();
+  for (auto& [service, lane] : lanes_) lane->exchanges->EnforceShutdownDeadline();
 }
 
 void OutboundProxy::OnConfiguration(std::shared_ptr<const configuration::Tables> tables) {
@@ -571,20 +572,20 @@
       now + static_cast<Micros>(static_cast<double>(flight->aim) * (1 + kLaterAPriority * found.priority));
   HttpServer::Tag(session) = flight->number;
 
-  core::Arrival arrival;
+  core::IncomingRequest arrival;
   arrival.id = std::to_string(flight->number);
   arrival.request_class = request_class;
   std::int64_t left = found.route->timeout_ms > 0 ? found.route->timeout_ms : kDefaultTimeoutMs;
   if (found.deadline_ms) left = std::min(left, *found.deadline_ms);
-  arrival.deadline = left * kMs;
+  arrival.client_timeout = left * kMs;
   flight->deadline = now + left * kMs;
   auto message = std::make_unique<RequestMessage>();
   message->flight = flight;
   arrival.request = std::move(message);
-  arrival.caller = std::make_unique<Caller>(*this, flight);
+  arrival.response_sink = std::make_unique<Caller>(*this, flight);
   arrival.egress = lane.egress.get();
   flights_[flight->number] = flight;
-  lane.exchanges->Take(std::move(arrival));
+  lane.exchanges->Submit(std::move(arrival));
 }
 
 void OutboundProxy::OnClientDisconnect(const HttpServer::SessionPtr& session) {
--- a/src/mesh/egress/outbound_proxy.hpp
+++ b/src/mesh/egress/outbound_proxy.hpp
@@ -13,8 +13,8 @@
 #include <unordered_map>
 
 #include "base/random.hpp"
-#include "core/exchange.hpp"
 #include "core/loop.hpp"
+#include "core/request_manager.hpp"
 #include "mesh/configuration/configuration.hpp"
 #include "mesh/egress/http_server.hpp"
 #include "mesh/egress/inbound_proxy_client.hpp"
@@ -80,7 +80,7 @@
   Lane& LaneOf(const std::string& service);
   // Counts one that is refused before it has a flight.
   void CountRefused(const metrics::RequestLabels& labels, std::string_view cause);
-  void OnEnded(const merlinrun::core::Ended& ended);
+  void OnEnded(const merlinrun::core::CompletedRequest& ended);
   void Feed(Lane& lane);
   void Refuse(const HttpServer::SessionPtr& session, unsigned status, const char* why, Micros retry_after);
 
--- a/src/net/http_front.cpp
+++ b/src/net/http_front.cpp
@@ -46,11 +46,11 @@
 }
 
 // Answers over the connection that the request came by.
-class HttpCaller : public core::Caller {
+class HttpCaller : public core::ResponseSink {
  public:
   explicit HttpCaller(Inbound::SessionPtr session) : session_(std::move(session)) {}
 
-  void Serve(core::MessagePtr answer) override {
+  void Deliver(core::MessagePtr answer) override {
     UpstreamAnswer& from = static_cast<AnswerMessage&>(*answer).answer;
     HttpResponse response(http::status::ok, 11);
     if (const auto type = from.response[http::field::content_type]; !type.empty())
@@ -68,10 +68,11 @@
     Inbound::Respond(session_, std::move(response), {});
   }
 
-  void Fail(core::Failure why, core::MessagePtr) override {
+  void Fail(core::FailureReason why, core::MessagePtr) override {
     Inbound::Respond(session_,
-                     why == core::Failure::kOutOfTime ? Plain(http::status::gateway_timeout, "out of time\n")
-                                                      : Plain(http::status::bad_gateway, "failed\n"),
+                     why == core::FailureReason::kDeadlineExceeded
+                         ? Plain(http::status::gateway_timeout, "out of time\n")
+                         : Plain(http::status::bad_gateway, "failed\n"),
                      {});
   }
 
@@ -82,13 +83,13 @@
 }  // namespace
 
 core::Egress::AttemptId HttpEgress::Send(const std::string& server, const core::Message& request,
-                                         const Order& order, Done done) {
+                                         const SendOptions& order, Done done) {
   const Inbound::Request& from = static_cast<const RequestMessage&>(request).request;
-  return upstream_.Send(server, {Forwarded(from.head, order.left), from.rest, from.length},
+  return upstream_.Send(server, {Forwarded(from.head, order.response_timeout), from.rest, from.length},
                         [done = std::move(done)](UpstreamAnswer answer) {
-                          core::Answer out;
+                          core::AttemptResult out;
                           out.result = answer.result;
-                          out.spent = answer.spent;
+                          out.cannot_retry = answer.spent;
                           if (answer.result == Result::kSuccess)
                             out.message = std::make_unique<AnswerMessage>(std::move(answer));
                           done(std::move(out));
@@ -96,48 +97,48 @@
 }
 
 HttpFront::HttpFront(asio::io_context& io, const Inbound::Listening& listening, Inbound::Limits limits,
-                     Budget& budget, stats::Counters& counters, core::Exchanges& exchanges,
+                     Budget& budget, stats::Counters& counters, core::RequestManager& request_manager,
                      core::Egress& egress, std::function<bool()> ready)
-    : exchanges_(exchanges),
+    : request_manager_(request_manager),
       egress_(egress),
       inbound_(io, listening, limits, budget, counters,
                {[this](const Inbound::SessionPtr& session, Inbound::Request request, int request_class) {
                   OnRequest(session, std::move(request), request_class);
                 },
-                [this](const std::string& id) { exchanges_.OnWhole(id); },
+                [this](const std::string& id) { request_manager_.OnRequestComplete(id); },
                 [this](const RequestHeader& header) {
-                  return core::ClassIndex(exchanges_.settings(), View(header[kClassHeader]));
+                  return core::ClassIndex(request_manager_.settings(), View(header[kClassHeader]));
                 },
-                [this](const std::string& id) { exchanges_.OnClientGone(id); }, std::move(ready)}) {}
+                [this](const std::string& id) { request_manager_.OnClientGone(id); }, std::move(ready)}) {}
 
 std::optional<Fault> HttpFront::Check(const HttpRequest& request, int request_class) const {
   if (request_class < 0) return Fault{http::status::not_found, "unknown Req-Kind\n"};
-  if (exchanges_.Holds(std::string(View(request[kIdHeader]))))
+  if (request_manager_.Contains(std::string(View(request[kIdHeader]))))
     return Fault{http::status::conflict, "Req-Id is in use\n"};
-  return CheckAgainstClass(request,
-                           exchanges_.settings().classes[static_cast<std::size_t>(request_class)].repeat);
+  return CheckAgainstClass(
+      request, request_manager_.settings().classes[static_cast<std::size_t>(request_class)].repeat);
 }
 
 void HttpFront::OnRequest(const Inbound::SessionPtr& session, Inbound::Request from, int request_class) {
   HttpRequest& request = from.head;
-  const Settings& settings = exchanges_.settings();
-  core::Arrival arrival;
+  const Settings& settings = request_manager_.settings();
+  core::IncomingRequest arrival;
   arrival.request_class = request_class;
   if (const auto fault = Check(request, arrival.request_class)) return Inbound::Reject(session, *fault);
   arrival.id = std::string(View(request[kIdHeader]));
   arrival.tenant = core::TenantIndex(settings, View(request[kTenantHeader]));
   if (const auto seconds = ParseDecimal(View(request[kDeadlineHeader])))
-    arrival.deadline = static_cast<Micros>(*seconds * kMicrosASecond);
-  arrival.repeated = request[kRepeatHeader] == "1";
+    arrival.client_timeout = static_cast<Micros>(*seconds * kMicrosASecond);
+  arrival.is_retry = request[kRepeatHeader] == "1";
   arrival.write = request.method() != http::verb::get;
   if (const auto cost = ParseDecimal(View(request[kCostHeader])); cost && *cost < 1e12)
     arrival.cost = static_cast<Micros>(*cost);
   arrival.key = std::string(KeyOf(View(request.target())));
-  if (from.rest != nullptr) arrival.upload = from.upload;
+  if (from.rest != nullptr) arrival.upload_time = from.upload;
   arrival.request = std::make_unique<RequestMessage>(std::move(from));
-  arrival.caller = std::make_unique<HttpCaller>(session);
+  arrival.response_sink = std::make_unique<HttpCaller>(session);
   arrival.egress = &egress_;
-  exchanges_.Take(std::move(arrival));
+  request_manager_.Submit(std::move(arrival));
 }
 
 }  // namespace merlinrun::net
--- a/src/net/http_front.hpp
+++ b/src/net/http_front.hpp
@@ -9,8 +9,8 @@
 #include <string>
 
 #include "budget.hpp"
-#include "core/exchange.hpp"
-#include "core/front.hpp"
+#include "core/protocol_listener.hpp"
+#include "core/request_manager.hpp"
 #include "inbound.hpp"
 #include "upstream.hpp"
 
@@ -19,9 +19,9 @@
 class HttpEgress : public core::Egress {
  public:
   explicit HttpEgress(Upstream& upstream) : upstream_(upstream) {}
-  AttemptId Send(const std::string& server, const core::Message& request, const Order& order,
+  AttemptId Send(const std::string& server, const core::Message& request, const SendOptions& order,
                  Done done) override;
-  void GiveUp(AttemptId attempt) override { upstream_.GiveUp(attempt); }
+  void CancelAttempt(AttemptId attempt) override { upstream_.GiveUp(attempt); }
 
  private:
   Upstream& upstream_;
@@ -32,7 +32,7 @@
   // Throws boost::system::system_error if the address cannot be listened on. All that it is given must
   // outlive it.
   HttpFront(asio::io_context& io, const Inbound::Listening& listening, Inbound::Limits limits, Budget& budget,
-            stats::Counters& counters, core::Exchanges& exchanges, core::Egress& egress,
+            stats::Counters& counters, core::RequestManager& request_manager, core::Egress& egress,
             std::function<bool()> ready);
 
   void SetDraining(bool draining) override { inbound_.SetDraining(draining); }
@@ -50,7 +50,7 @@
   void OnRequest(const Inbound::SessionPtr& session, Inbound::Request from, int request_class);
   std::optional<Fault> Check(const HttpRequest& request, int request_class) const;
 
-  core::Exchanges& exchanges_;
+  core::RequestManager& request_manager_;
   core::Egress& egress_;
   Inbound inbound_;  // last: it calls back into the rest
 };
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -80,16 +80,16 @@
   return application;
 }
 
-void AddTo(record::Recorder& recorder, Micros now, const core::Ended& ended) {
+void AddTo(record::Recorder& recorder, Micros now, const core::CompletedRequest& ended) {
   record::Record to;
-  to.arrived = ended.arrived;
+  to.arrived = ended.arrival_time;
   to.budget = ended.budget;
-  to.took = ended.took;
+  to.took = ended.duration;
   to.its_class = static_cast<std::uint32_t>(ended.request_class);
   to.attempts = static_cast<std::uint32_t>(ended.attempts);
-  to.end = static_cast<record::End>(ended.end);
-  to.front = static_cast<std::uint8_t>(ended.front);
-  to.repeated = ended.repeated;
+  to.end = static_cast<record::End>(ended.disposition);
+  to.front = static_cast<std::uint8_t>(ended.protocol);
+  to.repeated = ended.is_retry;
   recorder.Add(now, to, ended.id, ended.key);
 }
 
@@ -112,19 +112,19 @@
                   },
                   [this] { OnDiscoveryFailed(); }}) {
   try {
-    exchanges_ = std::make_unique<core::Exchanges>(
+    request_manager_ = std::make_unique<core::RequestManager>(
         loop_, config_.wire.settings, config_.seed, [this] { discovery_.Watch(generation_); }, Log);
   } catch (const std::invalid_argument& error) {
     throw ConfigError(std::string("settings: ") + error.what());
   }
   counters_.classes.resize(config_.wire.settings.classes.size());
-  phase_.emplace(loop_, *exchanges_);
+  phase_.emplace(loop_, *request_manager_);
   if (!config_.record.empty()) Record();
   if (!config_.trace.empty()) StartTrace();
   if (!config_.fleet.empty()) StartTalk();
-  if (!config_.zones.empty()) exchanges_->OnZoneOrders(Orders(config_));
+  if (!config_.zones.empty()) request_manager_->OnZoneOrders(Orders(config_));
   if (recorder_ != nullptr || trace_ != nullptr)
-    exchanges_->OnEnded([this](const core::Ended& ended) {
+    request_manager_->OnRequestCompleted([this](const core::CompletedRequest& ended) {
       if (recorder_ != nullptr) AddTo(*recorder_, loop_.Now(), ended);
       if (trace_ != nullptr) trace_->Add(ended);
     });
@@ -162,21 +162,22 @@
 void Sidecar::StartTrace() {
   const auto read = stats::ParseTraceSettings(ReadFile(config_.trace), config_.trace);
   if (const auto* error = std::get_if<std::string>(&read)) throw ConfigError(*error);
-  trace_ = std::make_unique<stats::Trace>(loop_, *exchanges_, std::get<stats::TraceSettings>(read), [this] {
-    stats::Held held{exchanges_->held(), http_ == nullptr ? 0 : http_->sessions(),
-                     upstream_.open_connections()};
-    if (talk_ == nullptr) return held;
-    const fleet::Tally& t = talk_->conversation().tally();
-    held.words = {talk_->conversation().members().Lately(loop_.Now()),
-                  t.taken,
-                  t.old,
-                  t.foreign,
-                  t.future,
-                  t.broken,
-                  t.sent,
-                  t.sent_bytes};
-    return held;
-  });
+  trace_ =
+      std::make_unique<stats::Trace>(loop_, *request_manager_, std::get<stats::TraceSettings>(read), [this] {
+        stats::Held held{request_manager_->active_requests(), http_ == nullptr ? 0 : http_->sessions(),
+                         upstream_.open_connections()};
+        if (talk_ == nullptr) return held;
+        const fleet::Tally& t = talk_->conversation().tally();
+        held.words = {talk_->conversation().members().Lately(loop_.Now()),
+                      t.taken,
+                      t.old,
+                      t.foreign,
+                      t.future,
+                      t.broken,
+                      t.sent,
+                      t.sent_bytes};
+        return held;
+      });
 }
 
 // Only where the platform has a way between sidecars: elsewhere the operator's file is read, and that is all.
@@ -194,9 +195,9 @@
                       std::to_string(config_.wire.settings.siblings) + " sidecars");
   fleet::Peers peers{udp("peer_listen", config_.peer_listen), {}};
   for (const std::string& peer : config_.peers) peers.all.push_back(udp("peers", peer));
-  talk_ =
-      std::make_unique<fleet::Talk>(io_, loop_, *exchanges_, std::move(peers), std::get<fleet::Manners>(read),
-                                    config_.seed, [this] { return generation_; });
+  talk_ = std::make_unique<fleet::Talk>(io_, loop_, *request_manager_, std::move(peers),
+                                        std::get<fleet::Manners>(read), config_.seed,
+                                        [this] { return generation_; });
 }
 
 std::size_t Sidecar::HttpSessions(const Config& config) const {
@@ -214,15 +215,15 @@
     claim = handover::Ask(handover_path_);
     if (claim) listening.inherited = claim->listener.Release();
   }
-  http_ = std::make_unique<HttpFront>(io_, listening, limits, budget_, counters_, *exchanges_, http_egress_,
-                                      [this] { return phase_->TakesClients(); });
+  http_ = std::make_unique<HttpFront>(io_, listening, limits, budget_, counters_, *request_manager_,
+                                      http_egress_, [this] { return phase_->TakesClients(); });
   phase_->Add(*http_);
   if (config_.ops) {
-    api_.emplace(*phase_, *exchanges_, counters_);
+    api_.emplace(*phase_, *request_manager_, counters_);
     ops_.emplace(io_, *config_.ops, ops::Listener::Limits(), *api_);
   }
   if (diameter_ != nullptr) {
-    diameter_->Listen(budget_, counters_, *exchanges_);
+    diameter_->Listen(budget_, counters_, *request_manager_);
     phase_->Add(diameter_->front());
   }
   if (claim) Follow(std::move(*claim));
@@ -322,7 +323,7 @@
 void Sidecar::Reload(const Config& config) {
   const std::vector<ZoneOrder> orders = Orders(config);
   discovery_.Switch(config.discovery);
-  exchanges_->OnZoneOrders(orders);
+  request_manager_->OnZoneOrders(orders);
 }
 
 void Sidecar::Stop(std::function<void()> finished) { phase_->Stop(std::move(finished)); }
@@ -343,7 +344,7 @@
     servers.push_back(endpoint.info);
     if (diameter_ != nullptr) servers.back().fronts |= diameter_->Fronts(endpoint.info.id);
   }
-  exchanges_->OnServers({kind, list.generation, servers});
+  request_manager_->OnServers({kind, list.generation, servers});
   if (!upstream_.any_server()) return;
   if (!taking_over_) return phase_->Started();
   // Discovery's own word, or nobody else is there to serve until it comes.
@@ -368,12 +369,12 @@
   if (it == listed_.end()) return;
   ServerInfo info = it->second;
   info.fronts |= diameter_->Fronts(server);
-  exchanges_->OnServers({ListUpdate::Kind::kDelta, generation_, {&info, 1}});
+  request_manager_->OnServers({ListUpdate::Kind::kDelta, generation_, {&info, 1}});
 }
 
 void Sidecar::OnDiscoveryFailed() {
   if (config_.wire.settings.must_subscribe)
-    exchanges_->OnServers({ListUpdate::Kind::kFailed, generation_, {}});
+    request_manager_->OnServers({ListUpdate::Kind::kFailed, generation_, {}});
 }
 
 }  // namespace merlinrun::net
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -14,7 +14,7 @@
 #include "asio_loop.hpp"
 #include "budget.hpp"
 #include "config.hpp"
-#include "core/exchange.hpp"
+#include "core/request_manager.hpp"
 #include "diameter/io/node.hpp"
 #include "discovery.hpp"
 #include "fleet/io/talk.hpp"
@@ -52,7 +52,7 @@
   void Stop(std::function<void()> finished);
 
   Tcp::endpoint address() const { return http_->address(); }
-  std::size_t requests_held() const { return exchanges_->held(); }
+  std::size_t requests_held() const { return request_manager_->active_requests(); }
   // Bytes that bodies hold, or are promised.
   std::size_t memory_held() const { return budget_.held(); }
   std::size_t upstream_connections() const { return upstream_.open_connections(); }
@@ -90,7 +90,7 @@
   Budget budget_;                               // before all that takes of it
   stats::Counters counters_;                    // and before all that counts
   std::unique_ptr<record::Recorder> recorder_;  // only where recording is on; outlives what tells it
-  std::unique_ptr<core::Exchanges> exchanges_;
+  std::unique_ptr<core::RequestManager> request_manager_;
   std::unique_ptr<stats::Trace> trace_;  // only where it is on
   std::unique_ptr<fleet::Talk> talk_;    // only where it is on
   Upstream upstream_;
--- a/src/ops/api.cpp
+++ b/src/ops/api.cpp
@@ -38,7 +38,7 @@
   return out.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-Reply Api::Answer(std::string_view method, std::string_view target) {
+Reply Api::Handle(std::string_view method, std::string_view target) {
   const std::string_view path = target.substr(0, target.find('?'));
   const auto route =
       std::find_if(kRoutes.begin(), kRoutes.end(), [&](const Route& r) { return r.path == path; });
@@ -50,7 +50,7 @@
 Reply Api::Do(std::string_view path) {
   if (path == kReady) return phase_.CanServe() ? Reply{200, "ready\n"} : Reply{503, "not ready\n"};
   if (path == kFigures)
-    return {200, FiguresText(counters_, exchanges_.settings(), exchanges_.Believed()) + "\n",
+    return {200, FiguresText(counters_, request_manager_.settings(), request_manager_.Believed()) + "\n",
             "application/json"};
   const bool done = path == kEvacuate ? phase_.Evacuate() : phase_.Rejoin();
   return done ? Reply{200, "done\n"} : Reply{409, "the sidecar stops\n"};
--- a/src/ops/api.hpp
+++ b/src/ops/api.hpp
@@ -24,17 +24,17 @@
 // Answers calls by the phase and the figures of the moment. What it is given must outlive it.
 class Api {
  public:
-  Api(Phase& phase, const core::Exchanges& exchanges, const stats::Counters& counters)
-      : phase_(phase), exchanges_(exchanges), counters_(counters) {}
+  Api(Phase& phase, const core::RequestManager& request_manager, const stats::Counters& counters)
+      : phase_(phase), request_manager_(request_manager), counters_(counters) {}
 
   // `target` as the call has it; a query is ignored.
-  Reply Answer(std::string_view method, std::string_view target);
+  Reply Handle(std::string_view method, std::string_view target);
 
  private:
   Reply Do(std::string_view path);
 
   Phase& phase_;
-  const core::Exchanges& exchanges_;
+  const core::RequestManager& request_manager_;
   const stats::Counters& counters_;
 };
 
--- a/src/ops/listener.cpp
+++ b/src/ops/listener.cpp
@@ -56,7 +56,7 @@
       const auto& request = parser_.get();
       const auto method = request.method_string();
       const auto target = request.target();
-      return Write(owner_->api_.Answer({method.data(), method.size()}, {target.data(), target.size()}));
+      return Write(owner_->api_.Handle({method.data(), method.size()}, {target.data(), target.size()}));
     }
     // Gone, silent too long, or half a call and a close: there is nobody to be told.
     if (error == beast::error::timeout || error == asio::error::eof || error == http::error::end_of_stream ||
--- a/src/ops/phase.cpp
+++ b/src/ops/phase.cpp
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-Phase::Phase(core::Loop& loop, core::Exchanges& exchanges)
-    : loop_(loop), exchanges_(exchanges), timer_(loop.NewTimer()) {}
+Phase::Phase(core::Loop& loop, core::RequestManager& request_manager)
+    : loop_(loop), request_manager_(request_manager), timer_(loop.NewTimer()) {}
 
 void Phase::SetDraining(bool draining) {
   for (core::Front* front : fronts_) front->SetDraining(draining);
@@ -81,7 +81,8 @@
 void Phase::EndIdle() {
   const Micros left = std::max<Micros>(ending_ + kEvacuated - loop_.Now(), 0);
   for (core::Front* front : fronts_) front->CloseIdle(std::max(left, kLeastRest));
-  if (state_ == State::kStopping && (left == 0 || (sessions() == 0 && exchanges_.held() == 0)))
+  if (state_ == State::kStopping &&
+      (left == 0 || (sessions() == 0 && request_manager_.active_requests() == 0)))
     return CloseIdle();
   timer_->Start(kIdlePoll, [this] { EndIdle(); });
 }
@@ -91,7 +92,7 @@
   state_ = State::kStopping;
   finished_ = std::move(finished);
   end_ = loop_.Now() + kMostStop;
-  exchanges_.EndBy(end_);
+  request_manager_.SetShutdownDeadline(end_);
   // The queue is the other process's, and nothing new comes.
   if (yielded_) return EndIdle();
   SetDraining(true);
@@ -106,9 +107,10 @@
 void Phase::CloseIdle() {
   closing_ = true;
   for (core::Front* front : fronts_) front->CloseIdle(0);
-  exchanges_.OnEmpty([this] { CheckFinished(); });
+  request_manager_.OnEmpty([this] { CheckFinished(); });
   // What would outlast the time before the kill: an answer now, if only a failure, is better than none.
-  timer_->Start(std::max<Micros>(end_ - loop_.Now(), 0), [this] { exchanges_.Hurry(); });
+  timer_->Start(std::max<Micros>(end_ - loop_.Now(), 0),
+                [this] { request_manager_.EnforceShutdownDeadline(); });
   CheckFinished();
 }
 
@@ -120,7 +122,7 @@
 
 // Guards against ending with answers still unsent: each session goes when its client has read its answer.
 void Phase::CheckFinished() {
-  if (!closing_ || exchanges_.held() > 0 || !finished_) return;
+  if (!closing_ || request_manager_.active_requests() > 0 || !finished_) return;
   if (sessions() == 0 || loop_.Now() >= end_ + kLastWords) return std::exchange(finished_, nullptr)();
   timer_->Start(kStopPoll, [this] { CheckFinished(); });
 }
--- a/src/ops/phase.hpp
+++ b/src/ops/phase.hpp
@@ -7,9 +7,9 @@
 #include <memory>
 #include <vector>
 
-#include "core/exchange.hpp"
-#include "core/front.hpp"
 #include "core/loop.hpp"
+#include "core/protocol_listener.hpp"
+#include "core/request_manager.hpp"
 
 namespace merlinrun::ops {
 
@@ -19,7 +19,7 @@
   enum class State { kStarting, kServing, kEvacuated, kYielding, kStopping };
 
   // Both must outlive it.
-  Phase(core::Loop& loop, core::Exchanges& exchanges);
+  Phase(core::Loop& loop, core::RequestManager& request_manager);
   Phase(const Phase&) = delete;
   Phase& operator=(const Phase&) = delete;
 
@@ -64,7 +64,7 @@
   void SetDraining(bool draining);
 
   core::Loop& loop_;
-  core::Exchanges& exchanges_;
+  core::RequestManager& request_manager_;
   std::vector<core::Front*> fronts_;
   std::unique_ptr<core::Timer> timer_;
   std::function<void()> finished_;
--- a/src/stats/account.cpp
+++ b/src/stats/account.cpp
@@ -10,29 +10,30 @@
   stretch_.classes.resize(aims_.size());
 }
 
-void Account::Add(const core::Ended& ended) {
+void Account::Add(const core::CompletedRequest& ended) {
   const auto number = static_cast<std::size_t>(ended.request_class);
   if (number >= aims_.size()) return;
   ClassAccount& to = stretch_.classes[number];
   to.tries += static_cast<std::int64_t>(ended.attempts);
-  using End = core::Ended::End;
-  switch (ended.end) {
-    case End::kServed:
-      ++(ended.took <= aims_[number] ? to.served : to.late);
+  using Disposition = core::CompletedRequest::Disposition;
+  switch (ended.disposition) {
+    case Disposition::kServed:
+      ++(ended.duration <= aims_[number] ? to.served : to.late);
       return;
-    case End::kLeft:
+    case Disposition::kClientGone:
       ++to.left;
       return;
-    case End::kRefused:
-    case End::kFailed:
+    case Disposition::kRefused:
+    case Disposition::kFailed:
       break;
   }
   if (ended.attempts == 0) ++to.untried;
-  if (!ended.why) return void(++to.out_of_time);
-  ++(ended.end == End::kRefused ? to.refused : to.failed)[static_cast<std::size_t>(*ended.why)];
+  if (!ended.end_cause) return void(++to.out_of_time);
+  ++(ended.disposition == Disposition::kRefused ? to.refused
+                                                : to.failed)[static_cast<std::size_t>(*ended.end_cause)];
 }
 
-void Account::Add(const core::AttemptEnded& attempt) {
+void Account::Add(const core::CompletedAttempt& attempt) {
   auto it = stretch_.servers.find(attempt.server);
   if (it == stretch_.servers.end()) {
     const bool full = stretch_.servers.size() >= kServers;
@@ -40,8 +41,8 @@
   }
   ServerAccount& to = it->second;
   ++to.results[static_cast<std::size_t>(attempt.result)];
-  if (attempt.result == Result::kSuccess) to.took += attempt.took;
-  to.longest = std::max(to.longest, attempt.took);
+  if (attempt.result == Result::kSuccess) to.took += attempt.duration;
+  to.longest = std::max(to.longest, attempt.duration);
 }
 
 Stretch Account::Take() {
--- a/src/stats/account.hpp
+++ b/src/stats/account.hpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "core/exchange.hpp"
+#include "core/request_manager.hpp"
 
 namespace merlinrun::stats {
 
@@ -46,8 +46,8 @@
 class Account {
  public:
   explicit Account(const Settings& settings);
-  void Add(const core::Ended& ended);
-  void Add(const core::AttemptEnded& attempt);
+  void Add(const core::CompletedRequest& ended);
+  void Add(const core::CompletedAttempt& attempt);
   // All since the last call.
   Stretch Take();
 
--- a/src/stats/trace.cpp
+++ b/src/stats/trace.cpp
@@ -134,21 +134,23 @@
   return line.dump(-1, ' ', true, Json::error_handler_t::replace);
 }
 
-Trace::Trace(core::Loop& loop, core::Exchanges& exchanges, TraceSettings settings, std::function<Held()> held)
+Trace::Trace(core::Loop& loop, core::RequestManager& request_manager, TraceSettings settings,
+             std::function<Held()> held)
     : loop_(loop),
-      exchanges_(exchanges),
+      request_manager_(request_manager),
       settings_(settings),
       held_(std::move(held)),
-      account_(exchanges.settings()),
+      account_(request_manager.settings()),
       timer_(loop.NewTimer()) {
-  exchanges_.OnAttemptEnded([this](const core::AttemptEnded& attempt) { account_.Add(attempt); });
+  request_manager_.OnAttemptCompleted(
+      [this](const core::CompletedAttempt& attempt) { account_.Add(attempt); });
   Next();
 }
 
 void Trace::Next() {
   timer_->Start(settings_.every, [this] {
-    const std::string line = TraceLine(loop_.Now(), exchanges_.settings(), account_.Take(),
-                                       exchanges_.Believed(), held_(), settings_.servers);
+    const std::string line = TraceLine(loop_.Now(), request_manager_.settings(), account_.Take(),
+                                       request_manager_.Believed(), held_(), settings_.servers);
     std::fprintf(stderr, "trace: %s\n", line.c_str());
     Next();
   });
--- a/src/stats/trace.hpp
+++ b/src/stats/trace.hpp
@@ -11,8 +11,8 @@
 #include <string_view>
 #include <variant>
 
-#include "core/exchange.hpp"
 #include "core/loop.hpp"
+#include "core/request_manager.hpp"
 #include "stats/account.hpp"
 
 namespace merlinrun::stats {
@@ -48,18 +48,19 @@
 std::string TraceLine(Micros at, const Settings& settings, const Stretch& stretch, const Beliefs& beliefs,
                       const Held& held, bool servers);
 
-// Writes such lines to standard error. Takes the place of other listeners of `exchanges`' attempts.
+// Writes such lines to standard error. Takes the place of other listeners of `request_manager`' attempts.
 class Trace {
  public:
-  // `exchanges` and `loop` outlive it.
-  Trace(core::Loop& loop, core::Exchanges& exchanges, TraceSettings settings, std::function<Held()> held);
-  void Add(const core::Ended& ended) { account_.Add(ended); }
+  // `request_manager` and `loop` outlive it.
+  Trace(core::Loop& loop, core::RequestManager& request_manager, TraceSettings settings,
+        std::function<Held()> held);
+  void Add(const core::CompletedRequest& ended) { account_.Add(ended); }
 
  private:
   void Next();
 
   core::Loop& loop_;
-  core::Exchanges& exchanges_;
+  core::RequestManager& request_manager_;
   const TraceSettings settings_;
   const std::function<Held()> held_;
   Account account_;
--- a/tests/core/exchange_test.cpp
+++ b/tests/core/request_manager_test.cpp
@@ -1,5 +1,5 @@
 // A request's life in virtual time: one answer, whatever servers and clients do.
-#include "core/exchange.hpp"
+#include "core/request_manager.hpp"
 
 #include <gtest/gtest.h>
 
@@ -20,9 +20,9 @@
 class ExchangeTest : public ::testing::Test {
  protected:
   ExchangeTest()
-      : exchanges(
+      : request_manager(
             loop, WithCancel(), 7, [] {}, [](std::string_view) {}) {
-    exchanges.OnServers({ListUpdate::Kind::kFull, 1, MakeServers(4)});
+    request_manager.OnServers({ListUpdate::Kind::kFull, 1, MakeServers(4)});
   }
   static Settings WithCancel() {
     Settings settings = MakeSettings();
@@ -30,33 +30,33 @@
     return settings;
   }
   void Take(const std::string& id, int request_class, std::optional<Micros> deadline = {}) {
-    Arrival arrival;
+    IncomingRequest arrival;
     arrival.id = id;
     arrival.request_class = request_class;
-    arrival.deadline = deadline;
+    arrival.client_timeout = deadline;
     arrival.request = std::make_unique<Note>("ask " + id);
-    arrival.caller = ledger.NewCaller(id);
+    arrival.response_sink = ledger.NewResponseSink(id);
     arrival.egress = &egress;
-    exchanges.Take(std::move(arrival));
+    request_manager.Submit(std::move(arrival));
   }
   using Told = std::vector<std::string>;
 
   VirtualLoop loop;
   Ledger ledger;
   HeldEgress egress;
-  Exchanges exchanges;
+  RequestManager request_manager;
 };
 
 TEST_F(ExchangeTest, ServesWithTheServersOwnAnswerOnce) {
   Take("r1", kSafeClass);
   ASSERT_EQ(egress.sent.size(), 1U);
   EXPECT_EQ(egress.sent[0].request, "ask r1");
-  EXPECT_TRUE(exchanges.Holds("r1"));
+  EXPECT_TRUE(request_manager.Contains("r1"));
   egress.Resolve(0, Result::kSuccess, "hello");
   EXPECT_EQ(ledger.For("r1"), Told{"served hello"});
   loop.Run(10 * kSec);
   EXPECT_EQ(ledger.For("r1").size(), 1U);
-  EXPECT_EQ(exchanges.held(), 0U);
+  EXPECT_EQ(request_manager.active_requests(), 0U);
 }
 
 // Without the margin the answer would come when the client has stopped waiting.
@@ -70,7 +70,7 @@
   loop.Run(10 * kSec);
   EXPECT_EQ(ledger.For("r1").size(), 1U);
   EXPECT_EQ(egress.sent.size(), 1U);
-  EXPECT_EQ(exchanges.held(), 0U);
+  EXPECT_EQ(request_manager.active_requests(), 0U);
 }
 
 TEST_F(ExchangeTest, AnUnsafeRequestIsSentAgainOnlyIfItIsKnownNotToHaveRun) {
@@ -102,11 +102,11 @@
 
 TEST_F(ExchangeTest, AClientThatLeavesIsOwedNothingAndWhatIsOutIsGivenUp) {
   Take("r1", kSafeClass);
-  exchanges.OnClientGone("r1");
+  request_manager.OnClientGone("r1");
   loop.Run(1);
   EXPECT_TRUE(egress.sent[0].given_up);
   EXPECT_TRUE(ledger.For("r1").empty());
-  EXPECT_EQ(exchanges.held(), 0U);
+  EXPECT_EQ(request_manager.active_requests(), 0U);
 }
 
 TEST_F(ExchangeTest, AnOutcomeAfterTheEndChangesNothing) {
@@ -121,7 +121,7 @@
   VirtualLoop loop;
   Settings settings = MakeSettings();
   settings.max_attempts = 0;
-  EXPECT_THROW(Exchanges(
+  EXPECT_THROW(RequestManager(
                    loop, settings, 7, [] {}, [](std::string_view) {}),
                std::invalid_argument);
 }
--- a/tests/core/virtual_loop.hpp
+++ b/tests/core/virtual_loop.hpp
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/exchange.hpp"
+#include "core/request_manager.hpp"
 
 namespace merlinrun::core::testing {
 
@@ -63,17 +63,19 @@
 // What callers were told, as words: "served hello", "refused", "failed", "failed hello", "out of time".
 class Ledger {
  public:
-  std::unique_ptr<Caller> NewCaller(const std::string& id) { return std::make_unique<Entry>(*this, id); }
+  std::unique_ptr<ResponseSink> NewResponseSink(const std::string& id) {
+    return std::make_unique<Entry>(*this, id);
+  }
   const std::vector<std::string>& For(const std::string& id) { return told_[id]; }
 
  private:
-  class Entry : public Caller {
+  class Entry : public ResponseSink {
    public:
     Entry(Ledger& ledger, std::string id) : ledger_(ledger), id_(std::move(id)) {}
-    void Serve(MessagePtr answer) override { Tell("served " + static_cast<Note&>(*answer).text); }
+    void Deliver(MessagePtr answer) override { Tell("served " + static_cast<Note&>(*answer).text); }
     void Refuse(Micros) override { Tell("refused"); }
-    void Fail(Failure why, MessagePtr answer) override {
-      Tell((why == Failure::kOutOfTime ? "out of time" : "failed") +
+    void Fail(FailureReason why, MessagePtr answer) override {
+      Tell((why == FailureReason::kDeadlineExceeded ? "out of time" : "failed") +
            (answer == nullptr ? "" : " " + static_cast<Note&>(*answer).text));
     }
 
@@ -91,15 +93,16 @@
   struct Sent {
     std::string server;
     std::string request;
-    Order order;
+    SendOptions order;
     Done done;
     bool given_up = false;
   };
-  AttemptId Send(const std::string& server, const Message& request, const Order& order, Done done) override {
+  AttemptId Send(const std::string& server, const Message& request, const SendOptions& order,
+                 Done done) override {
     sent.push_back({server, static_cast<const Note&>(request).text, order, std::move(done)});
     return sent.size();
   }
-  void GiveUp(AttemptId attempt) override { sent[attempt - 1].given_up = true; }
+  void CancelAttempt(AttemptId attempt) override { sent[attempt - 1].given_up = true; }
   void Resolve(std::size_t i, Result result, const std::string& text = "") {
     std::exchange(sent[i].done, nullptr)({result, text.empty() ? nullptr : std::make_unique<Note>(text)});
   }
--- a/tests/ops/api_test.cpp
+++ b/tests/ops/api_test.cpp
@@ -24,50 +24,50 @@
 class ApiTest : public ::testing::Test {
  protected:
   ApiTest()
-      : exchanges(
+      : request_manager(
             loop, Named(), 7, [] {}, [](std::string_view) {}),
-        phase(loop, exchanges),
-        api(phase, exchanges, counters) {
-    counters.classes.resize(exchanges.settings().classes.size());
+        phase(loop, request_manager),
+        api(phase, request_manager, counters) {
+    counters.classes.resize(request_manager.settings().classes.size());
   }
-  nlohmann::json Figures() { return nlohmann::json::parse(api.Answer("GET", "/api/telemetry").body); }
+  nlohmann::json Figures() { return nlohmann::json::parse(api.Handle("GET", "/api/telemetry").body); }
 
   VirtualLoop loop;
-  core::Exchanges exchanges;
+  core::RequestManager request_manager;
   Phase phase;
   stats::Counters counters;
   Api api;
 };
 
 TEST_F(ApiTest, ReadyOnceItCanServeAndWhileEvacuatedToo) {
-  EXPECT_EQ(api.Answer("GET", "/api/ready").status, 503U);
+  EXPECT_EQ(api.Handle("GET", "/api/ready").status, 503U);
   phase.Started();
-  EXPECT_EQ(api.Answer("GET", "/api/ready").status, 200U);
-  EXPECT_EQ(api.Answer("PUT", "/api/evacuate").status, 200U);
+  EXPECT_EQ(api.Handle("GET", "/api/ready").status, 200U);
+  EXPECT_EQ(api.Handle("PUT", "/api/evacuate").status, 200U);
   EXPECT_FALSE(phase.TakesClients());
-  EXPECT_EQ(api.Answer("GET", "/api/ready").status, 200U);
-  EXPECT_EQ(api.Answer("PUT", "/api/rejoin").status, 200U);
+  EXPECT_EQ(api.Handle("GET", "/api/ready").status, 200U);
+  EXPECT_EQ(api.Handle("PUT", "/api/rejoin").status, 200U);
   EXPECT_TRUE(phase.TakesClients());
   phase.Stop([] {});
-  EXPECT_EQ(api.Answer("PUT", "/api/rejoin").status, 409U);
-  EXPECT_EQ(api.Answer("PUT", "/api/evacuate").status, 409U);
-  EXPECT_EQ(api.Answer("GET", "/api/ready").status, 503U);
+  EXPECT_EQ(api.Handle("PUT", "/api/rejoin").status, 409U);
+  EXPECT_EQ(api.Handle("PUT", "/api/evacuate").status, 409U);
+  EXPECT_EQ(api.Handle("GET", "/api/ready").status, 503U);
 }
 
 TEST_F(ApiTest, UnknownPathsAndWrongMethodsChangeNothing) {
   phase.Started();
-  EXPECT_EQ(api.Answer("GET", "/api/evacuate").status, 405U);
-  EXPECT_EQ(api.Answer("GET", "/api/evacuate").allow, "PUT");
-  EXPECT_EQ(api.Answer("PUT", "/api/ready").status, 405U);
-  EXPECT_EQ(api.Answer("PUT", "/api/evacuate/").status, 404U);
-  EXPECT_EQ(api.Answer("GET", "").status, 404U);
-  EXPECT_EQ(api.Answer("GET", "/api/ready?verbose").status, 200U);
+  EXPECT_EQ(api.Handle("GET", "/api/evacuate").status, 405U);
+  EXPECT_EQ(api.Handle("GET", "/api/evacuate").allow, "PUT");
+  EXPECT_EQ(api.Handle("PUT", "/api/ready").status, 405U);
+  EXPECT_EQ(api.Handle("PUT", "/api/evacuate/").status, 404U);
+  EXPECT_EQ(api.Handle("GET", "").status, 404U);
+  EXPECT_EQ(api.Handle("GET", "/api/ready?verbose").status, 200U);
   EXPECT_TRUE(phase.TakesClients());
 }
 
 TEST_F(ApiTest, EveryClassIsThereFromTheStart) {
   const auto figures = Figures();
-  for (const RequestClass& c : exchanges.settings().classes)
+  for (const RequestClass& c : request_manager.settings().classes)
     EXPECT_EQ(figures.at("responses").at(c.name), nlohmann::json({{"ok", 0}, {"shed", 0}, {"errors", 0}}));
   EXPECT_EQ(figures.at("active"), 0);
   EXPECT_EQ(figures.at("tries"), 0);
@@ -89,18 +89,19 @@
   second.Drop();
   const auto figures = Figures();
   EXPECT_EQ(figures.at("active"), 0);
-  EXPECT_EQ(figures.at("responses").at(exchanges.settings().classes[0].name),
+  EXPECT_EQ(figures.at("responses").at(request_manager.settings().classes[0].name),
             nlohmann::json({{"ok", 0}, {"shed", 1}, {"errors", 0}}));
 }
 
 TEST_F(ApiTest, ShowsTheListAndWhatTheModuleAvoids) {
-  exchanges.OnServers({ListUpdate::Kind::kFull, 1, MakeServers(5)});
+  request_manager.OnServers({ListUpdate::Kind::kFull, 1, MakeServers(5)});
   EXPECT_EQ(Figures().at("pool_size"), 5);
   Beliefs beliefs;
   beliefs.servers.resize(3);
   beliefs.servers[1].left_alone = 1;
-  EXPECT_EQ(nlohmann::json::parse(FiguresText(counters, exchanges.settings(), beliefs)).at("pool_ejected"),
-            1);
+  EXPECT_EQ(
+      nlohmann::json::parse(FiguresText(counters, request_manager.settings(), beliefs)).at("pool_ejected"),
+      1);
 }
 
 }  // namespace
--- a/tests/ops/listener_test.cpp
+++ b/tests/ops/listener_test.cpp
@@ -16,10 +16,10 @@
 class ListenerTest : public ::testing::Test {
  protected:
   ListenerTest()
-      : exchanges(
+      : request_manager(
             loop, merlinrun::testing::MakeSettings(), 7, [] {}, [](std::string_view) {}),
-        phase(loop, exchanges),
-        api(phase, exchanges, counters) {
+        phase(loop, request_manager),
+        api(phase, request_manager, counters) {
     phase.Started();
   }
   void Start() { listener = std::make_unique<Listener>(io, Loopback(), limits, api); }
@@ -36,7 +36,7 @@
   }
 
   core::testing::VirtualLoop loop;
-  core::Exchanges exchanges;
+  core::RequestManager request_manager;
   Phase phase;
   stats::Counters counters;
   Api api;
--- a/tests/ops/phase_test.cpp
+++ b/tests/ops/phase_test.cpp
@@ -53,20 +53,20 @@
 
 struct Fixture {
   Fixture()
-      : exchanges(
+      : request_manager(
             loop, LateCounts(), 7, [] {}, [](std::string_view) {}),
-        phase(loop, exchanges) {
-    exchanges.OnServers({ListUpdate::Kind::kFull, 1, MakeServers(4)});
+        phase(loop, request_manager) {
+    request_manager.OnServers({ListUpdate::Kind::kFull, 1, MakeServers(4)});
     phase.Add(front);
     phase.Add(other);
   }
   void Take(const std::string& id) {
-    core::Arrival arrival;
+    core::IncomingRequest arrival;
     arrival.id = id;
     arrival.request = std::make_unique<Note>(id);
-    arrival.caller = ledger.NewCaller(id);
+    arrival.response_sink = ledger.NewResponseSink(id);
     arrival.egress = &egress;
-    exchanges.Take(std::move(arrival));
+    request_manager.Submit(std::move(arrival));
   }
   void Stop() {
     phase.Stop([this] { ++finished; });
@@ -77,7 +77,7 @@
   HeldEgress egress;
   ScriptedFront front;
   ScriptedFront other;
-  core::Exchanges exchanges;
+  core::RequestManager request_manager;
   Phase phase;
   int finished = 0;
 };
--- a/tests/stats/account_test.cpp
+++ b/tests/stats/account_test.cpp
@@ -12,28 +12,29 @@
 namespace merlinrun::stats {
 namespace {
 
-using core::Ended;
+using core::CompletedRequest;
 using merlinrun::testing::kMs;
 using merlinrun::testing::MakeSettings;
 
-Ended Over(Ended::End end, Micros took, std::size_t attempts, std::optional<Cause> why = {}) {
-  Ended ended;
-  ended.end = end;
-  ended.took = took;
+CompletedRequest Over(CompletedRequest::Disposition end, Micros took, std::size_t attempts,
+                      std::optional<Cause> why = {}) {
+  CompletedRequest ended;
+  ended.disposition = end;
+  ended.duration = took;
   ended.attempts = attempts;
-  ended.why = why;
+  ended.end_cause = why;
   return ended;
 }
 
 TEST(Account, CountsEachEndOnceAndIsTakenOutWhole) {
   Account account(MakeSettings());
-  account.Add(Over(Ended::End::kServed, 1000 * kMs, 1));
-  account.Add(Over(Ended::End::kServed, 1001 * kMs, 2));
-  account.Add(Over(Ended::End::kLeft, 0, 1));
-  account.Add(Over(Ended::End::kRefused, 0, 0, Cause::kCrowded));
-  account.Add(Over(Ended::End::kFailed, 0, 1, Cause::kReset));
-  account.Add(Over(Ended::End::kFailed, 0, 1));
-  Ended foreign;
+  account.Add(Over(CompletedRequest::Disposition::kServed, 1000 * kMs, 1));
+  account.Add(Over(CompletedRequest::Disposition::kServed, 1001 * kMs, 2));
+  account.Add(Over(CompletedRequest::Disposition::kClientGone, 0, 1));
+  account.Add(Over(CompletedRequest::Disposition::kRefused, 0, 0, Cause::kCrowded));
+  account.Add(Over(CompletedRequest::Disposition::kFailed, 0, 1, Cause::kReset));
+  account.Add(Over(CompletedRequest::Disposition::kFailed, 0, 1));
+  CompletedRequest foreign;
   foreign.request_class = 99;
   account.Add(foreign);
   const Stretch stretch = account.Take();
@@ -61,7 +62,7 @@
 
 TEST(TraceLine, LaysCausesBesideServers) {
   Account account(MakeSettings());
-  account.Add(Over(Ended::End::kRefused, 0, 0, Cause::kLeftAlone));
+  account.Add(Over(CompletedRequest::Disposition::kRefused, 0, 0, Cause::kLeftAlone));
   account.Add({"s1", Result::kTimeout, 70 * kMs, 0});
   Beliefs beliefs;
   beliefs.pools[0].servers = 1;
