--- a/tests/mesh/egress_http_server_test.cpp
+++ b/tests/mesh/egress_http_server_test.cpp
@@ -7,10 +7,10 @@
 namespace fennelhollow::egress {
 namespace {
 
-using loopback::Raw;
-using loopback::RawPtr;
-using loopback::Turns;
-using loopback::Until;
+using loopback::RawConnection;
+using loopback::RawConnectionPtr;
+using loopback::RunFor;
+using loopback::RunUntil;
 
 struct Bench {
   explicit Bench(const HttpServer::Limits& limits = {}) : Bench(limits, [](auto&, auto&) {}) {}
@@ -25,8 +25,8 @@
                   answer(session, requests.back());
                 },
                 [this](const HttpServer::SessionPtr&) { ++gone; }}) {}
-  RawPtr Dial() { return Raw::Dial(io, port); }
-  RawPtr Say(const std::string& bytes) {
+  RawConnectionPtr Dial() { return RawConnection::Connect(io, port); }
+  RawConnectionPtr Say(const std::string& bytes) {
     auto raw = Dial();
     raw->Write(bytes);
     return raw;
@@ -34,11 +34,11 @@
   // What is answered to these bytes, up to the connection's end.
   std::string Answer(const std::string& bytes) {
     const auto raw = Say(bytes);
-    REQUIRE(Until(io, [&] { return raw->ended; }));
-    return raw->got;
+    REQUIRE(RunUntil(io, [&] { return raw->ended; }));
+    return raw->received;
   }
-  bool Got(const RawPtr& raw, const std::string& text) {
-    return Until(io, [&] { return raw->got.find(text) != std::string::npos; });
+  bool Got(const RawConnectionPtr& raw, const std::string& text) {
+    return RunUntil(io, [&] { return raw->received.find(text) != std::string::npos; });
   }
   asio::io_context io;
   std::uint16_t port;
@@ -68,7 +68,7 @@
       "/a",
       "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nX-Own: 2\r\nTE: trailers\r\n"));
   REQUIRE(bench.Got(raw, "GET /a "));
-  CHECK(raw->got.find("HTTP/1.1 200 OK\r\nX-Own: 1\r\nContent-Length: 7\r\n\r\n") == 0);
+  CHECK(raw->received.find("HTTP/1.1 200 OK\r\nX-Own: 1\r\nContent-Length: 7\r\n\r\n") == 0);
   CHECK(bench.requests[0].headers == Headers{{"Host", "h"}, {"X-Own", "2"}});
   CHECK(bench.requests[0].host == "h");
   raw->Write("POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody");
@@ -89,15 +89,15 @@
   const auto raw =
       bench.Say("POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx" + Get("/2") + Get("/3"));
   for (std::size_t i = 0; i < 3; ++i) {
-    REQUIRE(Until(bench.io, [&] { return bench.requests.size() == i + 1; }));
-    Turns(bench.io, 20);
+    REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == i + 1; }));
+    RunFor(bench.io, 20);
     REQUIRE(bench.requests.size() == i + 1);  // none before the one ahead has its answer
     HttpServer::Respond(bench.sessions[i], 200, {}, "<" + bench.requests[i].target + ">");
   }
   REQUIRE(bench.Got(raw, "</3>"));
-  CHECK(raw->got.find("</1>") < raw->got.find("</2>"));
-  CHECK(raw->got.find("</2>") < raw->got.find("</3>"));
-  CHECK(Count(raw->got, "HTTP/1.1 200") == 3);
+  CHECK(raw->received.find("</1>") < raw->received.find("</2>"));
+  CHECK(raw->received.find("</2>") < raw->received.find("</3>"));
+  CHECK(Count(raw->received, "HTTP/1.1 200") == 3);
 }
 
 TEST_CASE("a request cut at any byte is the same request") {
@@ -152,11 +152,11 @@
     Bench bench({}, Echo);
     const auto raw = bench.Say(bytes + smuggled);
     REQUIRE(bench.Got(raw, "HTTP/1.1 "));
-    CHECK(raw->got.find("HTTP/1.1 400 ") == 0);
-    CHECK(raw->got.find("Connection: close\r\n") != std::string::npos);
-    REQUIRE(Until(bench.io, [&] { return raw->ended; }));
+    CHECK(raw->received.find("HTTP/1.1 400 ") == 0);
+    CHECK(raw->received.find("Connection: close\r\n") != std::string::npos);
+    REQUIRE(RunUntil(bench.io, [&] { return raw->ended; }));
     CHECK(bench.requests.empty());
-    CHECK(Count(raw->got, "HTTP/1.1 ") == 1);
+    CHECK(Count(raw->received, "HTTP/1.1 ") == 1);
   }
 }
 
@@ -165,10 +165,10 @@
   Bench bench({}, Echo);
   const auto raw = bench.Say("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 3, 3\r\n\r\nabc" + Get("/2"));
   REQUIRE(bench.Got(raw, "\r\n\r\n"));
-  if (raw->got.find("HTTP/1.1 400 ") == 0) {
+  if (raw->received.find("HTTP/1.1 400 ") == 0) {
     CHECK(bench.requests.empty());
   } else {
-    REQUIRE(Until(bench.io, [&] { return bench.requests.size() == 2; }));
+    REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 2; }));
     CHECK(bench.requests[0].body == "abc");
     CHECK(bench.requests[1].target == "/2");
     CHECK(bench.requests[0].headers == Headers{{"Host", "h"}});  // the list goes no further
@@ -185,7 +185,7 @@
     for (const auto& [name, value] : bench.requests[0].headers)
       CHECK(value.find_first_of(std::string("\r\n\0", 3)) == std::string::npos);
   } else {
-    CHECK(raw->got.find("HTTP/1.1 400 ") == 0);
+    CHECK(raw->received.find("HTTP/1.1 400 ") == 0);
   }
 }
 
@@ -215,12 +215,12 @@
   const std::string post =
       "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n" + std::string(1000, 'x');
   const auto first = bench.Say(post);
-  REQUIRE(Until(bench.io, [&] { return bench.requests.size() == 1; }));
+  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 1; }));
   CHECK(bench.Answer(post).find("HTTP/1.1 503 ") == 0);
   HttpServer::Respond(bench.sessions[0], 200, {}, "");
   REQUIRE(bench.Got(first, "200 OK"));
   const auto third = bench.Say(post);
-  CHECK(Until(bench.io, [&] { return bench.requests.size() == 2; }));
+  CHECK(RunUntil(bench.io, [&] { return bench.requests.size() == 2; }));
 }
 
 TEST_CASE("a client that waits to be told to go on is") {
@@ -231,7 +231,7 @@
   CHECK(bench.requests.empty());
   raw->Write("body");
   REQUIRE(bench.Got(raw, "POST /x body"));
-  CHECK(Count(raw->got, "HTTP/1.1 100") == 1);
+  CHECK(Count(raw->received, "HTTP/1.1 100") == 1);
   CHECK(bench.requests[0].headers == Headers{{"Host", "h"}});
 }
 
@@ -246,17 +246,17 @@
     INFO(target);
     const auto raw = bench.Say("HEAD " + std::string(target) + " HTTP/1.1\r\nHost: h\r\n\r\n" +
                                "HEAD /whole HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-    REQUIRE(Until(bench.io, [&] { return raw->ended; }));
-    CHECK(Count(raw->got, "HTTP/1.1 200 OK") == 2);
-    CHECK(raw->got.find("hello") == std::string::npos);
-    CHECK(raw->got.find("0\r\n\r\nH") == std::string::npos);
+    REQUIRE(RunUntil(bench.io, [&] { return raw->ended; }));
+    CHECK(Count(raw->received, "HTTP/1.1 200 OK") == 2);
+    CHECK(raw->received.find("hello") == std::string::npos);
+    CHECK(raw->received.find("0\r\n\r\nH") == std::string::npos);
   }
 }
 
 TEST_CASE("an answer in pieces, in chunks and with a length, none of it before its time") {
   Bench bench;
   const auto raw = bench.Say(Get("/1") + Get("/2", "Connection: close\r\n"));
-  REQUIRE(Until(bench.io, [&] { return bench.requests.size() == 1; }));
+  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 1; }));
   HttpServer::Begin(bench.sessions[0], 200, {}, -1);
   HttpServer::Write(bench.sessions[0], "abc");
   HttpServer::Write(bench.sessions[0], "");  // would be the end
@@ -265,13 +265,13 @@
   HttpServer::Write(bench.sessions[0], std::string(20, 'd'));
   HttpServer::Finish(bench.sessions[0]);
   REQUIRE(bench.Got(raw, "14\r\n" + std::string(20, 'd') + "\r\n0\r\n\r\n"));
-  REQUIRE(Until(bench.io, [&] { return bench.requests.size() == 2; }));
+  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 2; }));
   HttpServer::Begin(bench.sessions[1], 200, {}, 6);
   HttpServer::Write(bench.sessions[1], "abc");
   HttpServer::Write(bench.sessions[1], "def");
   HttpServer::Finish(bench.sessions[1]);
-  REQUIRE(Until(bench.io, [&] { return raw->ended; }));
-  CHECK(raw->got.find("Content-Length: 6\r\nConnection: close\r\n\r\nabcdef") != std::string::npos);
+  REQUIRE(RunUntil(bench.io, [&] { return raw->ended; }));
+  CHECK(raw->received.find("Content-Length: 6\r\nConnection: close\r\n\r\nabcdef") != std::string::npos);
   CHECK_FALSE(raw->reset);
 }
 
@@ -292,13 +292,13 @@
       INFO(length << ' ' << version);
       Bench bench;
       const auto raw = bench.Say(std::string("GET /x HTTP/") + version + "\r\nHost: h\r\n\r\n");
-      REQUIRE(Until(bench.io, [&] { return bench.requests.size() == 1; }));
+      REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 1; }));
       HttpServer::Begin(bench.sessions[0], 200, {}, length);
       HttpServer::Write(bench.sessions[0], "abc");
       REQUIRE(bench.Got(raw, "abc"));
       HttpServer::Abort(bench.sessions[0]);
-      REQUIRE(Until(bench.io, [&] { return raw->ended; }));
-      CHECK(raw->got.find("0\r\n\r\n", raw->got.find("abc")) == std::string::npos);
+      REQUIRE(RunUntil(bench.io, [&] { return raw->ended; }));
+      CHECK(raw->received.find("0\r\n\r\n", raw->received.find("abc")) == std::string::npos);
       CHECK(raw->reset);
       CHECK(bench.gone == 0);
       CHECK(bench.server.sessions() == 0);
@@ -310,13 +310,13 @@
 TEST_CASE("a client that leaves while its answer is owed is told once, and late answers do nothing") {
   Bench bench;
   const auto raw = bench.Say(Get("/x"));
-  REQUIRE(Until(bench.io, [&] { return bench.requests.size() == 1; }));
+  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 1; }));
   CHECK(bench.server.busy() == 1);
   raw->Close();
-  REQUIRE(Until(bench.io, [&] { return bench.gone > 0; }));
+  REQUIRE(RunUntil(bench.io, [&] { return bench.gone > 0; }));
   HttpServer::Respond(bench.sessions[0], 200, {}, "late");
   HttpServer::Abort(bench.sessions[0]);
-  Turns(bench.io, 20);
+  RunFor(bench.io, 20);
   CHECK(bench.gone == 1);
   CHECK(bench.server.busy() == 0);
   CHECK(bench.server.sessions() == 0);
@@ -324,12 +324,12 @@
   // Before its request is whole, or after its answer, nothing is owed.
   const auto half = bench.Say("GET /x HT");
   const auto done = bench.Say(Get("/y"));
-  REQUIRE(Until(bench.io, [&] { return bench.requests.size() == 2; }));
+  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 2; }));
   HttpServer::Respond(bench.sessions[1], 200, {}, "");
   REQUIRE(bench.Got(done, "200 OK"));
   half->Close();
   done->Close();
-  CHECK(Until(bench.io, [&] { return bench.server.sessions() == 0; }));
+  CHECK(RunUntil(bench.io, [&] { return bench.server.sessions() == 0; }));
   CHECK(bench.gone == 1);
 }
 
@@ -339,11 +339,11 @@
   Bench bench(limits, Echo);
   const auto trickles = bench.Say("GET /x HTTP/1.1\r\nHo");
   const auto rests = bench.Dial();
-  REQUIRE(Until(bench.io, [&] { return trickles->ended && rests->ended; }));
-  CHECK(trickles->got.find("HTTP/1.1 408 ") == 0);
-  CHECK(rests->got.empty());
+  REQUIRE(RunUntil(bench.io, [&] { return trickles->ended && rests->ended; }));
+  CHECK(trickles->received.find("HTTP/1.1 408 ") == 0);
+  CHECK(rests->received.empty());
   CHECK(bench.requests.empty());
-  CHECK(Until(bench.io, [&] { return bench.server.sessions() == 0; }));
+  CHECK(RunUntil(bench.io, [&] { return bench.server.sessions() == 0; }));
 }
 
 TEST_CASE("an answer that is owed is not cut by the time limits") {
@@ -351,8 +351,8 @@
   limits.header_timeout_ms = limits.idle_timeout_ms = 1;
   Bench bench(limits);
   const auto raw = bench.Say(Get("/x"));
-  REQUIRE(Until(bench.io, [&] { return bench.requests.size() == 1; }));
-  Turns(bench.io, 600);  // two sweeps
+  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 1; }));
+  RunFor(bench.io, 600);  // two sweeps
   HttpServer::Respond(bench.sessions[0], 200, {}, "slow");
   CHECK(bench.Got(raw, "slow"));
 }
@@ -362,14 +362,14 @@
   limits.max_connections = 2;
   Bench bench(limits);
   const auto busy = bench.Say(Get("/x"));
-  REQUIRE(Until(bench.io, [&] { return bench.requests.size() == 1; }));
+  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 1; }));
   const auto rests = bench.Dial();
-  REQUIRE(Until(bench.io, [&] { return bench.server.sessions() == 2; }));
+  REQUIRE(RunUntil(bench.io, [&] { return bench.server.sessions() == 2; }));
   const auto third = bench.Say(Get("/y"));
-  REQUIRE(Until(bench.io, [&] { return bench.requests.size() == 2; }));
-  CHECK(Until(bench.io, [&] { return rests->ended; }));
+  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 2; }));
+  CHECK(RunUntil(bench.io, [&] { return rests->ended; }));
   const auto fourth = bench.Dial();
-  CHECK(Until(bench.io, [&] { return fourth->ended; }));
+  CHECK(RunUntil(bench.io, [&] { return fourth->ended; }));
   HttpServer::Respond(bench.sessions[0], 200, {}, "x");
   CHECK(bench.Got(busy, "200 OK"));
 }
@@ -382,8 +382,8 @@
   CHECK_FALSE(raw->ended);
   raw->Write(Get("/2"));
   REQUIRE(bench.Got(raw, "GET /2"));
-  CHECK(raw->got.find("Connection: close\r\n") != std::string::npos);
-  CHECK(Until(bench.io, [&] { return raw->ended; }));
+  CHECK(raw->received.find("Connection: close\r\n") != std::string::npos);
+  CHECK(RunUntil(bench.io, [&] { return raw->ended; }));
 }
 
 }  // namespace
--- a/tests/mesh/egress_outbound_test.cpp
+++ b/tests/mesh/egress_outbound_test.cpp
@@ -16,12 +16,12 @@
 using ingress::Say;
 using ingress::Why;
 using ingress::Word;
-using loopback::Field;
-using loopback::HttpScript;
-using loopback::Raw;
-using loopback::RawPtr;
-using loopback::Turns;
-using loopback::Until;
+using loopback::HeaderValue;
+using loopback::RawConnection;
+using loopback::RawConnectionPtr;
+using loopback::RunFor;
+using loopback::RunUntil;
+using loopback::ScriptedHttpServer;
 
 // A last hop as the test writes it. Its Hello is sent to whoever says his.
 struct FakeHop {
@@ -79,8 +79,8 @@
   }
   Outcome Ask(bool unsafe) {
     const auto out = Start(unsafe, hop.address());
-    REQUIRE(Until(io, [&] { return out->ends > 0; }));
-    Turns(io, 5);
+    REQUIRE(RunUntil(io, [&] { return out->ends > 0; }));
+    RunFor(io, 5);
     CHECK(out->ends == 1);
     return *out;
   }
@@ -134,7 +134,7 @@
     link.Send(Say(Word::kHello, transport::Hello{}));  // out of place
   });
   const auto out = bench.Start(true, bench.hop.address());
-  REQUIRE(Until(bench.io, [&] { return out->ends > 0; }));
+  REQUIRE(RunUntil(bench.io, [&] { return out->ends > 0; }));
   CHECK(out->never_ran == false);
   CHECK(bench.client.status_queries() == 0);
 }
@@ -142,13 +142,13 @@
 TEST_CASE("an attempt that has not left is turned away: nobody listens, or says no Hello") {
   HopBench bench([](transport::Link&, Word, std::string_view) {});
   auto out = bench.Start(true, "127.0.0.1:" + std::to_string(loopback::FreePort(bench.io)));
-  REQUIRE(Until(bench.io, [&] { return out->ends > 0; }));
+  REQUIRE(RunUntil(bench.io, [&] { return out->ends > 0; }));
   CHECK(out->turned == Why::kUnreachable);
   bench.hop.greets = false;
   out = bench.Start(true, bench.hop.address());
-  REQUIRE(Until(bench.io, [&] { return bench.hop.links.size() == 1; }));
+  REQUIRE(RunUntil(bench.io, [&] { return bench.hop.links.size() == 1; }));
   bench.hop.links[0]->Close();
-  REQUIRE(Until(bench.io, [&] { return out->ends > 0; }));
+  REQUIRE(RunUntil(bench.io, [&] { return out->ends > 0; }));
   CHECK(out->turned == Why::kUnreachable);
 }
 
@@ -164,9 +164,9 @@
   bench.Ask(true);
   CHECK(bench.client.links_dialed() == 1);
   const auto out = bench.Start(true, bench.hop.address());
-  REQUIRE(Until(bench.io, [&] { return attempts == 3; }));
+  REQUIRE(RunUntil(bench.io, [&] { return attempts == 3; }));
   bench.client.GiveUp(bench.handle);
-  Turns(bench.io, 20);
+  RunFor(bench.io, 20);
   CHECK(out->ends == 0);
   bench.Ask(true);
   CHECK(bench.client.links_dialed() == 2);
@@ -174,7 +174,8 @@
 
 // A machine: a last hop and its server.
 struct Machine {
-  Machine(asio::io_context& io, merlinrun::core::Loop& loop, const std::string& id, HttpScript::Script script)
+  Machine(asio::io_context& io, merlinrun::core::Loop& loop, const std::string& id,
+          ScriptedHttpServer::Script script)
       : server(io, std::move(script)),
         port(loopback::FreePort(io)),
         last_hop(io, loop, {port, {}},
@@ -198,7 +199,7 @@
     told.slots = 4;
     told.hop = "127.0.0.1:" + std::to_string(port);
   }
-  HttpScript server;
+  ScriptedHttpServer server;
   std::uint16_t port;
   registry::Server told;
   bool takes = true;
@@ -208,9 +209,9 @@
   transport::Listener listener;
 };
 
-void Answer(Raw& raw, const std::string& request, const std::string& status, const std::string& more = "",
-            const std::string& body = "done") {
-  raw.Write("HTTP/1.1 " + status + "\r\nAttempt-Id: " + Field(request, "Attempt-Id") +
+void Answer(RawConnection& raw, const std::string& request, const std::string& status,
+            const std::string& more = "", const std::string& body = "done") {
+  raw.Write("HTTP/1.1 " + status + "\r\nAttempt-Id: " + HeaderValue(request, "Attempt-Id") +
             "\r\nServer-Seal: s\r\n" + more + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
             body);
 }
@@ -221,7 +222,7 @@
   asio::io_context io;
   merlinrun::net::AsioLoop loop{io};
   Machine machine{io, loop, "s",
-                  [](Raw& raw, const std::string& request) { Answer(raw, request, "200 OK"); }};
+                  [](RawConnection& raw, const std::string& request) { Answer(raw, request, "200 OK"); }};
   struct End {
     std::shared_ptr<transport::Link> link;
     std::vector<std::string> frames;
@@ -243,7 +244,7 @@
   }
   // The frame that comes first is such a one.
   void Next(const std::shared_ptr<End>& end, Word word) {
-    REQUIRE(Until(io, [&] { return !end->frames.empty(); }));
+    REQUIRE(RunUntil(io, [&] { return !end->frames.empty(); }));
     REQUIRE(static_cast<int>(ingress::WordOf(end->frames[0])) == static_cast<int>(word));
   }
   Why Turned(const ingress::Attempt& attempt) {
@@ -304,7 +305,7 @@
   wanted.server = "s";
   wanted.left_ms = 10'000;
   bench.Turned(wanted);  // the same ticket again
-  Turns(bench.io, 20);
+  RunFor(bench.io, 20);
   CHECK(bench.machine.server.requests.empty());
 }
 
@@ -321,24 +322,25 @@
   CHECK_FALSE(bench.PassedOn({6, 1}));  // another life's
   bench.Turned(bench.Attempt(1));
   REQUIRE(bench.machine.server.requests.size() == 1);
-  CHECK(Field(bench.machine.server.requests[0], "Expected-Instance") == "s");
-  CHECK(std::stol(Field(bench.machine.server.requests[0], "Deadline-Remaining")) <= 10'000);
+  CHECK(HeaderValue(bench.machine.server.requests[0], "Expected-Instance") == "s");
+  CHECK(std::stol(HeaderValue(bench.machine.server.requests[0], "Deadline-Remaining")) <= 10'000);
 }
 
 // ---- the whole way ----
 
 struct World {
   // `nth`: of all that have arrived at servers, from 1.
-  using Script = std::function<void(std::size_t nth, Raw&, const std::string& request)>;
+  using Script = std::function<void(std::size_t nth, RawConnection&, const std::string& request)>;
   World(int servers, Script script, int attempts = 2) : port(loopback::FreePort(io)) {
     registry::Listing listing;
     listing.number = 1;
     for (int i = 0; i < servers; ++i) {
-      machines.push_back(std::make_unique<Machine>(io, loop, "s" + std::to_string(i),
-                                                   [this, script, i](Raw& raw, const std::string& request) {
-                                                     arrived.push_back(i);
-                                                     script(arrived.size(), raw, request);
-                                                   }));
+      machines.push_back(
+          std::make_unique<Machine>(io, loop, "s" + std::to_string(i),
+                                    [this, script, i](RawConnection& raw, const std::string& request) {
+                                      arrived.push_back(i);
+                                      script(arrived.size(), raw, request);
+                                    }));
       listing.servers.push_back(machines.back()->told);
     }
     outbound = std::make_unique<OutboundProxy>(
@@ -367,8 +369,8 @@
         *configuration::Tables::Of(configuration::Ledger::Read(verdict.next)->newest()));
     outbound->OnEndpoints(listing, 0, 1);
   }
-  RawPtr Send(const std::string& kind, int deadline_ms = 4000) {
-    const auto raw = Raw::Dial(io, port);
+  RawConnectionPtr Send(const std::string& kind, int deadline_ms = 4000) {
+    const auto raw = RawConnection::Connect(io, port);
     raw->Write("POST /" + kind + "/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: id-" + std::to_string(++sent) +
                "\r\nDeadline-Remaining: " + std::to_string(deadline_ms) +
                "\r\nContent-Length: 4\r\n\r\nbody");
@@ -377,9 +379,9 @@
   // The status, after which nothing more comes.
   int Ask(const std::string& kind, int deadline_ms = 4000) {
     const auto raw = Send(kind, deadline_ms);
-    REQUIRE(Until(io, [&] { return raw->got.find("\r\n\r\n") != std::string::npos; }));
-    Turns(io, 30);
-    answer = raw->got;
+    REQUIRE(RunUntil(io, [&] { return raw->received.find("\r\n\r\n") != std::string::npos; }));
+    RunFor(io, 30);
+    answer = raw->received;
     CHECK(answer.find("HTTP/1.1", 1) == std::string::npos);  // one
     return std::stoi(answer.substr(9, 3));
   }
@@ -398,22 +400,22 @@
   std::unique_ptr<HttpServer> front;
 };
 
-void Serve(std::size_t, Raw& raw, const std::string& request) { Answer(raw, request, "200 OK"); }
+void Serve(std::size_t, RawConnection& raw, const std::string& request) { Answer(raw, request, "200 OK"); }
 
 TEST_CASE("a request goes the whole way, with what the system adds and without what it keeps") {
   World world(1, Serve);
   CHECK(world.Ask("unsafe") == 200);
   CHECK(world.answer.substr(world.answer.size() - 8) == "\r\n\r\ndone");
   const std::string request = world.machines[0]->server.requests.at(0);
-  CHECK(Field(request, "Attempt-Id") == "id-1");
-  CHECK(Field(request, "Calling-Service") == "me");
-  CHECK(Field(request, "Expected-Instance") == "s0");
+  CHECK(HeaderValue(request, "Attempt-Id") == "id-1");
+  CHECK(HeaderValue(request, "Calling-Service") == "me");
+  CHECK(HeaderValue(request, "Expected-Instance") == "s0");
   CHECK(request.substr(request.size() - 8) == "\r\n\r\nbody");
 }
 
 // The server may be at work on it: 503 would promise that it never ran.
 TEST_CASE("the deadline of an unsafe request passes at a silent server: no promise, and nobody else has it") {
-  World world(2, [](std::size_t, Raw&, const std::string&) {});
+  World world(2, [](std::size_t, RawConnection&, const std::string&) {});
   const int status = world.Ask("unsafe", 300);
   CHECK((status == 502 || status == 504));
   CHECK(world.arrived.size() == 1);
@@ -421,33 +423,35 @@
 
 // Found on the bench: a request that came 4 s after SIGTERM was cut with the process.
 TEST_CASE("a sidecar that ends answers all that it has taken, and what still comes by a promise") {
-  World world(1, [](std::size_t, Raw&, const std::string&) {});
+  World world(1, [](std::size_t, RawConnection&, const std::string&) {});
   const auto safe = world.Send("safe"), unsafe = world.Send("unsafe");
-  REQUIRE(Until(world.io, [&] { return world.arrived.size() == 2; }));
+  REQUIRE(RunUntil(world.io, [&] { return world.arrived.size() == 2; }));
   world.outbound->SetShutdownDeadline(world.loop.Now());
   world.outbound->RefuseNewRequests();
   world.outbound->FinishInFlight();
-  const auto answered = [](const RawPtr& raw) { return raw->got.find("\r\n\r\n") != std::string::npos; };
-  REQUIRE(Until(world.io, [&] { return answered(safe) && answered(unsafe); }));
-  CHECK(safe->got.substr(9, 3) == "503");
-  CHECK(unsafe->got.substr(9, 3) == "504");
+  const auto answered = [](const RawConnectionPtr& raw) {
+    return raw->received.find("\r\n\r\n") != std::string::npos;
+  };
+  REQUIRE(RunUntil(world.io, [&] { return answered(safe) && answered(unsafe); }));
+  CHECK(safe->received.substr(9, 3) == "503");
+  CHECK(unsafe->received.substr(9, 3) == "504");
   CHECK(world.Ask("unsafe") == 503);
   CHECK(world.arrived.size() == 2);
 }
 
 TEST_CASE("an unsafe request that runs out of time is answered 504") {
-  World world(2, [](std::size_t, Raw&, const std::string&) {});
+  World world(2, [](std::size_t, RawConnection&, const std::string&) {});
   CHECK(world.Ask("unsafe", 300) == 504);
 }
 
 TEST_CASE("an unsafe request that a server has and does not answer: 502, and nobody else has it") {
-  World world(3, [](std::size_t, Raw& raw, const std::string&) { raw.Close(); });
+  World world(3, [](std::size_t, RawConnection& raw, const std::string&) { raw.Close(); });
   CHECK(world.Ask("unsafe") == 502);
   CHECK(world.arrived.size() == 1);
 }
 
 TEST_CASE("a safe request after a reset goes to another server, and is served once") {
-  World world(2, [](std::size_t nth, Raw& raw, const std::string& request) {
+  World world(2, [](std::size_t nth, RawConnection& raw, const std::string& request) {
     nth == 1 ? raw.Close() : Answer(raw, request, "200 OK");
   });
   CHECK(world.Ask("safe") == 200);
@@ -457,7 +461,7 @@
 
 TEST_CASE("a server's word that it did not run a request sends it elsewhere, also an unsafe one") {
   const char* status = GENERATE("503 Busy", "421 Not Here");
-  World world(2, [&](std::size_t nth, Raw& raw, const std::string& request) {
+  World world(2, [&](std::size_t nth, RawConnection& raw, const std::string& request) {
     const bool first = nth == 1;
     Answer(raw, request, first ? status : "200 OK", first ? "Not-Executed: 1\r\n" : "");
   });
@@ -467,24 +471,26 @@
 }
 
 TEST_CASE("an unsafe request that no server ran is refused by a promise") {
-  World world(2, [](std::size_t, Raw& raw, const std::string& request) {
+  World world(2, [](std::size_t, RawConnection& raw, const std::string& request) {
     Answer(raw, request, "503 Busy", "Not-Executed: 1\r\n");
   });
   CHECK(world.Ask("unsafe") == 503);
 }
 
 TEST_CASE("a 503 without that word is no promise, and is not passed on as one") {
-  World world(2, [](std::size_t, Raw& raw, const std::string& request) { Answer(raw, request, "503 Busy"); });
+  World world(2, [](std::size_t, RawConnection& raw, const std::string& request) {
+    Answer(raw, request, "503 Busy");
+  });
   CHECK(world.Ask("unsafe") == 502);
   CHECK(world.arrived.size() == 1);
 }
 
 TEST_CASE("an unsafe request's 500 is its answer, unchanged") {
-  World world(2, [](std::size_t, Raw& raw, const std::string& request) {
+  World world(2, [](std::size_t, RawConnection& raw, const std::string& request) {
     Answer(raw, request, "500 Broken", "X-Own: 1\r\n", "why");
   });
   CHECK(world.Ask("unsafe") == 500);
-  CHECK(Field(world.answer, "X-Own") == "1");
+  CHECK(HeaderValue(world.answer, "X-Own") == "1");
   CHECK(world.answer.substr(world.answer.size() - 7) == "\r\n\r\nwhy");
   CHECK(world.arrived.size() == 1);
 }
@@ -493,7 +499,7 @@
   const int attempts = GENERATE(1, 2, 3);
   INFO(attempts);
   World world(
-      5, [](std::size_t, Raw& raw, const std::string&) { raw.Close(); }, attempts);
+      5, [](std::size_t, RawConnection& raw, const std::string&) { raw.Close(); }, attempts);
   CHECK(world.Ask("safe") >= 500);
   CHECK(static_cast<int>(world.arrived.size()) == attempts);
   CHECK(std::set<int>(world.arrived.begin(), world.arrived.end()).size() == world.arrived.size());
@@ -514,7 +520,7 @@
   world.machines[0]->takes = world.machines[1]->takes = false;
   REQUIRE(world.Ask("unsafe", 500) == 503);
   world.Send("none");
-  Turns(world.io, 30);
+  RunFor(world.io, 30);
   const std::string text = prometheus::TextSerializer().Serialize(world.registry.Collect());
   INFO(text);
   const auto counted = [&](const std::string& series) { return text.find(series) != std::string::npos; };
@@ -525,20 +531,20 @@
 
 TEST_CASE("a client that leaves ends its safe request, an unsafe one runs to its end") {
   const bool safe = GENERATE(true, false);
-  World world(1, [](std::size_t, Raw&, const std::string&) {});
+  World world(1, [](std::size_t, RawConnection&, const std::string&) {});
   const auto raw = world.Send(safe ? "safe" : "unsafe");
-  REQUIRE(Until(world.io, [&] { return world.arrived.size() == 1; }));
+  REQUIRE(RunUntil(world.io, [&] { return world.arrived.size() == 1; }));
   raw->Close();
-  REQUIRE(Until(world.io, [&] { return world.outbound->in_flight() == 0; }));
-  Turns(world.io, 50);
+  REQUIRE(RunUntil(world.io, [&] { return world.outbound->in_flight() == 0; }));
+  RunFor(world.io, 50);
   CHECK(world.machines[0]->server.connections[0]->ended == safe);
 }
 
 // For the sanitizers.
 TEST_CASE("it may end with requests under way") {
-  World world(2, [](std::size_t, Raw&, const std::string&) {});
+  World world(2, [](std::size_t, RawConnection&, const std::string&) {});
   const auto first = world.Send("safe"), second = world.Send("unsafe");
-  REQUIRE(Until(world.io, [&] { return world.arrived.size() == 2; }));
+  REQUIRE(RunUntil(world.io, [&] { return world.arrived.size() == 2; }));
   world.front.reset();
   world.outbound.reset();
 }
--- a/tests/mesh/gossip_test.cpp
+++ b/tests/mesh/gossip_test.cpp
@@ -327,7 +327,7 @@
   a.view->SetKnown(now, 9, {});
   a.view->OnTick(now);
   a.view->OnTick(now += kEvery);
-  CHECK(loopback::Until(io, [&] { return !a.view->neighbours().empty(); }));
+  CHECK(loopback::RunUntil(io, [&] { return !a.view->neighbours().empty(); }));
   CHECK(b.newer == 9);
   CHECK(b.view->counters().malformed == 1);
 }
--- a/tests/mesh/ingress_server_pool_test.cpp
+++ b/tests/mesh/ingress_server_pool_test.cpp
@@ -16,11 +16,11 @@
 namespace asio = merlinrun::net::asio;
 using merlinrun::net::ErrorCode;
 using Failure = ServerPool::Failure;
-using loopback::Field;
-using loopback::HttpScript;
-using loopback::Raw;
-using loopback::Turns;
-using loopback::Until;
+using loopback::HeaderValue;
+using loopback::RawConnection;
+using loopback::RunFor;
+using loopback::RunUntil;
+using loopback::ScriptedHttpServer;
 
 struct Outcome {
   int status = 0, heads = 0, ends = 0, failures = 0;
@@ -37,7 +37,7 @@
 }
 
 struct Bench {
-  explicit Bench(HttpScript::Script script) : server(io, std::move(script)) {}
+  explicit Bench(ScriptedHttpServer::Script script) : server(io, std::move(script)) {}
   std::shared_ptr<Outcome> Send(const std::string& id, const std::string& method = "GET",
                                 const std::string& body = "") {
     return SendTo(server.address(), id, method, body);
@@ -63,19 +63,19 @@
   // Sends, and runs until its one end.
   Outcome Ask(const std::string& id, const std::string& method = "GET", const std::string& body = "") {
     const auto out = Send(id, method, body);
-    REQUIRE(Until(io, [&] { return out->over(); }));
-    Turns(io, 5);
+    REQUIRE(RunUntil(io, [&] { return out->over(); }));
+    RunFor(io, 5);
     CHECK(out->ends + out->failures == 1);
     return *out;
   }
   asio::io_context io;
-  HttpScript server;
+  ScriptedHttpServer server;
   ServerPool pool{io};
   ServerPool::Handle handle = 0;
 };
 
 Outcome AskOne(const std::string& answer, bool close = false, const std::string& method = "GET") {
-  Bench bench([&](Raw& raw, const std::string&) {
+  Bench bench([&](RawConnection& raw, const std::string&) {
     raw.Write(answer);
     if (close) raw.CloseWhenWritten();
   });
@@ -83,8 +83,8 @@
 }
 
 TEST_CASE("whole answers, with a length and in chunks, over one kept connection") {
-  Bench bench([](Raw& raw, const std::string& request) {
-    if (Field(request, "Attempt-Id") == "a")
+  Bench bench([](RawConnection& raw, const std::string& request) {
+    if (HeaderValue(request, "Attempt-Id") == "a")
       return raw.Write(Whole("a", "hello", "X-Own: 1\r\nConnection: keep-alive\r\n"));
     raw.Write(
         "HTTP/1.1 200 OK\r\nAttempt-Id: b\r\nServer-Seal: s\r\nTransfer-Encoding: "
@@ -110,13 +110,14 @@
 }
 
 TEST_CASE("two at a time have a connection each, and both are kept") {
-  Bench bench(
-      [](Raw& raw, const std::string& request) { raw.Write(Whole(Field(request, "Attempt-Id"), "x")); });
+  Bench bench([](RawConnection& raw, const std::string& request) {
+    raw.Write(Whole(HeaderValue(request, "Attempt-Id"), "x"));
+  });
   const auto a = bench.Send("a"), b = bench.Send("b");
-  REQUIRE(Until(bench.io, [&] { return a->over() && b->over(); }));
+  REQUIRE(RunUntil(bench.io, [&] { return a->over() && b->over(); }));
   CHECK(bench.pool.connections_opened() == 2);
   const auto c = bench.Send("c"), d = bench.Send("d");
-  REQUIRE(Until(bench.io, [&] { return c->over() && d->over(); }));
+  REQUIRE(RunUntil(bench.io, [&] { return c->over() && d->over(); }));
   CHECK(bench.pool.connections_opened() == 2);
   CHECK(c->ends + d->ends == 2);
 }
@@ -125,8 +126,8 @@
 TEST_CASE("a second answer is nobody's, and the next request gets its own") {
   const int when = GENERATE(0, 1, 2);
   INFO(when);
-  Bench bench([&](Raw& raw, const std::string& request) {
-    const std::string id = Field(request, "Attempt-Id");
+  Bench bench([&](RawConnection& raw, const std::string& request) {
+    const std::string id = HeaderValue(request, "Attempt-Id");
     if (id == "a" && when == 0) return raw.Write(Whole("a", "first") + Whole("a", "stale"));
     if (id == "b" && when == 2) raw.Write(Whole("a", "stale"));
     raw.Write(Whole(id, id == "a" ? "first" : "own"));
@@ -134,7 +135,7 @@
   CHECK(bench.Ask("a").body == "first");
   if (when == 1) {
     bench.server.connections[0]->Write(Whole("a", "stale"));
-    REQUIRE(Until(bench.io, [&] { return bench.pool.stray_responses() > 0; }));
+    REQUIRE(RunUntil(bench.io, [&] { return bench.pool.stray_responses() > 0; }));
   }
   const Outcome b = bench.Ask("b");
   CHECK(b.ends == 1);
@@ -144,8 +145,8 @@
 }
 
 TEST_CASE("a late answer that is already in the socket when the next request is sent is nobody's") {
-  Bench bench([](Raw& raw, const std::string& request) {
-    raw.Write(Whole(Field(request, "Attempt-Id"), Field(request, "Attempt-Id")));
+  Bench bench([](RawConnection& raw, const std::string& request) {
+    raw.Write(Whole(HeaderValue(request, "Attempt-Id"), HeaderValue(request, "Attempt-Id")));
   });
   CHECK(bench.Ask("a").body == "a");
   bench.server.connections[0]->WriteNow(Whole("a", "stale"));
@@ -222,7 +223,7 @@
     connection.socket.async_read_some(asio::buffer(buffer), [&](ErrorCode error, std::size_t n) {
       if (error) return;
       connection.in.append(buffer.data(), n);
-      const std::string id = Field(connection.in, "Attempt-Id");
+      const std::string id = HeaderValue(connection.in, "Attempt-Id");
       asio::write(connection.socket, asio::buffer(Whole(id, "early")));
     });
   };
@@ -247,9 +248,9 @@
     pool.Send(address, {id, "POST", "/x", {{"Host", "h"}, {"Attempt-Id", id}}, body}, std::move(events));
   };
   ask("a", std::string(std::size_t{64} << 20, 'x'));
-  REQUIRE(Until(io, [&] { return ends == 1; }));
+  REQUIRE(RunUntil(io, [&] { return ends == 1; }));
   ask("b", "");
-  REQUIRE(Until(io, [&] { return ends == 2; }));
+  REQUIRE(RunUntil(io, [&] { return ends == 2; }));
   REQUIRE(connections.size() == 3);  // the last one waits
   // All that the first connection ever got is its own request.
   Connection& first = *connections[0];
@@ -276,32 +277,32 @@
 }
 
 TEST_CASE("where nothing listens nothing is sent") {
-  Bench bench([](Raw&, const std::string&) {});
+  Bench bench([](RawConnection&, const std::string&) {});
   for (const std::string& address : {"127.0.0.1:" + std::to_string(loopback::FreePort(bench.io)),
                                      std::string("no address"), std::string("127.0.0.1:0")}) {
     INFO(address);
     const auto out = bench.SendTo(address, "a");
-    REQUIRE(Until(bench.io, [&] { return out->over(); }));
+    REQUIRE(RunUntil(bench.io, [&] { return out->over(); }));
     CHECK(out->failure == Failure::kNotSent);
   }
 }
 
 TEST_CASE("a connection that the server closes is not used again") {
   const bool says_so = GENERATE(true, false);
-  Bench bench([&](Raw& raw, const std::string& request) {
-    raw.Write(Whole(Field(request, "Attempt-Id"), "x", says_so ? "Connection: close\r\n" : ""));
+  Bench bench([&](RawConnection& raw, const std::string& request) {
+    raw.Write(Whole(HeaderValue(request, "Attempt-Id"), "x", says_so ? "Connection: close\r\n" : ""));
     if (!says_so) raw.CloseWhenWritten();
   });
   CHECK(bench.Ask("a").ends == 1);
-  Turns(bench.io, 10);
+  RunFor(bench.io, 10);
   CHECK(bench.Ask("b").ends == 1);
   CHECK(bench.pool.connections_opened() == 2);
 }
 
 TEST_CASE("a request on a kept connection that the server closes at it may have run") {
-  Bench bench([](Raw& raw, const std::string& request) {
-    if (Field(request, "Attempt-Id") == "b") return raw.Close();
-    raw.Write(Whole(Field(request, "Attempt-Id"), "x"));
+  Bench bench([](RawConnection& raw, const std::string& request) {
+    if (HeaderValue(request, "Attempt-Id") == "b") return raw.Close();
+    raw.Write(Whole(HeaderValue(request, "Attempt-Id"), "x"));
   });
   CHECK(bench.Ask("a").ends == 1);
   CHECK(bench.Ask("b").failure == Failure::kBroken);
@@ -309,20 +310,20 @@
 }
 
 TEST_CASE("what is cancelled tells nothing, and its connection ends") {
-  Bench bench([](Raw&, const std::string&) {});
+  Bench bench([](RawConnection&, const std::string&) {});
   const auto out = bench.Send("a");
-  REQUIRE(Until(bench.io, [&] { return bench.server.requests.size() == 1; }));
+  REQUIRE(RunUntil(bench.io, [&] { return bench.server.requests.size() == 1; }));
   bench.pool.Cancel(bench.handle);
-  REQUIRE(Until(bench.io, [&] { return bench.server.connections[0]->ended; }));
+  REQUIRE(RunUntil(bench.io, [&] { return bench.server.connections[0]->ended; }));
   CHECK_FALSE(out->over());
-  CHECK(Until(bench.io, [&] { return bench.pool.open() == 0; }));
+  CHECK(RunUntil(bench.io, [&] { return bench.pool.open() == 0; }));
 }
 
 // For the sanitizers: what the loop still holds of a connection must not reach for a pool that is no more.
 TEST_CASE("a pool may end before its loop, whatever is under way") {
   asio::io_context io;
-  HttpScript server(io, [](Raw& raw, const std::string& request) {
-    if (Field(request, "Attempt-Id") == "a") raw.Write(Whole("a", "x"));
+  ScriptedHttpServer server(io, [](RawConnection& raw, const std::string& request) {
+    if (HeaderValue(request, "Attempt-Id") == "a") raw.Write(Whole("a", "x"));
   });
   auto pool = std::make_unique<ServerPool>(io);
   int ends = 0;
@@ -331,28 +332,28 @@
                {{}, {}, [&] { ++ends; }, [&](Failure) { ++ends; }});
   };
   send("a");
-  REQUIRE(Until(io, [&] { return ends == 1; }));
+  REQUIRE(RunUntil(io, [&] { return ends == 1; }));
   send("b");
   send("c");
-  REQUIRE(Until(io, [&] { return server.requests.size() == 3; }));
+  REQUIRE(RunUntil(io, [&] { return server.requests.size() == 3; }));
   pool.reset();
-  Turns(io, 20);
+  RunFor(io, 20);
   CHECK(ends == 1);
 }
 
 TEST_CASE("a paused answer is held up, and comes whole after") {
   const std::string big(std::size_t{8} * 1024 * 1024, 'x');
-  Bench bench([&](Raw& raw, const std::string&) { raw.Write(Whole("a", big)); });
+  Bench bench([&](RawConnection& raw, const std::string&) { raw.Write(Whole("a", big)); });
   const auto out = bench.Send("a");
-  REQUIRE(Until(bench.io, [&] { return out->heads == 1; }));
+  REQUIRE(RunUntil(bench.io, [&] { return out->heads == 1; }));
   bench.pool.Pause(bench.handle);
-  Turns(bench.io, 50);
+  RunFor(bench.io, 50);
   const std::size_t held = out->body.size();
-  Turns(bench.io, 50);
+  RunFor(bench.io, 50);
   CHECK(out->body.size() == held);
   REQUIRE_FALSE(out->over());
   bench.pool.Resume(bench.handle);
-  REQUIRE(Until(bench.io, [&] { return out->over(); }));
+  REQUIRE(RunUntil(bench.io, [&] { return out->over(); }));
   CHECK(out->ends == 1);
   CHECK(out->body.size() == big.size());
 }
--- a/tests/mesh/loopback.hpp
+++ b/tests/mesh/loopback.hpp
@@ -22,7 +22,7 @@
 
 // Runs the loop until `holds`; false if it doesn't within `most`, which is no measure but an end.
 template <class Holds>
-bool Until(asio::io_context& io, Holds holds, std::chrono::milliseconds most = std::chrono::seconds(10)) {
+bool RunUntil(asio::io_context& io, Holds holds, std::chrono::milliseconds most = std::chrono::seconds(10)) {
   const auto end = std::chrono::steady_clock::now() + most;
   while (!holds() && std::chrono::steady_clock::now() < end) {
     io.restart();
@@ -31,20 +31,20 @@
   return holds();
 }
 // So long, for what must not come.
-inline void Turns(asio::io_context& io, int ms) {
-  Until(
+inline void RunFor(asio::io_context& io, int ms) {
+  RunUntil(
       io, [] { return false; }, std::chrono::milliseconds(ms));
 }
 
 // One end of a connection that keeps what comes.
-class Raw : public std::enable_shared_from_this<Raw> {
+class RawConnection : public std::enable_shared_from_this<RawConnection> {
  public:
-  explicit Raw(Tcp::socket socket) : socket_(std::move(socket)) {}
-  static std::shared_ptr<Raw> Dial(asio::io_context& io, std::uint16_t port) {
+  explicit RawConnection(Tcp::socket socket) : socket_(std::move(socket)) {}
+  static std::shared_ptr<RawConnection> Connect(asio::io_context& io, std::uint16_t port) {
     Tcp::socket socket(io);
     socket.connect({asio::ip::make_address("127.0.0.1"), port});
     socket.set_option(Tcp::no_delay(true));
-    auto raw = std::make_shared<Raw>(std::move(socket));
+    auto raw = std::make_shared<RawConnection>(std::move(socket));
     raw->Read();
     return raw;
   }
@@ -56,7 +56,7 @@
                                 self->reset = error != asio::error::eof;
                                 return;
                               }
-                              self->got.append(self->buffer_, n);
+                              self->received.append(self->buffer_, n);
                               if (self->on_bytes) self->on_bytes(*self);
                               if (!self->ended) self->Read();  // on_bytes may have closed it
                             });
@@ -77,9 +77,9 @@
     socket_.close(ignored);
   }
 
-  std::string got;
+  std::string received;
   bool ended = false, reset = false;
-  std::function<void(Raw&)> on_bytes;
+  std::function<void(RawConnection&)> on_bytes;
 
  private:
   void Flush() {
@@ -101,7 +101,7 @@
   bool writing_ = false, last_ = false;
   char buffer_[65536];
 };
-using RawPtr = std::shared_ptr<Raw>;
+using RawConnectionPtr = std::shared_ptr<RawConnection>;
 
 // Listens at a port of its own choice.
 class Acceptor {
@@ -131,7 +131,7 @@
 }
 
 // Value of a header field of a request's head as it was written; empty if it has none.
-inline std::string Field(const std::string& head, const std::string& name) {
+inline std::string HeaderValue(const std::string& head, const std::string& name) {
   const auto at = head.find("\r\n" + name + ": ");
   if (at == std::string::npos) return {};
   const auto from = at + name.size() + 4;
@@ -139,34 +139,34 @@
 }
 
 // Hands each request whole to `script`, which writes what it likes.
-class HttpScript {
+class ScriptedHttpServer {
  public:
-  using Script = std::function<void(Raw&, const std::string& request)>;
-  HttpScript(asio::io_context& io, Script script)
+  using Script = std::function<void(RawConnection&, const std::string& request)>;
+  ScriptedHttpServer(asio::io_context& io, Script script)
       : script_(std::move(script)), acceptor_(io, [this](Tcp::socket socket) {
-          auto raw = std::make_shared<Raw>(std::move(socket));
-          raw->on_bytes = [this](Raw& mine) { OnBytes(mine); };
+          auto raw = std::make_shared<RawConnection>(std::move(socket));
+          raw->on_bytes = [this](RawConnection& mine) { OnBytes(mine); };
           raw->Read();
           connections.push_back(raw);
         }) {}
-  ~HttpScript() {
-    for (const RawPtr& raw : connections) raw->Close();
+  ~ScriptedHttpServer() {
+    for (const RawConnectionPtr& raw : connections) raw->Close();
   }
   std::string address() const { return acceptor_.address(); }
 
-  std::vector<RawPtr> connections;
+  std::vector<RawConnectionPtr> connections;
   std::vector<std::string> requests;
 
  private:
-  void OnBytes(Raw& raw) {
+  void OnBytes(RawConnection& raw) {
     for (;;) {
-      const auto end = raw.got.find("\r\n\r\n");
+      const auto end = raw.received.find("\r\n\r\n");
       if (end == std::string::npos) return;
-      const std::string length = Field(raw.got.substr(0, end + 2), "Content-Length");
+      const std::string length = HeaderValue(raw.received.substr(0, end + 2), "Content-Length");
       const std::size_t whole = end + 4 + (length.empty() ? 0 : static_cast<std::size_t>(std::stoul(length)));
-      if (raw.got.size() < whole) return;
-      const std::string request = raw.got.substr(0, whole);
-      raw.got.erase(0, whole);
+      if (raw.received.size() < whole) return;
+      const std::string request = raw.received.substr(0, whole);
+      raw.received.erase(0, whole);
       requests.push_back(request);
       script_(raw, request);
     }
--- a/tests/mesh/node_test.cpp
+++ b/tests/mesh/node_test.cpp
@@ -95,7 +95,7 @@
   PeerLinks links(io, loop, {.purpose = transport::Purpose::kCore, .from = "core", .address = "127.0.0.1:1"},
                   {[&](const std::string& peer) { down.push_back(peer); },
                    [&](const std::string& peer) { refused.push_back(peer); }});
-  const auto run = [&](const std::function<bool()>& condition) { return loopback::Until(io, condition); };
+  const auto run = [&](const std::function<bool()>& condition) { return loopback::RunUntil(io, condition); };
   const std::string dead = "127.0.0.1:" + std::to_string(loopback::FreePort(io));
   links.Send(dead, "x");
   REQUIRE(run([&] { return refused.size() == 1; }));
@@ -221,11 +221,11 @@
   const auto endpoint = OpenMetricsEndpoint(io, "127.0.0.1", {port, "/metrics"}, registry);
   REQUIRE(endpoint != nullptr);
   const auto ask = [&](const std::string& path) {
-    const auto raw = loopback::Raw::Dial(io, port);
+    const auto raw = loopback::RawConnection::Connect(io, port);
     raw->Write("GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n");
-    loopback::Until(io, [&] { return raw->got.find("\r\n\r\n") != std::string::npos; });
-    loopback::Turns(io, 10);
-    return raw->got;
+    loopback::RunUntil(io, [&] { return raw->received.find("\r\n\r\n") != std::string::npos; });
+    loopback::RunFor(io, 10);
+    return raw->received;
   };
   const std::string told = ask("/metrics");
   CHECK(told.find("HTTP/1.1 200") == 0);
--- a/tests/mesh/tools_repeater_test.cpp
+++ b/tests/mesh/tools_repeater_test.cpp
@@ -12,8 +12,8 @@
 namespace fennelhollow::tools {
 namespace {
 
-using loopback::HttpScript;
-using loopback::Raw;
+using loopback::RawConnection;
+using loopback::ScriptedHttpServer;
 
 std::string Http(unsigned status, const std::string& body, const std::string& headers = "") {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + headers +
@@ -23,12 +23,12 @@
 // Answers one after the other, the last again and again; "" is silence.
 struct Core {
   Core(asio::io_context& io, std::vector<std::string> answers)
-      : script(io, [this, answers](Raw& raw, const std::string&) {
+      : script(io, [this, answers](RawConnection& raw, const std::string&) {
           const std::string& answer = answers[std::min(answers.size(), script.requests.size()) - 1];
           if (!answer.empty()) raw.Write(answer);
         }) {}
   Tcp::endpoint address() const { return *merlinrun::net::ParseAddress(script.address()); }
-  HttpScript script;
+  ScriptedHttpServer script;
 };
 
 RepeaterLimits Quick() {
@@ -43,7 +43,7 @@
   std::vector<Outcome> out;
   Repeater::Start(io, std::move(cores), {"POST", "/-/Configuration.Replace", "{\"version\":1}"}, limits,
                   [&out](Outcome outcome) { out.push_back(std::move(outcome)); });
-  REQUIRE(loopback::Until(io, [&] { return !out.empty(); }));
+  REQUIRE(loopback::RunUntil(io, [&] { return !out.empty(); }));
   return out.front();
 }
 
@@ -160,7 +160,7 @@
   settings.epoch = 7;
   settings.since = 2;
   const auto follower = Follower::Start(io, settings, told.sink());
-  REQUIRE(loopback::Until(io, [&] { return first.script.requests.size() == 4; }));
+  REQUIRE(loopback::RunUntil(io, [&] { return first.script.requests.size() == 4; }));
   const auto begin = [](const Core& core, const std::string& rest) {
     return "{\"core\":\"" + core.script.address() + "\"," + rest;
   };
@@ -191,13 +191,13 @@
   FollowerSettings settings = QuickFollower({no_feed.address(), core.address()});
   settings.once = true;
   const auto follower = Follower::Start(io, settings, told.sink());
-  REQUIRE(loopback::Until(io, [&] { return !told.done.empty(); }));
+  REQUIRE(loopback::RunUntil(io, [&] { return !told.done.empty(); }));
   CHECK(told.done == std::vector<bool>{true});
   CHECK(told.lines.size() == 2);
   Told nobody;
   settings.cores = {no_feed.address(), nonsense.address()};
   const auto other = Follower::Start(io, settings, nobody.sink());
-  REQUIRE(loopback::Until(io, [&] { return !nobody.done.empty(); }));
+  REQUIRE(loopback::RunUntil(io, [&] { return !nobody.done.empty(); }));
   CHECK(nobody.done == std::vector<bool>{false});
   CHECK(nobody.lines.empty());
 }
--- a/tests/mesh/transport_link_test.cpp
+++ b/tests/mesh/transport_link_test.cpp
@@ -29,9 +29,9 @@
 namespace fennelhollow::transport {
 namespace {
 
-using loopback::Raw;
-using loopback::Turns;
-using loopback::Until;
+using loopback::RawConnection;
+using loopback::RunFor;
+using loopback::RunUntil;
 
 std::string Framed(const std::string& frame) {
   std::string out;
@@ -43,13 +43,13 @@
 struct Pair {
   Pair()
       : acceptor(io, [this](Tcp::socket socket) { link = Link::Of(std::move(socket), {}); }),
-        raw(Raw::Dial(io, acceptor.port())) {
-    REQUIRE(Until(io, [&] { return link != nullptr; }));
+        raw(RawConnection::Connect(io, acceptor.port())) {
+    REQUIRE(RunUntil(io, [&] { return link != nullptr; }));
   }
   ~Pair() {
     link->Close();
     raw->Close();
-    Turns(io, 1);
+    RunFor(io, 1);
   }
   void Start() {
     link->Start({[this](std::string_view frame) { frames.emplace_back(frame); }, [this] { ++closed; }, {}});
@@ -57,7 +57,7 @@
   asio::io_context io;
   std::shared_ptr<Link> link;
   loopback::Acceptor acceptor;
-  loopback::RawPtr raw;
+  loopback::RawConnectionPtr raw;
   std::vector<std::string> frames;
   int closed = 0;
 };
@@ -72,9 +72,9 @@
     pair.raw->Write(bytes.substr(0, cut));
     // What is complete comes without waiting for the rest.
     const std::size_t whole = cut < 7 ? 0 : cut < 11 ? 1 : cut < 315 ? 2 : cut < bytes.size() ? 3 : 4;
-    REQUIRE(Until(pair.io, [&] { return pair.frames.size() == whole; }));
+    REQUIRE(RunUntil(pair.io, [&] { return pair.frames.size() == whole; }));
     pair.raw->Write(bytes.substr(cut));
-    REQUIRE(Until(pair.io, [&] { return pair.frames.size() == want.size(); }));
+    REQUIRE(RunUntil(pair.io, [&] { return pair.frames.size() == want.size(); }));
     REQUIRE(pair.frames == want);
   }
   CHECK(pair.closed == 0);
@@ -84,8 +84,8 @@
   Pair pair;
   pair.Start();
   pair.raw->Write(Framed("before") + std::string("\x7f\xff\xff\xff", 4) + "rest");
-  REQUIRE(Until(pair.io, [&] { return pair.closed > 0; }));
-  Turns(pair.io, 20);
+  REQUIRE(RunUntil(pair.io, [&] { return pair.closed > 0; }));
+  RunFor(pair.io, 20);
   CHECK(pair.closed == 1);
   CHECK(pair.frames == std::vector<std::string>{"before"});
   CHECK_FALSE(pair.link->open());
@@ -97,11 +97,11 @@
   pair.Start();
   const std::string big(kMostFrame, 'b');
   pair.raw->Write(Framed(big));
-  REQUIRE(Until(pair.io, [&] { return !pair.frames.empty(); }));
+  REQUIRE(RunUntil(pair.io, [&] { return !pair.frames.empty(); }));
   CHECK(pair.frames[0] == big);
   REQUIRE(pair.link->Send(big));
-  REQUIRE(Until(pair.io, [&] { return pair.raw->got.size() == big.size() + 4; }));
-  CHECK(pair.raw->got == Framed(big));
+  REQUIRE(RunUntil(pair.io, [&] { return pair.raw->received.size() == big.size() + 4; }));
+  CHECK(pair.raw->received == Framed(big));
 }
 
 TEST_CASE("what is sent before the link is up is delivered, in order") {
@@ -118,11 +118,11 @@
   link->Start({[](std::string_view) {}, [] {}, {}});
   CHECK(link->Send("second"));
   CHECK_FALSE(link->connected());
-  REQUIRE(Until(io, [&] { return got.size() == 2; }));
+  REQUIRE(RunUntil(io, [&] { return got.size() == 2; }));
   CHECK(got == std::vector<std::string>{"first", "second"});
   link->Close();
   for (const auto& other : links) other->Close();
-  Turns(io, 1);
+  RunFor(io, 1);
 }
 
 TEST_CASE("a link that nobody takes tells its end once, and not from inside a call") {
@@ -131,8 +131,8 @@
   int closed = 0;
   link->Start({[](std::string_view) {}, [&] { ++closed; }, {}});
   CHECK(closed == 0);
-  REQUIRE(Until(io, [&] { return closed > 0; }));
-  Turns(io, 20);
+  REQUIRE(RunUntil(io, [&] { return closed > 0; }));
+  RunFor(io, 20);
   CHECK(closed == 1);
 }
 
@@ -145,13 +145,13 @@
                     [&] { ++pair.closed; },
                     {}});
   pair.raw->Write(Framed("a") + Framed("stop") + Framed("b"));
-  REQUIRE(Until(pair.io, [&] { return pair.frames.size() == 2; }));
+  REQUIRE(RunUntil(pair.io, [&] { return pair.frames.size() == 2; }));
   pair.raw->Write(Framed("c"));
-  Turns(pair.io, 30);
+  RunFor(pair.io, 30);
   CHECK(pair.frames.size() == 2);
   pair.link->ResumeReading();
   CHECK(pair.frames.size() == 2);  // not from inside the call
-  REQUIRE(Until(pair.io, [&] { return pair.frames.size() == 4; }));
+  REQUIRE(RunUntil(pair.io, [&] { return pair.frames.size() == 4; }));
   CHECK(pair.frames == std::vector<std::string>{"a", "stop", "b", "c"});
 }
 
@@ -159,18 +159,18 @@
   Pair pair;
   pair.Start();
   pair.raw->Write(Framed("last"));
-  REQUIRE(Until(pair.io, [&] { return pair.frames.size() == 1; }));
+  REQUIRE(RunUntil(pair.io, [&] { return pair.frames.size() == 1; }));
   pair.raw->Close();
-  REQUIRE(Until(pair.io, [&] { return pair.closed > 0; }));
+  REQUIRE(RunUntil(pair.io, [&] { return pair.closed > 0; }));
   pair.link->Close();
-  Turns(pair.io, 20);
+  RunFor(pair.io, 20);
   CHECK(pair.closed == 1);
 
   Pair other;
   other.Start();
   other.link->Close();
   other.raw->Close();
-  Turns(other.io, 20);
+  RunFor(other.io, 20);
   CHECK(other.closed == 0);
 }
 
@@ -181,7 +181,7 @@
   CHECK_FALSE(pair.link->Send(std::string(kMostFrame + 1, 'x')));  // falls
   CHECK(pair.closed == 0);
   pair.link->Close();
-  Turns(pair.io, 20);
+  RunFor(pair.io, 20);
   CHECK(pair.closed == 0);
 }
 
