--- a/model/replay.cpp
+++ b/model/replay.cpp
@@ -67,10 +67,10 @@
     }
     std::vector<Replay::Item> stream;
     for (const record::Record& record : recording.records) {
-      if (!classes.at(record.its_class))
-        return "the recording has class '" + recording.header.classes[record.its_class] +
+      if (!classes.at(record.request_class))
+        return "the recording has class '" + recording.header.classes[record.request_class] +
                "', and the scenario has not";
-      stream.push_back({record.arrived, *classes[record.its_class]});
+      stream.push_back({record.arrival_time, *classes[record.request_class]});
     }
     if (stream.empty()) continue;
     // They were written as they ended.
--- a/rig/cluster/cluster.cpp
+++ b/rig/cluster/cluster.cpp
@@ -65,7 +65,7 @@
   const Node& node = *nodes_[sidecar];
   nlohmann::json config = world_.Config();
   config["name"] = "n" + std::to_string(sidecar);
-  config["discovery"] = net::Text(node.discovery.address());
+  config["discovery"] = net::FormatAddress(node.discovery.address());
   config["known"] = node.discovery.List();
   config["settings"]["rank"] = sidecar;
   config["settings"]["siblings"] = nodes_.size();
--- a/rig/cluster/mesh.cpp
+++ b/rig/cluster/mesh.cpp
@@ -17,7 +17,9 @@
   return {at.address(), at.port()};
 }
 
-std::string Text(const Udp::endpoint& at) { return net::Text(Tcp::endpoint(at.address(), at.port())); }
+std::string Text(const Udp::endpoint& at) {
+  return net::FormatAddress(Tcp::endpoint(at.address(), at.port()));
+}
 
 }  // namespace
 
--- a/rig/world.cpp
+++ b/rig/world.cpp
@@ -50,7 +50,7 @@
                            "." + std::to_string(1 + count++ % 250);
   boost::asio::io_context io;
   const Tcp::acceptor free_port(io, Tcp::endpoint(boost::asio::ip::make_address(host), 0));
-  return net::Text(free_port.local_endpoint());
+  return net::FormatAddress(free_port.local_endpoint());
 }
 
 std::string ExampleDiameterFile(const std::string& listen) {
@@ -90,7 +90,7 @@
 }
 
 Settings World::ModuleSettings() const {
-  return drill::ParseSettings(net::Flatten(SettingsJson(classes))).settings;
+  return drill::ParseSettings(net::FlattenSettings(SettingsJson(classes))).settings;
 }
 
 bool World::RunUntil(const std::function<bool()>& done, std::chrono::seconds most) {
--- a/src/config/toml_error.hpp
+++ b/src/config/toml_error.hpp
@@ -9,7 +9,8 @@
 
 namespace merlinrun::config {
 
-inline std::string Wrong(const toml::source_region& where, const std::string& file, std::string_view what) {
+inline std::string FormatTomlError(const toml::source_region& where, const std::string& file,
+                                   std::string_view what) {
   return file + ":" + std::to_string(where.begin.line) + ":" + std::to_string(where.begin.column) + ": " +
          std::string(what);
 }
--- a/src/core/protocol_listener.hpp
+++ b/src/core/protocol_listener.hpp
@@ -1,6 +1,6 @@
 // What the sidecar's phase asks of a listener, whatever its protocol.
-#ifndef MERLINRUN_CORE_FRONT_HPP_
-#define MERLINRUN_CORE_FRONT_HPP_
+#ifndef MERLINRUN_CORE_PROTOCOL_LISTENER_HPP_
+#define MERLINRUN_CORE_PROTOCOL_LISTENER_HPP_
 
 #include <cstddef>
 
@@ -9,9 +9,9 @@
 namespace merlinrun::core {
 
 // A listener of any protocol, with the connections that it took.
-class Front {
+class ProtocolListener {
  public:
-  virtual ~Front() = default;
+  virtual ~ProtocolListener() = default;
   // While it drains, clients are told, in the protocol's own way, to take their next request elsewhere.
   virtual void SetDraining(bool draining) = 0;
   // Accepts what has connected already, then no more.
@@ -27,4 +27,4 @@
 
 }  // namespace merlinrun::core
 
-#endif  // MERLINRUN_CORE_FRONT_HPP_
+#endif  // MERLINRUN_CORE_PROTOCOL_LISTENER_HPP_
--- a/src/diameter/io/front.cpp
+++ b/src/diameter/io/front.cpp
@@ -54,7 +54,7 @@
   }
 
   void Deliver(core::MessagePtr answer) override {
-    taken_.End(stats::Ending::kOk);
+    taken_.Finish(stats::RequestResult::kOk);
     Pass(std::move(answer));
   }
   void Pass(core::MessagePtr answer) {
@@ -62,7 +62,7 @@
   }
   // Nothing has run, so nothing needs to be remembered: it may be sent again and is new then.
   void Refuse(Micros retry_after) override {
-    taken_.End(stats::Ending::kShed);
+    taken_.Finish(stats::RequestResult::kShed);
     char text[48] = "refused";
     if (retry_after > 0)
       std::snprintf(text, sizeof text, "refused; retry after %.3f s",
@@ -70,7 +70,7 @@
     front_.Finish(key_, Own(ResultCode::kTooBusy, text), proxy_info_, /*keep=*/false);
   }
   void Fail(core::FailureReason why, core::MessagePtr answer) override {
-    taken_.End(stats::Ending::kError);
+    taken_.Finish(stats::RequestResult::kError);
     if (answer != nullptr) return Pass(std::move(answer));  // the server's own words say more
     const char* const text =
         why == core::FailureReason::kDeadlineExceeded ? "out of time" : "failed; it may have run";
@@ -87,11 +87,11 @@
   const std::string proxy_info_;
   std::string session_;
   const bool keep_;
-  stats::Taken taken_;
+  stats::ActiveRequestGuard taken_;
 };
 
 Front::Front(boost::asio::io_context& io, core::Loop& loop, const std::vector<Listener>& listeners,
-             Limits limits, const Application& application, const Identity& self, net::Budget& budget,
+             Limits limits, const Application& application, const Identity& self, net::MemoryBudget& budget,
              stats::Counters& counters, core::RequestManager& exchanges, Upstream& upstream,
              std::uint64_t seed)
     : loop_(loop),
@@ -285,7 +285,7 @@
     return say(ResultCode::kUnableToComply, "a request of this id is under way");
   auto message = std::make_unique<RequestMessage>();
   // Twice: the request is copied when it is sent on.
-  if (!message->charge.Take(budget_, 2 * request.avps.size()))
+  if (!message->charge.Reserve(budget_, 2 * request.avps.size()))
     return say(ResultCode::kTooBusy, "out of memory for requests");
   if (!recall_.Begin(loop_.Now(), key, digest, waiter))
     return say(ResultCode::kTooBusy, "too many requests to remember");
--- a/src/diameter/io/front.hpp
+++ b/src/diameter/io/front.hpp
@@ -21,12 +21,12 @@
 #include "diameter/io/peer_host.hpp"
 #include "diameter/io/upstream.hpp"
 #include "diameter/recall.hpp"
-#include "net/budget.hpp"
+#include "net/memory_budget.hpp"
 #include "stats/counters.hpp"
 
 namespace merlinrun::diameter {
 
-class Front : public core::Front {
+class Front : public core::ProtocolListener {
  public:
   struct Limits {
     // Connections that have not said who they are; one more makes the oldest of them go.
@@ -44,8 +44,8 @@
   // Throws boost::system::system_error if an address cannot be listened on. All that it is given must outlive
   // it.
   Front(boost::asio::io_context& io, core::Loop& loop, const std::vector<Listener>& listeners, Limits limits,
-        const Application& application, const Identity& self, net::Budget& budget, stats::Counters& counters,
-        core::RequestManager& exchanges, Upstream& upstream, std::uint64_t seed);
+        const Application& application, const Identity& self, net::MemoryBudget& budget,
+        stats::Counters& counters, core::RequestManager& exchanges, Upstream& upstream, std::uint64_t seed);
   ~Front() override;
   Front(const Front&) = delete;
   Front& operator=(const Front&) = delete;
@@ -86,7 +86,7 @@
   const Limits limits_;
   const Application& application_;
   const Identity& self_;
-  net::Budget& budget_;
+  net::MemoryBudget& budget_;
   stats::Counters& counters_;
   core::RequestManager& exchanges_;
   Upstream& upstream_;
--- a/src/diameter/io/messages.hpp
+++ b/src/diameter/io/messages.hpp
@@ -8,7 +8,7 @@
 #include "core/request_manager.hpp"
 #include "diameter/application.hpp"
 #include "diameter/codec.hpp"
-#include "net/budget.hpp"
+#include "net/memory_budget.hpp"
 
 namespace merlinrun::diameter {
 
@@ -19,7 +19,7 @@
   diameter::Message message;
   std::string from;  // the peer that it came from
   AvpAt deadline;    // the AVP to be told how much time is left
-  net::Charge charge;
+  net::MemoryReservation charge;
 };
 
 struct AnswerMessage : core::Message {
--- a/src/diameter/io/node.cpp
+++ b/src/diameter/io/node.cpp
@@ -98,7 +98,7 @@
 
 Node::~Node() = default;
 
-void Node::Listen(net::Budget& budget, stats::Counters& counters, core::RequestManager& exchanges) {
+void Node::Listen(net::MemoryBudget& budget, stats::Counters& counters, core::RequestManager& exchanges) {
   Front::Limits limits;
   limits.connection = ConnectionLimits(application_);
   front_ = std::make_unique<Front>(io_, loop_, listeners_, limits, application_, identity_, budget, counters,
--- a/src/diameter/io/node.hpp
+++ b/src/diameter/io/node.hpp
@@ -30,7 +30,7 @@
   ~Node();
 
   // Throws boost::system::system_error if an address cannot be listened on.
-  void Listen(net::Budget& budget, stats::Counters& counters, core::RequestManager& exchanges);
+  void Listen(net::MemoryBudget& budget, stats::Counters& counters, core::RequestManager& exchanges);
 
   void Apply(bool whole, const std::vector<ServerAddress>& servers);
   // The bit for ServerInfo::fronts if the server can be reached over Diameter, else 0.
--- a/src/diameter/io/upstream.cpp
+++ b/src/diameter/io/upstream.cpp
@@ -165,7 +165,7 @@
   const Message message = std::move(*std::exchange(pending.waiting, std::nullopt));
   const auto end = server.host->Send(message);
   if (!end) return ResolveLater(attempt, Result::kUnreachable);
-  if (counters_ != nullptr) ++counters_->tries;
+  if (counters_ != nullptr) ++counters_->attempts_sent;
   pending.sent = message.header;
   pending.connection = server.host->open();
   pending.end = *end;
--- a/src/fleet/settings.cpp
+++ b/src/fleet/settings.cpp
@@ -7,7 +7,7 @@
 namespace merlinrun::fleet {
 namespace {
 
-using config::Wrong;
+using config::FormatTomlError;
 
 struct Key {
   std::string_view name;
@@ -39,17 +39,19 @@
     Manners out;
     for (const auto& [name, node] : root) {
       const Key* key = Find(name.str());
-      if (key == nullptr) return Wrong(node.source(), file, "'" + std::string(name.str()) + "' is unknown");
+      if (key == nullptr)
+        return FormatTomlError(node.source(), file, "'" + std::string(name.str()) + "' is unknown");
       const auto value = node.value<std::int64_t>();
       if (!node.is_integer() || *value < key->least || *value > key->most)
-        return Wrong(node.source(), file,
-                     std::string(key->name) + ": a whole number from " + std::to_string(key->least) + " to " +
-                         std::to_string(key->most) + " is needed");
+        return FormatTomlError(node.source(), file,
+                               std::string(key->name) + ": a whole number from " +
+                                   std::to_string(key->least) + " to " + std::to_string(key->most) +
+                                   " is needed");
       key->set(out, *value);
     }
     return out;
   } catch (const toml::parse_error& error) {
-    return Wrong(error.source(), file, error.description());
+    return FormatTomlError(error.source(), file, error.description());
   }
 }
 
--- a/src/handover/channel.cpp
+++ b/src/handover/channel.cpp
@@ -116,7 +116,7 @@
   if (::poll(&wait, 1, kAnswerMs) == 1) answer = Receive(socket.get());
   if (!answer || answer->closed) return Complain("no answer from the running process"), std::nullopt;
   std::string error;
-  const auto holding = ReadHolding(answer->text, error);
+  const auto holding = ParseHeldResources(answer->text, error);
   if (!holding) return Complain(error), std::nullopt;
   if (!answer->descriptor || !IsListener(answer->descriptor.get()))
     return Complain("no listener from the running process"), std::nullopt;
--- a/src/handover/channel.hpp
+++ b/src/handover/channel.hpp
@@ -32,7 +32,7 @@
 
 // What the new process has been given.
 struct Claim {
-  Holding holding;
+  HeldResources holding;
   Descriptor listener;
   Descriptor channel;
 };
@@ -66,9 +66,9 @@
 class Door {
  public:
   struct Events {
-    std::function<Holding()> holding;   // of this moment
-    std::function<void()> on_newcomer;  // it has been given the listener
-    std::function<void()> on_serving;   // it serves; nobody is listened for from here on
+    std::function<HeldResources()> holding;  // of this moment
+    std::function<void()> on_newcomer;       // it has been given the listener
+    std::function<void()> on_serving;        // it serves; nobody is listened for from here on
     std::function<void()>
         on_lost;  // the newcomer has gone and nobody serves for it; the path is listened at again
   };
--- a/src/handover/terms.cpp
+++ b/src/handover/terms.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-std::string Write(const Holding& holding) {
+std::string Write(const HeldResources& holding) {
   return Json{{"program", kProgram},
               {"version", kVersion},
               {"evacuated", holding.evacuated},
@@ -30,7 +30,7 @@
       .dump();
 }
 
-std::optional<Holding> ReadHolding(std::string_view message, std::string& error) {
+std::optional<HeldResources> ParseHeldResources(std::string_view message, std::string& error) {
   const Json json = Json::parse(message, nullptr, /*allow_exceptions=*/false);
   if (!json.is_object() || json.value("program", Json()) != kProgram) {
     error = "not a message of this program";
@@ -47,7 +47,7 @@
     error = "a message that makes no sense";
     return std::nullopt;
   }
-  return Holding{evacuated->get<bool>(), *sockets, *memory};
+  return HeldResources{evacuated->get<bool>(), *sockets, *memory};
 }
 
 std::string PathFor(const std::string& folder, const std::string& address) {
--- a/src/handover/terms.hpp
+++ b/src/handover/terms.hpp
@@ -13,15 +13,15 @@
 inline constexpr std::size_t kMostMessage = 512;  // bytes; a longer one is cut and so not read
 
 // What the old process says: at first with its listening descriptor, then each time as it gives back.
-struct Holding {
+struct HeldResources {
   bool evacuated = false;   // its clients were told to go elsewhere
   std::size_t sockets = 0;  // descriptors that it holds
   std::size_t memory = 0;   // bytes of bodies and answers that it holds
 };
 
-std::string Write(const Holding& holding);
+std::string Write(const HeldResources& holding);
 // Empty, with one line in `error`, for what is cut, foreign or of another version.
-std::optional<Holding> ReadHolding(std::string_view message, std::string& error);
+std::optional<HeldResources> ParseHeldResources(std::string_view message, std::string& error);
 
 // The one thing that the new process says.
 inline constexpr std::string_view kServing = "serving";
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -47,14 +47,15 @@
   signals.async_wait([&](const boost::system::error_code& error, int) {
     if (!error) sidecar.Stop([&io] { io.stop(); });
   });
-  sidecar.OnOutlived([&] { sidecar.Stop([&io] { io.stop(); }); });
+  sidecar.OnReplaced([&] { sidecar.Stop([&io] { io.stop(); }); });
   try {
     sidecar.Start();
   } catch (const boost::system::system_error& error) {
     std::fprintf(stderr, "fennelhollow: cannot listen: %s\n", error.what());
     return 1;
   }
-  merlinrun::net::RunToTheEnd(io, [](const char* what) { std::fprintf(stderr, "fennelhollow: %s\n", what); });
+  merlinrun::net::RunUntilStopped(io,
+                                  [](const char* what) { std::fprintf(stderr, "fennelhollow: %s\n", what); });
   return 0;
 }
 
--- a/src/mesh/egress/http_server.cpp
+++ b/src/mesh/egress/http_server.cpp
@@ -207,7 +207,7 @@
   bool TakeHead() {
     headed_ = true;
     auto& head = parser_->get();
-    merlinrun::net::UseOriginForm(head);
+    merlinrun::net::ConvertToOriginForm(head);
     version_ = head.version();
     if (static_cast<std::size_t>(std::distance(head.begin(), head.end())) > kMostFields)
       return Reject(431, "too many header fields"), false;
@@ -360,7 +360,7 @@
   State state_ = State::kReading;
   std::string in_, out_;
   std::size_t written_ = 0, charged_ = 0;
-  std::optional<http::request_parser<merlinrun::net::GatheredBody>> parser_;
+  std::optional<http::request_parser<merlinrun::net::IncrementalBody>> parser_;
   Clock::time_point since_;
   unsigned version_ = 11;
   bool begun_ = false, headed_ = false, keep_ = true, chunked_ = false, head_request_ = false;
--- a/src/mesh/egress/outbound_proxy.cpp
+++ b/src/mesh/egress/outbound_proxy.cpp
@@ -508,7 +508,7 @@
 void OutboundProxy::Refuse(const HttpServer::SessionPtr& session, unsigned status, const char* why,
                            Micros retry_after) {
   Headers headers{{"Content-Type", "application/json"}};
-  if (retry_after > 0) headers.emplace_back("Retry-After", merlinrun::net::Seconds(retry_after));
+  if (retry_after > 0) headers.emplace_back("Retry-After", merlinrun::net::FormatSeconds(retry_after));
   HttpServer::Respond(session, status, headers, "{\"error\":\"" + std::string(why) + "\"}\n");
 }
 
--- a/src/mesh/ingress/server_pool.cpp
+++ b/src/mesh/ingress/server_pool.cpp
@@ -350,7 +350,7 @@
   Handle handle_ = 0;
   Events events_;
   std::string id_, out_, body_, rest_out_, in_;
-  std::optional<http::response_parser<merlinrun::net::GatheredBody>> parser_;
+  std::optional<http::response_parser<merlinrun::net::IncrementalBody>> parser_;
   int stray_responses_ = 0;
   bool up_ = false, closed_ = false, watching_ = false, writing_ = false, paused_ = false, rests_ = false;
   bool headed_ = false, stray_ = false, sent_any_ = false, is_head_ = false;
--- a/src/mesh/node/control_listener.cpp
+++ b/src/mesh/node/control_listener.cpp
@@ -23,8 +23,8 @@
 using control::Refusal;
 using control::TryAgain;
 using merlinrun::net::ErrorCode;
-using merlinrun::net::GatheredBody;
 using merlinrun::net::HttpResponse;
+using merlinrun::net::IncrementalBody;
 using merlinrun::net::Tcp;
 
 namespace {
@@ -250,7 +250,7 @@
   std::uint64_t timer_count_ = 0;
   std::uint64_t turn_ = 0;  // one for each call and one for its answer
   beast::flat_buffer buffer_;
-  std::optional<http::parser<true, GatheredBody>> parser_;
+  std::optional<http::parser<true, IncrementalBody>> parser_;
   HttpResponse response_;
   std::size_t charged_ = 0;
   std::size_t linger_left_ = 0;
--- a/src/mesh/node/main.cpp
+++ b/src/mesh/node/main.cpp
@@ -147,7 +147,7 @@
   }
   Reporter reporter(io, report_s, [&] { return sidecar ? sidecar->StatusText() : core->StatusText(); });
   LOG(INFO) << settings->node_name << " runs as " << (sidecar ? "sidecar" : "core");
-  merlinrun::net::RunToTheEnd(io, [](const char* what) { LOG(ERROR) << what; });
+  merlinrun::net::RunUntilStopped(io, [](const char* what) { LOG(ERROR) << what; });
   return 0;
 }
 
--- a/src/mesh/node/sidecar.cpp
+++ b/src/mesh/node/sidecar.cpp
@@ -256,7 +256,7 @@
     auto at = merlinrun::net::ParseAddress(internal);
     if (!at) return {};
     at->port(static_cast<std::uint16_t>(at->port() + 1));
-    return merlinrun::net::Text(*at);
+    return merlinrun::net::FormatAddress(*at);
   }
 
   // What the gossip hears is advice to the push. Apart from Impl: both sinks have an OnCores.
--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -26,7 +26,7 @@
 }
 
 // The form that ParseAddress reads.
-inline std::string Text(const boost::asio::ip::tcp::endpoint& address) {
+inline std::string FormatAddress(const boost::asio::ip::tcp::endpoint& address) {
   return address.address().to_string() + ":" + std::to_string(address.port());
 }
 
--- a/src/net/asio_loop.cpp
+++ b/src/net/asio_loop.cpp
@@ -76,7 +76,7 @@
 
 std::unique_ptr<core::Timer> AsioLoop::NewTimer() { return std::make_unique<AsioTimer>(io_); }
 
-void RunToTheEnd(asio::io_context& io, const std::function<void(const char* what)>& say) {
+void RunUntilStopped(asio::io_context& io, const std::function<void(const char* what)>& say) {
   for (;;) {
     try {
       io.run();
--- a/src/net/asio_loop.hpp
+++ b/src/net/asio_loop.hpp
@@ -25,7 +25,7 @@
 
 // Runs the loop until it is stopped. What escapes a handler ends that handler and not the process, with all
 // that it holds; `say` is told.
-void RunToTheEnd(asio::io_context& io, const std::function<void(const char* what)>& say);
+void RunUntilStopped(asio::io_context& io, const std::function<void(const char* what)>& say);
 
 }  // namespace merlinrun::net
 
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -82,7 +82,8 @@
   const Json& limits = json.at("limits");
   config.sockets = limits.value("sockets", static_cast<std::uint64_t>(config.sockets));
   const double megabytes = limits.value("memory_mb", 64.0);
-  if (config.sockets < kLeastSockets) throw ConfigError("limits.sockets: under 64, too few to work with");
+  if (config.sockets < kMinFileDescriptors)
+    throw ConfigError("limits.sockets: under 64, too few to work with");
   if (!(megabytes >= 16 && megabytes <= 1e9))
     throw ConfigError("limits.memory_mb: under 16, too few to work with");
   config.memory = static_cast<std::size_t>(megabytes * (1 << 20));
@@ -109,7 +110,7 @@
     config.ops = Address(json, "ops", ops);
   config.seed = Seed(json);
   TakeLimits(json, config);
-  config.wire = drill::ParseSettings(Flatten(json.at("settings")));
+  config.wire = drill::ParseSettings(FlattenSettings(json.at("settings")));
   config.known = Known(json, config.wire);
   if (config.wire.settings.peers) TakePeers(json, config);
   return config;
@@ -140,7 +141,7 @@
   return text;
 }
 
-std::string Flatten(const Json& settings) {
+std::string FlattenSettings(const Json& settings) {
   std::string out;
   FlattenInto(settings, "", out);
   if (!out.empty()) out.pop_back();  // the last space
--- a/src/net/config.hpp
+++ b/src/net/config.hpp
@@ -22,7 +22,7 @@
 };
 
 // Fewer descriptors than this are too few to work with.
-inline constexpr std::size_t kLeastSockets = 64;
+inline constexpr std::size_t kMinFileDescriptors = 64;
 
 struct Config {
   std::string name;
@@ -45,7 +45,7 @@
 };
 
 // The settings in the form that the adapter reads, path=value pairs: one mapping of names serves both.
-std::string Flatten(const nlohmann::json& settings);
+std::string FlattenSettings(const nlohmann::json& settings);
 
 // All of a file. Throws ConfigError, with one plain line, if it cannot be had.
 std::string ReadFile(const std::string& path);
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -167,7 +167,7 @@
 
   Discovery* owner_;  // null once the watch is over
   beast::tcp_stream tcp_;
-  beast::flat_buffer buffer_{kMostUnparsed};
+  beast::flat_buffer buffer_{kMaxUnparsed};
   http::request<http::empty_body> request_;
   http::response_parser<http::buffer_body> parser_;
   std::array<char, kReadSize> piece_{};
--- a/src/net/http_front.cpp
+++ b/src/net/http_front.cpp
@@ -39,7 +39,7 @@
   HttpRequest out(request.method(), request.target(), 11);
   for (const char* name : kRequestHeaders)
     if (const auto it = request.find(name); it != request.end()) out.set(name, it->value());
-  out.set(kDeadlineHeader, Seconds(left));
+  out.set(kDeadlineHeader, FormatSeconds(left));
   out.body() = request.body();
   out.prepare_payload();
   return out;
@@ -63,16 +63,16 @@
   }
 
   void Refuse(Micros retry_after) override {
-    HttpResponse response = Plain(http::status::service_unavailable, "refused\n");
-    if (retry_after > 0) response.set(http::field::retry_after, Seconds(retry_after));
+    HttpResponse response = TextResponse(http::status::service_unavailable, "refused\n");
+    if (retry_after > 0) response.set(http::field::retry_after, FormatSeconds(retry_after));
     Inbound::Respond(session_, std::move(response), {});
   }
 
   void Fail(core::FailureReason why, core::MessagePtr) override {
     Inbound::Respond(session_,
                      why == core::FailureReason::kDeadlineExceeded
-                         ? Plain(http::status::gateway_timeout, "out of time\n")
-                         : Plain(http::status::bad_gateway, "failed\n"),
+                         ? TextResponse(http::status::gateway_timeout, "out of time\n")
+                         : TextResponse(http::status::bad_gateway, "failed\n"),
                      {});
   }
 
@@ -97,7 +97,7 @@
 }
 
 HttpFront::HttpFront(asio::io_context& io, const Inbound::Listening& listening, Inbound::Limits limits,
-                     Budget& budget, stats::Counters& counters, core::RequestManager& request_manager,
+                     MemoryBudget& budget, stats::Counters& counters, core::RequestManager& request_manager,
                      core::Egress& egress, std::function<bool()> ready)
     : request_manager_(request_manager),
       egress_(egress),
@@ -111,11 +111,11 @@
                 },
                 [this](const std::string& id) { request_manager_.OnClientGone(id); }, std::move(ready)}) {}
 
-std::optional<Fault> HttpFront::Check(const HttpRequest& request, int request_class) const {
-  if (request_class < 0) return Fault{http::status::not_found, "unknown Req-Kind\n"};
+std::optional<RequestError> HttpFront::Check(const HttpRequest& request, int request_class) const {
+  if (request_class < 0) return RequestError{http::status::not_found, "unknown Req-Kind\n"};
   if (request_manager_.Contains(std::string(View(request[kIdHeader]))))
-    return Fault{http::status::conflict, "Req-Id is in use\n"};
-  return CheckAgainstClass(
+    return RequestError{http::status::conflict, "Req-Id is in use\n"};
+  return ValidateForClass(
       request, request_manager_.settings().classes[static_cast<std::size_t>(request_class)].repeat);
 }
 
@@ -129,7 +129,7 @@
   arrival.tenant = core::TenantIndex(settings, View(request[kTenantHeader]));
   if (const auto seconds = ParseDecimal(View(request[kDeadlineHeader])))
     arrival.client_timeout = static_cast<Micros>(*seconds * kMicrosASecond);
-  arrival.is_retry = request[kRepeatHeader] == "1";
+  arrival.is_retry = request[kRetryHeader] == "1";
   arrival.write = request.method() != http::verb::get;
   if (const auto cost = ParseDecimal(View(request[kCostHeader])); cost && *cost < 1e12)
     arrival.cost = static_cast<Micros>(*cost);
--- a/src/net/http_front.hpp
+++ b/src/net/http_front.hpp
@@ -8,10 +8,10 @@
 #include <optional>
 #include <string>
 
-#include "budget.hpp"
 #include "core/protocol_listener.hpp"
 #include "core/request_manager.hpp"
 #include "inbound.hpp"
+#include "memory_budget.hpp"
 #include "upstream.hpp"
 
 namespace merlinrun::net {
@@ -27,13 +27,13 @@
   Upstream& upstream_;
 };
 
-class HttpFront : public core::Front {
+class HttpFront : public core::ProtocolListener {
  public:
   // Throws boost::system::system_error if the address cannot be listened on. All that it is given must
   // outlive it.
-  HttpFront(asio::io_context& io, const Inbound::Listening& listening, Inbound::Limits limits, Budget& budget,
-            stats::Counters& counters, core::RequestManager& request_manager, core::Egress& egress,
-            std::function<bool()> ready);
+  HttpFront(asio::io_context& io, const Inbound::Listening& listening, Inbound::Limits limits,
+            MemoryBudget& budget, stats::Counters& counters, core::RequestManager& request_manager,
+            core::Egress& egress, std::function<bool()> ready);
 
   void SetDraining(bool draining) override { inbound_.SetDraining(draining); }
   void StopAccepting() override { inbound_.StopAccepting(); }
@@ -48,7 +48,7 @@
 
  private:
   void OnRequest(const Inbound::SessionPtr& session, Inbound::Request from, int request_class);
-  std::optional<Fault> Check(const HttpRequest& request, int request_class) const;
+  std::optional<RequestError> Check(const HttpRequest& request, int request_class) const;
 
   core::RequestManager& request_manager_;
   core::Egress& egress_;
--- a/src/net/inbound.cpp
+++ b/src/net/inbound.cpp
@@ -24,18 +24,18 @@
 constexpr std::size_t kMostLingering = std::size_t{256} * 1024;
 // What a client sends of a large body whose answer it has already is read so far, so that it gets to see
 // that.
-constexpr std::size_t kMostUploadLingering = kMostStreamed + kMostLingering;
+constexpr std::size_t kMostUploadLingering = kMaxStreamedBody + kMostLingering;
 // Connections over the limit that are held at once to be told so.
 constexpr std::size_t kMostTurnedAway = 8;
 
 struct Incoming {
   Incoming() {
     parser.eager(false);  // the header alone: it is checked before the body begins
-    parser.header_limit(kMostHeader);
-    parser.body_limit(kMostStreamed);
+    parser.header_limit(kMaxHeader);
+    parser.body_limit(kMaxStreamedBody);
   }
 
-  http::request_parser<GatheredBody> parser;
+  http::request_parser<IncrementalBody> parser;
   bool begun = false;
   std::size_t come = 0;        // bytes of its body
   Clock::time_point head_at;   // when its head was whole
@@ -71,7 +71,7 @@
     return now - since_ >= std::chrono::microseconds(time);
   }
 
-  void Respond(HttpResponse response, Charge charge) {
+  void Respond(HttpResponse response, MemoryReservation charge) {
     if (state_ != State::kBusy) return;
     Become(State::kWriting);
     EndUpload();
@@ -84,7 +84,7 @@
   }
 
   void Stream(HttpResponse head, std::shared_ptr<Pipe> body, std::optional<std::uint64_t> length,
-              Charge charge) {
+              MemoryReservation charge) {
     if (state_ != State::kBusy) return body->Leave();
     Become(State::kWriting);
     EndUpload();
@@ -110,13 +110,14 @@
         [self = shared_from_this()](ErrorCode error, std::size_t) { self->OnPieceWritten(error, 0); });
   }
 
-  void Reject(const Fault& fault) {
+  void Reject(const RequestError& fault) {
     if (state_ != State::kBusy && state_ != State::kReading) return;
     // Turned away before it was taken, and yet its client sees a request of this class end.
-    if (state_ == State::kReading && request_class_ >= 0) taken_ = {owner_.counters_, request_class_};
+    if (state_ == State::kReading && request_class_ >= 0)
+      active_request_ = {owner_.counters_, request_class_};
     state_ = State::kBusy;
     keep_alive_ = false;
-    HttpResponse response = Plain(fault.status, fault.text);
+    HttpResponse response = TextResponse(fault.status, fault.text);
     // What has no room now may have in a moment.
     if (fault.status == http::status::service_unavailable) response.set(http::field::retry_after, "0.2");
     Respond(std::move(response), {});
@@ -162,7 +163,7 @@
     state_ = State::kClosed;
     charge_ = {};
     answer_charge_ = {};
-    taken_.Drop();
+    active_request_.Drop();
     EndUpload();
     if (answer_ != nullptr) std::exchange(answer_, nullptr)->Leave();
     ErrorCode ignored;
@@ -199,7 +200,7 @@
   }
 
   // What has come so far is no request, and its servers hear no more of it.
-  void EndCutUpload(const Fault& fault) {
+  void EndCutUpload(const RequestError& fault) {
     EndUpload();
     if (!request_.empty()) owner_.events_.on_gone(request_);
     Reject(fault);
@@ -243,7 +244,7 @@
 
   // The client can tell: no last chunk, a length not met, or a reset.
   void BreakOff() {
-    taken_.End(stats::Ending::kError);
+    active_request_.Finish(stats::RequestResult::kError);
     ErrorCode ignored;
     socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     Close();
@@ -309,7 +310,7 @@
   }
 
   // Parses what has come; what is wrong with it, if anything.
-  std::optional<Fault> Consume() {
+  std::optional<RequestError> Consume() {
     auto& parser = parser_->parser;
     const auto now = Clock::now();
     while (buffer_.size() > 0 && !parser.is_done()) {
@@ -327,11 +328,11 @@
       const std::size_t held = parser.get().body().size();
       parser_->come += held - had;
       // One of unknown length, as the others were counted at their heads.
-      if (parser.chunked() && !charge_.Grow(owner_.budget_, 2 * ChargeFor(held))) return NoMemory();
+      if (parser.chunked() && !charge_.Grow(owner_.budget_, 2 * ReservationFor(held))) return NoMemory();
       if (error) break;
     }
     parser_->piece_at = now;
-    if (buffer_.size() == 0) buffer_ = beast::flat_buffer(kMostUnparsed);  // an idle connection holds none
+    if (buffer_.size() == 0) buffer_ = beast::flat_buffer(kMaxUnparsed);  // an idle connection holds none
     return std::nullopt;
   }
 
@@ -339,17 +340,17 @@
     if (const auto fault = Consume()) return Reject(*fault);
     auto& parser = parser_->parser;
     if (parser.is_done()) return Dispatch({TakeMessage(parser), nullptr, {}, 0});
-    if (parser.is_header_done() && parser.get().body().size() >= kMostBody) DispatchLarge();
+    if (parser.is_header_done() && parser.get().body().size() >= kMaxBufferedBody) DispatchLarge();
   }
 
   // A body that is more than is held whole goes on while it comes.
   void DispatchLarge() {
     auto& parser = parser_->parser;
     Request request;
-    request.rest = std::make_shared<Pipe>(kPipeSize);
+    request.rest = std::make_shared<Pipe>(kPipeCapacity);
     if (const auto length = parser.content_length()) request.length = *length;
     request.upload = owner_.limits_.body_grace + owner_.limits_.body_pause +
-                     TimeFor(request.length.value_or(kMostStreamed));
+                     TimeFor(request.length.value_or(kMaxStreamedBody));
     request.rest->Write(std::exchange(parser.get().body(), {}));
     request.head = HttpRequest(parser.get().base());  // a copy: the parser has use for its own
     upload_ = request.rest;
@@ -371,25 +372,27 @@
     return static_cast<Micros>(static_cast<double>(bytes) / owner_.limits_.body_rate * kMicrosASecond);
   }
 
-  static Fault FaultOf(ErrorCode error) {
+  static RequestError FaultOf(ErrorCode error) {
     if (error == http::error::body_limit) return {http::status::payload_too_large, "too large\n"};
     if (error == http::error::header_limit)
       return {http::status::request_header_fields_too_large, "header too large\n"};
     return {http::status::bad_request, "malformed request\n"};
   }
 
-  static Fault NoMemory() { return {http::status::service_unavailable, "out of memory for requests\n"}; }
+  static RequestError NoMemory() {
+    return {http::status::service_unavailable, "out of memory for requests\n"};
+  }
 
   // What is wrong shows in the header: guards against reading, keeping or passing on what follows it.
-  std::optional<Fault> TakeHeader() {
+  std::optional<RequestError> TakeHeader() {
     auto& parser = parser_->parser;
-    UseOriginForm(parser.get());
+    ConvertToOriginForm(parser.get());
     if (parser.get().target() != kReadyPath) request_class_ = owner_.events_.class_of(parser.get());
-    if (const auto fault = CheckRequest(parser.get())) return fault;
+    if (const auto fault = ValidateRequest(parser.get())) return fault;
     // Twice: the request is copied when it is sent on.
     const std::size_t size = std::min<std::size_t>(
-        kMostBody, parser.chunked() ? kFirstCharge : parser.content_length().value_or(0));
-    if (!charge_.Take(owner_.budget_, 2 * size)) return NoMemory();
+        kMaxBufferedBody, parser.chunked() ? kInitialReservation : parser.content_length().value_or(0));
+    if (!charge_.Reserve(owner_.budget_, 2 * size)) return NoMemory();
     parser.eager(true);
     if (parser.get().count(http::field::expect) > 0 && !parser.is_done()) Continue();
     return std::nullopt;
@@ -410,12 +413,12 @@
     if (request.target() == kReadyPath) {
       request_.clear();
       const bool ready = owner_.events_.ready();
-      return Respond(Plain(ready ? http::status::ok : http::status::service_unavailable,
-                           ready ? "ready\n" : "not yet\n"),
+      return Respond(TextResponse(ready ? http::status::ok : http::status::service_unavailable,
+                                  ready ? "ready\n" : "not yet\n"),
                      {});
     }
     request_ = std::string(View(request[kIdHeader]));
-    taken_ = {owner_.counters_, request_class_};
+    active_request_ = {owner_.counters_, request_class_};
     try {
       owner_.events_.on_request(shared_from_this(), std::move(from), request_class_);
     } catch (const std::exception&) {
@@ -427,7 +430,7 @@
   void OnWritten(ErrorCode error) {
     if (state_ == State::kClosed) return;
     if (error) return Close();
-    taken_.End(stats::EndingOf(response_.result_int()));
+    active_request_.Finish(stats::ResultForStatus(response_.result_int()));
     request_class_ = -1;
     const bool close = !response_.keep_alive();
     response_ = {};
@@ -448,13 +451,13 @@
     ErrorCode error;
     socket_.shutdown(Tcp::socket::shutdown_send, error);
     if (error) return Close();
-    buffer_ = beast::flat_buffer(kMostUnparsed);
+    buffer_ = beast::flat_buffer(kMaxUnparsed);
     Read();
   }
 
   Inbound& owner_;
   Tcp::socket socket_;
-  beast::flat_buffer buffer_{kMostUnparsed};
+  beast::flat_buffer buffer_{kMaxUnparsed};
   std::optional<Incoming> parser_;
   HttpResponse response_;
   std::shared_ptr<Pipe> upload_;  // the body that comes still and goes on already
@@ -465,11 +468,11 @@
   bool piece_out_ = false;
   bool chunked_ = false;
   unsigned version_ = 11;
-  std::string request_;     // the id of the one that is held
-  int request_class_ = -1;  // of the one that is read or held; -1 = none
-  stats::Taken taken_;      // the one that is held
-  Charge charge_;           // of the request
-  Charge answer_charge_;
+  std::string request_;                       // the id of the one that is held
+  int request_class_ = -1;                    // of the one that is read or held; -1 = none
+  stats::ActiveRequestGuard active_request_;  // the one that is held
+  MemoryReservation charge_;                  // of the request
+  MemoryReservation answer_charge_;
   State state_ = State::kReading;
   Clock::time_point since_;  // the beginning of what the state's time limit counts from
   std::size_t lingered_ = 0;
@@ -497,7 +500,7 @@
 
 }  // namespace
 
-Inbound::Inbound(asio::io_context& io, const Listening& listening, Limits limits, Budget& budget,
+Inbound::Inbound(asio::io_context& io, const Listening& listening, Limits limits, MemoryBudget& budget,
                  stats::Counters& counters, Events events)
     : io_(io),
       limits_(limits),
@@ -516,16 +519,16 @@
   for (const SessionPtr& session : sessions_) session->Abandon();
 }
 
-void Inbound::Respond(const SessionPtr& session, HttpResponse response, Charge charge) {
+void Inbound::Respond(const SessionPtr& session, HttpResponse response, MemoryReservation charge) {
   session->Respond(std::move(response), std::move(charge));
 }
 
 void Inbound::Stream(const SessionPtr& session, HttpResponse head, std::shared_ptr<Pipe> body,
-                     std::optional<std::uint64_t> length, Charge charge) {
+                     std::optional<std::uint64_t> length, MemoryReservation charge) {
   session->Stream(std::move(head), std::move(body), length, std::move(charge));
 }
 
-void Inbound::Reject(const SessionPtr& session, const Fault& fault) { session->Reject(fault); }
+void Inbound::Reject(const SessionPtr& session, const RequestError& fault) { session->Reject(fault); }
 
 void Inbound::Accept() {
   if (!acceptor_.is_open() || paused_) return;
--- a/src/net/inbound.hpp
+++ b/src/net/inbound.hpp
@@ -10,7 +10,7 @@
 #include <optional>
 #include <string>
 
-#include "budget.hpp"
+#include "memory_budget.hpp"
 #include "merlinrun/balancer.hpp"
 #include "pipe.hpp"
 #include "protocol.hpp"
@@ -69,7 +69,7 @@
 
   // Throws boost::system::system_error if the address cannot be listened on.
   // Requests and their ends are counted in `counters`. Both references must outlive it.
-  Inbound(asio::io_context& io, const Listening& listening, Limits limits, Budget& budget,
+  Inbound(asio::io_context& io, const Listening& listening, Limits limits, MemoryBudget& budget,
           stats::Counters& counters, Events events);
   ~Inbound();
   Inbound(const Inbound&) = delete;
@@ -77,12 +77,12 @@
 
   // Answers the session's request; `charge` is held until the answer is written. Does nothing if the client
   // has gone.
-  static void Respond(const SessionPtr& session, HttpResponse response, Charge charge = {});
+  static void Respond(const SessionPtr& session, HttpResponse response, MemoryReservation charge = {});
   // The same with a body that comes still. When that breaks off, so does the client's connection.
   static void Stream(const SessionPtr& session, HttpResponse head, std::shared_ptr<Pipe> body,
-                     std::optional<std::uint64_t> length, Charge charge);
+                     std::optional<std::uint64_t> length, MemoryReservation charge);
   // The same for a request that is wrong: its connection is closed, as what is behind it cannot be trusted.
-  static void Reject(const SessionPtr& session, const Fault& fault);
+  static void Reject(const SessionPtr& session, const RequestError& fault);
 
   // While it drains each answer closes its connection.
   void SetDraining(bool draining) { draining_ = draining; }
@@ -111,7 +111,7 @@
 
   asio::io_context& io_;
   Limits limits_;
-  Budget& budget_;
+  MemoryBudget& budget_;
   stats::Counters& counters_;
   const Events events_;
   Tcp::acceptor acceptor_;
--- a/src/net/protocol.hpp
+++ b/src/net/protocol.hpp
@@ -23,37 +23,37 @@
 using HttpRequest = http::request<http::string_body>;
 using HttpResponse = http::response<http::string_body>;
 
-// What is held whole of a body; more goes through a pipe, up to kMostStreamed.
-inline constexpr std::size_t kMostBody = std::size_t{64} * 1024;
-inline constexpr std::size_t kMostStreamed = std::size_t{32} * 1024 * 1024;
+// What is held whole of a body; more goes through a pipe, up to kMaxStreamedBody.
+inline constexpr std::size_t kMaxBufferedBody = std::size_t{64} * 1024;
+inline constexpr std::size_t kMaxStreamedBody = std::size_t{32} * 1024 * 1024;
 // What a pipe holds, and what its ends hold besides while they read and write.
-inline constexpr std::size_t kPipeSize = kMostBody;
-inline constexpr std::size_t kPipeCharge = 2 * kPipeSize;
+inline constexpr std::size_t kPipeCapacity = kMaxBufferedBody;
+inline constexpr std::size_t kPipeReservation = 2 * kPipeCapacity;
 // What is set aside for a body of unknown length before it has come; it grows with it.
-inline constexpr std::size_t kFirstCharge = std::size_t{8} * 1024;
+inline constexpr std::size_t kInitialReservation = std::size_t{8} * 1024;
 // What is to be set aside for a body of which `come` bytes are held: doubled, so that it seldom grows.
-inline constexpr std::size_t ChargeFor(std::size_t come) {
-  return std::min(kMostBody, std::max(kFirstCharge, 2 * come));
+inline constexpr std::size_t ReservationFor(std::size_t come) {
+  return std::min(kMaxBufferedBody, std::max(kInitialReservation, 2 * come));
 }
 // The kernel's buffer for a stream's peer. Guards against a slow reader that shows no progress for long: a
 // writer is woken when a third of the buffer is free.
 inline constexpr int kStreamSendBuffer = 128 * 1024;
-inline constexpr std::size_t kMostHeader = std::size_t{8} * 1024;
+inline constexpr std::size_t kMaxHeader = std::size_t{8} * 1024;
 inline constexpr std::size_t kReadSize = std::size_t{8} * 1024;
 // What a connection holds unparsed: one header and one read.
-inline constexpr std::size_t kMostUnparsed = kMostHeader + kReadSize;
+inline constexpr std::size_t kMaxUnparsed = kMaxHeader + kReadSize;
 
 inline constexpr const char* kIdHeader = "Req-Id";
 inline constexpr const char* kClassHeader = "Req-Kind";
 inline constexpr const char* kTenantHeader = "Req-Owner";
 inline constexpr const char* kDeadlineHeader = "Req-Deadline";
-inline constexpr const char* kRepeatHeader = "Req-Retry";
+inline constexpr const char* kRetryHeader = "Req-Retry";
 inline constexpr const char* kCostHeader = "Req-Cost";
 inline constexpr const char* kExtraHeader = "Req-Extra";
 inline constexpr const char* kIdempotencyHeader = "Idempotency-Key";
 // What a request brings that the protocol names: passed on, and never more than once in a request.
 inline constexpr const char* kRequestHeaders[] = {"Host",        kIdHeader,       kClassHeader,
-                                                  kTenantHeader, kDeadlineHeader, kRepeatHeader,
+                                                  kTenantHeader, kDeadlineHeader, kRetryHeader,
                                                   kCostHeader,   kExtraHeader,    kIdempotencyHeader};
 inline constexpr const char* kDeclinedHeader = "Srv-Declined";
 inline constexpr const char* kKeyParameter = "obj";
@@ -61,7 +61,7 @@
 
 // A body as it comes, for parsers. The library's string would make room for the whole length that a header
 // claims.
-struct GatheredBody {
+struct IncrementalBody {
   using value_type = std::string;
   class reader {
    public:
@@ -69,7 +69,7 @@
     reader(http::header<kRequest, Fields>&, value_type& body) : body_(body) {}
     void init(const boost::optional<std::uint64_t>& length, ErrorCode& error) {
       error = {};
-      if (length) body_.reserve(static_cast<std::size_t>(std::min<std::uint64_t>(*length, kMostBody)));
+      if (length) body_.reserve(static_cast<std::size_t>(std::min<std::uint64_t>(*length, kMaxBufferedBody)));
     }
     template <class Buffers>
     std::size_t put(const Buffers& buffers, ErrorCode& error) {
@@ -91,14 +91,14 @@
 
 // The message of a parser that is done with it, or as far as it has come.
 template <bool kRequest>
-http::message<kRequest, http::string_body> TakeMessage(http::parser<kRequest, GatheredBody>& parser) {
+http::message<kRequest, http::string_body> TakeMessage(http::parser<kRequest, IncrementalBody>& parser) {
   http::message<kRequest, http::string_body> out(std::move(parser.get().base()));
   out.body() = std::move(parser.get().body());
   return out;
 }
 
 // An answer of the sidecar's own.
-inline HttpResponse Plain(http::status status, std::string text) {
+inline HttpResponse TextResponse(http::status status, std::string text) {
   HttpResponse response(status, 11);
   response.set(http::field::content_type, "text/plain");
   response.body() = std::move(text);
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -82,14 +82,14 @@
 
 void AddTo(record::Recorder& recorder, Micros now, const core::CompletedRequest& ended) {
   record::Record to;
-  to.arrived = ended.arrival_time;
+  to.arrival_time = ended.arrival_time;
   to.budget = ended.budget;
-  to.took = ended.duration;
-  to.its_class = static_cast<std::uint32_t>(ended.request_class);
+  to.duration = ended.duration;
+  to.request_class = static_cast<std::uint32_t>(ended.request_class);
   to.attempts = static_cast<std::uint32_t>(ended.attempts);
-  to.end = static_cast<record::End>(ended.disposition);
-  to.front = static_cast<std::uint8_t>(ended.protocol);
-  to.repeated = ended.is_retry;
+  to.disposition = static_cast<record::Disposition>(ended.disposition);
+  to.protocol = static_cast<std::uint8_t>(ended.protocol);
+  to.is_retry = ended.is_retry;
   recorder.Add(now, to, ended.id, ended.key);
 }
 
@@ -146,10 +146,10 @@
   if (const auto* error = std::get_if<std::string>(&read)) throw ConfigError(*error);
   const auto& settings = std::get<record::RecordingSettings>(read);
   record::Header header;
-  header.sidecar = record::Hasher(settings.salt)(config_.name);
-  header.began_us = static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(
-                                                   std::chrono::system_clock::now().time_since_epoch())
-                                                   .count());
+  header.sidecar_hash = record::Hasher(settings.salt)(config_.name);
+  header.start_time_us = static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(
+                                                        std::chrono::system_clock::now().time_since_epoch())
+                                                        .count());
   for (const RequestClass& c : config_.wire.settings.classes) header.classes.push_back(c.name);
   try {
     recorder_ = std::make_unique<record::Recorder>(record::OpenFile(settings.file, settings.most_bytes),
@@ -211,7 +211,7 @@
   Inbound::Listening listening{config_.listen, config_.ops.has_value()};
   if (config_.ops) {
     handover_timer_ = loop_.NewTimer();
-    handover_path_ = handover::PathFor(config_.temporary, Text(config_.listen));
+    handover_path_ = handover::PathFor(config_.temporary, FormatAddress(config_.listen));
     claim = handover::Ask(handover_path_);
     if (claim) listening.inherited = claim->listener.Release();
   }
@@ -244,7 +244,7 @@
       io_, std::move(claim.channel),
       handover::Channel::Events{[this](std::string_view message) {
                                   std::string error;
-                                  if (const auto held = handover::ReadHolding(message, error))
+                                  if (const auto held = handover::ParseHeldResources(message, error))
                                     ShareWith(*held);
                                 },
                                 [this] {
@@ -265,13 +265,13 @@
   OpenDoor();
 }
 
-void Sidecar::ShareWith(const handover::Holding& other) {
+void Sidecar::ShareWith(const handover::HeldResources& other) {
   Config left = config_;
-  left.sockets = handover::Left(config_.sockets, other.sockets, kLeastSockets);
+  left.sockets = handover::Left(config_.sockets, other.sockets, kMinFileDescriptors);
   http_->SetMost(HttpSessions(left));
   upstream_.SetMost(UpstreamLimits(left).connections);
   const std::size_t memory = BodyMemory(config_);
-  budget_.SetMost(other.sockets > 0 ? memory / 2 : memory);
+  budget_.SetLimit(other.sockets > 0 ? memory / 2 : memory);
 }
 
 void Sidecar::OpenDoor() {
@@ -279,13 +279,13 @@
   // A newcomer needs room for itself before it serves.
   const auto on_newcomer = [this] { ShareWith({false, handover::kNewcomer, 0}); };
   door_.emplace(io_, handover_path_, http_->listener(),
-                handover::Door::Events{[this] { return Holding(); }, on_newcomer, [this] { GiveWay(); },
+                handover::Door::Events{[this] { return HeldResources(); }, on_newcomer, [this] { GiveWay(); },
                                        [this] { GoOnAlone(); }});
 }
 
-handover::Holding Sidecar::Holding() const {
+handover::HeldResources Sidecar::HeldResources() const {
   const std::size_t servers = yielded_ > 0 ? upstream_most_ : upstream_.open_connections();
-  return {phase_->evacuated(), http_->sessions() + servers + OtherSockets(config_), budget_.held()};
+  return {phase_->evacuated(), http_->sessions() + servers + OtherSockets(config_), budget_.reserved()};
 }
 
 void Sidecar::GiveWay() {
@@ -293,16 +293,16 @@
   phase_->Yield();
   upstream_.CloseIdle();
   upstream_most_ = upstream_.open_connections() + kLastAttempts;
-  budget_.SetMost(BodyMemory(config_) / 2);
-  TellHolding();
+  budget_.SetLimit(BodyMemory(config_) / 2);
+  SendHeldResources();
 }
 
-void Sidecar::TellHolding() {
+void Sidecar::SendHeldResources() {
   upstream_most_ = std::min(upstream_most_, upstream_.open_connections() + kLastAttempts);
   upstream_.SetMost(upstream_most_);
   door_->Tell();
   if (loop_.Now() - yielded_ >= kOutlived && outlived_) return std::exchange(outlived_, nullptr)();
-  handover_timer_->Start(kTellEvery, [this] { TellHolding(); });
+  handover_timer_->Start(kTellEvery, [this] { SendHeldResources(); });
 }
 
 void Sidecar::GoOnAlone() {
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -12,7 +12,6 @@
 #include <vector>
 
 #include "asio_loop.hpp"
-#include "budget.hpp"
 #include "config.hpp"
 #include "core/request_manager.hpp"
 #include "diameter/io/node.hpp"
@@ -21,6 +20,7 @@
 #include "fleet/settings.hpp"
 #include "handover/channel.hpp"
 #include "http_front.hpp"
+#include "memory_budget.hpp"
 #include "ops/api.hpp"
 #include "ops/listener.hpp"
 #include "ops/phase.hpp"
@@ -44,7 +44,7 @@
   // Throws boost::system::system_error if an address cannot be had.
   void Start();
   // Called if another process has taken over and nobody has told this one to stop.
-  void OnOutlived(std::function<void()> outlived) { outlived_ = std::move(outlived); }
+  void OnReplaced(std::function<void()> outlived) { outlived_ = std::move(outlived); }
   // Follows the discovery of a new configuration, and the orders on zones as they are now; all else stays as
   // it was at the start. The list is kept until the new address has told its own.
   void Reload(const Config& config);
@@ -52,9 +52,9 @@
   void Stop(std::function<void()> finished);
 
   Tcp::endpoint address() const { return http_->address(); }
-  std::size_t requests_held() const { return request_manager_->active_requests(); }
+  std::size_t active_requests() const { return request_manager_->active_requests(); }
   // Bytes that bodies hold, or are promised.
-  std::size_t memory_held() const { return budget_.held(); }
+  std::size_t reserved_memory() const { return budget_.reserved(); }
   std::size_t upstream_connections() const { return upstream_.open_connections(); }
   // Where the operators call; none where no such address is configured.
   std::optional<Tcp::endpoint> ops_address() const;
@@ -76,18 +76,18 @@
   // Of a process that takes over.
   void Follow(handover::Claim claim);
   void TakeOver();
-  void ShareWith(const handover::Holding& other);
+  void ShareWith(const handover::HeldResources& other);
   // Of one that is taken over from.
   void OpenDoor();
-  handover::Holding Holding() const;
+  handover::HeldResources HeldResources() const;
   void GiveWay();
-  void TellHolding();
+  void SendHeldResources();
   void GoOnAlone();
 
   asio::io_context& io_;
   const Config config_;
   AsioLoop loop_;
-  Budget budget_;                               // before all that takes of it
+  MemoryBudget budget_;                         // before all that takes of it
   stats::Counters counters_;                    // and before all that counts
   std::unique_ptr<record::Recorder> recorder_;  // only where recording is on; outlives what tells it
   std::unique_ptr<core::RequestManager> request_manager_;
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -234,7 +234,7 @@
       timer_.cancel();
     }
     Drop();
-    if (!error) ++pool_.counters_.tries;  // given up or not: the server has it whole
+    if (!error) ++pool_.counters_.attempts_sent;  // given up or not: the server has it whole
     if (closed_) return;
     whole_ = !error;
     // An unfinished request is one that no server begins.
@@ -271,14 +271,15 @@
     if (!parser_->is_header_done()) return false;
     const std::size_t come = parser_->get().body().size();
     const auto length = parser_->content_length();
-    return come > kMostBody || (length && *length > kMostBody && come >= kFirstOfStream);
+    return come > kMaxBufferedBody || (length && *length > kMaxBufferedBody && come >= kFirstOfStream);
   }
 
   void BeginStream() {
     // What is large and no success is no use to anybody; it has run.
     if (ResultOf(parser_->get()) != Result::kSuccess) return Finish(Result::kError, {}, /*reuse=*/false);
     const auto self = shared_from_this();
-    UpstreamAnswer answer{Result::kSuccess, {}, std::move(charge_), std::make_shared<Pipe>(kPipeSize), {}};
+    UpstreamAnswer answer{
+        Result::kSuccess, {}, std::move(charge_), std::make_shared<Pipe>(kPipeCapacity), {}};
     if (const auto length = parser_->content_length()) answer.length = *length;
     answer_ = answer.rest;
     answer_->Write(std::exchange(parser_->get().body(), {}));
@@ -336,8 +337,8 @@
   void NextAnswer() {
     parser_.emplace();
     parser_->eager(false);  // the header alone: it is checked before the body begins
-    parser_->header_limit(kMostHeader);
-    parser_->body_limit(kMostStreamed);
+    parser_->header_limit(kMaxHeader);
+    parser_->body_limit(kMaxStreamedBody);
   }
 
   // False if it is no answer that the protocol knows.
@@ -359,26 +360,26 @@
   // What an answer is to be charged with, by its length if it says one, else by what has come of it.
   std::size_t Needs(std::size_t come) const {
     const auto length = parser_->content_length();
-    if (come > kMostBody || (length && *length > kMostBody)) return kPipeCharge;
-    return length ? static_cast<std::size_t>(*length) : ChargeFor(come);
+    if (come > kMaxBufferedBody || (length && *length > kMaxBufferedBody)) return kPipeReservation;
+    return length ? static_cast<std::size_t>(*length) : ReservationFor(come);
   }
 
   // Guards against answers of no end: eager parsing forgets that a length was over the limit (Boost 1.74), so
   // that an answer said to have 3 GB was read until memory ran out.
   bool TakeHeader() {
-    if (!AcceptAnswer(parser_->get())) return false;
+    if (!IsValidResponse(parser_->get())) return false;
     if (parser_->get().result_int() < 200) {  // 1xx: more comes
       if (++interim_ > kMostInterim) return false;
       NextAnswer();
       return true;
     }
     parser_->eager(true);
-    return charge_.Take(pool_.budget_, Needs(0));
+    return charge_.Reserve(pool_.budget_, Needs(0));
   }
 
   // The peer closed or reset the connection.
   void OnEnd(bool clean) {
-    if (parser_ && parser_->is_header_done() && !writing_ && EndsWithItsConnection(parser_->get()) && clean) {
+    if (parser_ && parser_->is_header_done() && !writing_ && IsDelimitedByClose(parser_->get()) && clean) {
       // That is how its body ends.
       ErrorCode wrong;
       parser_->put_eof(wrong);
@@ -402,7 +403,7 @@
   void Finish(Result result, HttpResponse response, bool reuse) {
     const auto self = shared_from_this();
     Job job = std::move(*job_);
-    Charge charge = std::move(charge_);
+    MemoryReservation charge = std::move(charge_);
     const bool spent = spent_ || (request_.rest != nullptr && request_.rest->spent());
     job_.reset();
     parser_.reset();
@@ -421,8 +422,8 @@
   const std::uint64_t life_;
   Tcp::socket socket_;
   asio::steady_timer timer_;  // for the dial, then for progress of a large body
-  beast::flat_buffer buffer_{kMostUnparsed};
-  std::optional<http::response_parser<GatheredBody>> parser_;
+  beast::flat_buffer buffer_{kMaxUnparsed};
+  std::optional<http::response_parser<IncrementalBody>> parser_;
   std::optional<Job> job_;
   // Kept until its write has been told of, whatever became of the attempt: a write that is done when the
   // attempt ends is told of all the same, and Beast then looks at the request once more.
@@ -430,7 +431,7 @@
   std::optional<http::request_serializer<http::string_body>> head_;  // of a large one
   std::string piece_;                                                // of its body, that is being written
   std::shared_ptr<Pipe> answer_;  // the answer that is passed on while it comes
-  Charge charge_;                 // for the answer that is being read
+  MemoryReservation charge_;      // for the answer that is being read
   int interim_ = 0;               // 1xx answers to this request
   bool dialing_ = false;
   bool writing_ = false;
@@ -442,7 +443,7 @@
   bool spent_ = false;      // bytes of the large request that it wrote are gone
 };
 
-Upstream::Upstream(asio::io_context& io, Limits limits, Budget& budget, stats::Counters& counters)
+Upstream::Upstream(asio::io_context& io, Limits limits, MemoryBudget& budget, stats::Counters& counters)
     : io_(io), limits_(limits), budget_(budget), counters_(counters), sweep_(io) {}
 
 Upstream::~Upstream() {
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -12,8 +12,8 @@
 #include <unordered_set>
 #include <vector>
 
-#include "budget.hpp"
 #include "discovery.hpp"
+#include "memory_budget.hpp"
 #include "merlinrun/balancer.hpp"
 #include "pipe.hpp"
 #include "protocol.hpp"
@@ -24,7 +24,7 @@
 struct UpstreamAnswer {
   Result result = Result::kUnreachable;
   HttpResponse response;                // whole, unless `rest` is there; of interest after a success
-  Charge charge;                        // for its body
+  MemoryReservation charge;             // for its body
   std::shared_ptr<Pipe> rest;           // the body, of which more comes; null: it is in `response`
   std::optional<std::uint64_t> length;  // of the body in `rest`, if its server says so
   bool spent = false;                   // the request's own bytes are gone
@@ -53,7 +53,7 @@
   };
 
   // Attempts that are written whole are counted. The references must outlive it.
-  Upstream(asio::io_context& io, Limits limits, Budget& budget, stats::Counters& counters);
+  Upstream(asio::io_context& io, Limits limits, MemoryBudget& budget, stats::Counters& counters);
   ~Upstream();
   Upstream(const Upstream&) = delete;
   Upstream& operator=(const Upstream&) = delete;
@@ -91,7 +91,7 @@
 
   asio::io_context& io_;
   Limits limits_;
-  Budget& budget_;
+  MemoryBudget& budget_;
   stats::Counters& counters_;
   asio::steady_timer sweep_;
   bool sweeping_ = false;
--- a/src/net/validate.cpp
+++ b/src/net/validate.cpp
@@ -69,13 +69,13 @@
   return value;
 }
 
-std::string Seconds(Micros time) {
+std::string FormatSeconds(Micros time) {
   char text[32];
   std::snprintf(text, sizeof text, "%.3f", static_cast<double>(time) / 1e6);
   return text;
 }
 
-void UseOriginForm(RequestHeader& header) {
+void ConvertToOriginForm(RequestHeader& header) {
   constexpr beast::string_view kScheme = "http://";
   const std::string target(View(header.target()));
   if (target.size() <= kScheme.size() || !beast::iequals(target.substr(0, kScheme.size()), kScheme)) return;
@@ -89,24 +89,25 @@
   header.target(rest);
 }
 
-std::optional<Fault> CheckRequest(const RequestHeader& header) {
-  const auto bad = [](const char* text) { return Fault{http::status::bad_request, text}; };
+std::optional<RequestError> ValidateRequest(const RequestHeader& header) {
+  const auto bad = [](const char* text) { return RequestError{http::status::bad_request, text}; };
   if (static_cast<std::size_t>(std::distance(header.begin(), header.end())) > kMostFields)
-    return Fault{http::status::request_header_fields_too_large, "too many header fields\n"};
+    return RequestError{http::status::request_header_fields_too_large, "too many header fields\n"};
   if (!OneFraming(header, header.version())) return bad("the body's length is in doubt\n");
   const auto length = View(header[http::field::content_length]);
-  if (ParseDecimal(length).value_or(0) > static_cast<double>(kMostStreamed))
-    return Fault{http::status::payload_too_large, "too large\n"};
+  if (ParseDecimal(length).value_or(0) > static_cast<double>(kMaxStreamedBody))
+    return RequestError{http::status::payload_too_large, "too large\n"};
   if (const auto expects = header.count(http::field::expect);
       expects > 1 || (expects == 1 && (header.version() < 11 ||
                                        !beast::iequals(header[http::field::expect], "100-continue"))))
-    return Fault{http::status::expectation_failed, "unknown expectation\n"};
+    return RequestError{http::status::expectation_failed, "unknown expectation\n"};
   if (header.target().empty() || header.target().front() != '/' || header.target().size() > kMostTarget)
     return bad("the target is no path\n");
   if (Repeats(header)) return bad("a header field is repeated\n");
   if (header.method() == http::verb::get && HasBody(header)) return bad("GET with a body\n");
   if (header.target() == kReadyPath) {
-    if (header.method() != http::verb::get) return Fault{http::status::method_not_allowed, "GET alone\n"};
+    if (header.method() != http::verb::get)
+      return RequestError{http::status::method_not_allowed, "GET alone\n"};
     return std::nullopt;
   }
   if (!IsName(View(header[kIdHeader]), kMostId)) return bad("no valid Req-Id\n");
@@ -117,26 +118,27 @@
   return std::nullopt;
 }
 
-std::optional<Fault> CheckAgainstClass(const RequestHeader& header, Repeat repeat) {
+std::optional<RequestError> ValidateForClass(const RequestHeader& header, Repeat repeat) {
   const bool keyed = header.count(kIdempotencyHeader) > 0;
   const auto method = repeat == Repeat::kSafe ? http::verb::get : http::verb::post;
-  if (header.method() != method) return Fault{http::status::method_not_allowed, "not this class's method\n"};
+  if (header.method() != method)
+    return RequestError{http::status::method_not_allowed, "not this class's method\n"};
   if (keyed != (repeat == Repeat::kDeduplicated) ||
       (keyed && !IsName(View(header[kIdempotencyHeader]), kMostKey)))
-    return Fault{http::status::bad_request, "Idempotency-Key does not fit the class\n"};
+    return RequestError{http::status::bad_request, "Idempotency-Key does not fit the class\n"};
   return std::nullopt;
 }
 
-bool EndsWithItsConnection(const ResponseHeader& header) {
+bool IsDelimitedByClose(const ResponseHeader& header) {
   const bool says_so = http::token_list(header[http::field::connection]).exists("close");
   return says_so && header.result_int() >= 200 && header.count(http::field::content_length) == 0 &&
          header.count(http::field::transfer_encoding) == 0;
 }
 
-bool AcceptAnswer(const ResponseHeader& header) {
+bool IsValidResponse(const ResponseHeader& header) {
   // Guards against one that was cut off and looks whole: it has to say that it ends with its connection, and
   // then does so in order; a process that dies resets it.
-  const bool needs_no_length = EndsWithItsConnection(header) || header.result_int() < 200 ||
+  const bool needs_no_length = IsDelimitedByClose(header) || header.result_int() < 200 ||
                                header.result() == http::status::no_content ||
                                header.result() == http::status::not_modified;
   if (!needs_no_length && header.count(http::field::content_length) == 0 &&
@@ -144,7 +146,7 @@
     return false;
   return OneFraming(header, header.version()) &&
          ParseDecimal(View(header[http::field::content_length])).value_or(0) <=
-             static_cast<double>(kMostStreamed);
+             static_cast<double>(kMaxStreamedBody);
 }
 
 }  // namespace merlinrun::net
--- a/src/net/validate.hpp
+++ b/src/net/validate.hpp
@@ -17,31 +17,31 @@
 using ResponseHeader = http::response_header<>;
 
 // Why a message is turned away.
-struct Fault {
+struct RequestError {
   http::status status;
   const char* text;
 };
 
 // A target in absolute form becomes a path, and its host the request's (RFC 9112, 3.2.2). Any other is left.
-void UseOriginForm(RequestHeader& header);
+void ConvertToOriginForm(RequestHeader& header);
 
 // A request's framing and the form of its fields, whatever it asks for.
-std::optional<Fault> CheckRequest(const RequestHeader& header);
+std::optional<RequestError> ValidateRequest(const RequestHeader& header);
 
 // That a request is what its class says: method and key follow from whether it may be repeated.
-std::optional<Fault> CheckAgainstClass(const RequestHeader& header, Repeat repeat);
+std::optional<RequestError> ValidateForClass(const RequestHeader& header, Repeat repeat);
 
 // True if an answer's framing is beyond doubt and its length within what a body may have.
-bool AcceptAnswer(const ResponseHeader& header);
+bool IsValidResponse(const ResponseHeader& header);
 
 // True if an answer's body ends with its connection, as it says itself (RFC 9112, 6.3).
-bool EndsWithItsConnection(const ResponseHeader& header);
+bool IsDelimitedByClose(const ResponseHeader& header);
 
 // A plain decimal number such as 0.480: no sign, no exponent, nothing around it.
 std::optional<double> ParseDecimal(std::string_view text);
 
 // The form that ParseDecimal reads, of a time in seconds: 0.480.
-std::string Seconds(Micros time);
+std::string FormatSeconds(Micros time);
 
 inline std::string_view View(beast::string_view text) { return {text.data(), text.size()}; }
 
--- a/src/ops/api.cpp
+++ b/src/ops/api.cpp
@@ -31,7 +31,7 @@
   const auto avoided = std::count_if(beliefs.servers.begin(), beliefs.servers.end(),
                                      [](const Beliefs::Server& server) { return server.left_alone > 0; });
   const Json out = {{"responses", std::move(responses)},
-                    {"tries", counters.tries},
+                    {"tries", counters.attempts_sent},
                     {"active", counters.active},
                     {"pool_size", beliefs.servers.size()},
                     {"pool_ejected", avoided}};
--- a/src/ops/phase.cpp
+++ b/src/ops/phase.cpp
@@ -26,7 +26,7 @@
     : loop_(loop), request_manager_(request_manager), timer_(loop.NewTimer()) {}
 
 void Phase::SetDraining(bool draining) {
-  for (core::Front* front : fronts_) front->SetDraining(draining);
+  for (core::ProtocolListener* front : fronts_) front->SetDraining(draining);
 }
 
 void Phase::Started() {
@@ -58,14 +58,14 @@
 void Phase::Yield() {
   if (state_ == State::kStopping || std::exchange(yielded_, true)) return;
   state_ = State::kYielding;
-  for (core::Front* front : fronts_) front->PauseAccepting();
+  for (core::ProtocolListener* front : fronts_) front->PauseAccepting();
   BeginEnding();
 }
 
 void Phase::Resume() {
   if (state_ != State::kYielding) return;
   yielded_ = false;
-  for (core::Front* front : fronts_) front->ResumeAccepting();
+  for (core::ProtocolListener* front : fronts_) front->ResumeAccepting();
   if (!away_) return LeaveDrain();
   state_ = State::kEvacuated;
 }
@@ -80,7 +80,7 @@
 // connection that they used last.
 void Phase::EndIdle() {
   const Micros left = std::max<Micros>(ending_ + kEvacuated - loop_.Now(), 0);
-  for (core::Front* front : fronts_) front->CloseIdle(std::max(left, kLeastRest));
+  for (core::ProtocolListener* front : fronts_) front->CloseIdle(std::max(left, kLeastRest));
   if (state_ == State::kStopping &&
       (left == 0 || (sessions() == 0 && request_manager_.active_requests() == 0)))
     return CloseIdle();
@@ -100,13 +100,13 @@
 }
 
 void Phase::StopAccepting() {
-  for (core::Front* front : fronts_) front->StopAccepting();
+  for (core::ProtocolListener* front : fronts_) front->StopAccepting();
   timer_->Start(kIdleAfterStop, [this] { CloseIdle(); });
 }
 
 void Phase::CloseIdle() {
   closing_ = true;
-  for (core::Front* front : fronts_) front->CloseIdle(0);
+  for (core::ProtocolListener* front : fronts_) front->CloseIdle(0);
   request_manager_.OnEmpty([this] { CheckFinished(); });
   // What would outlast the time before the kill: an answer now, if only a failure, is better than none.
   timer_->Start(std::max<Micros>(end_ - loop_.Now(), 0),
@@ -116,7 +116,7 @@
 
 std::size_t Phase::sessions() const {
   std::size_t sum = 0;
-  for (const core::Front* front : fronts_) sum += front->sessions();
+  for (const core::ProtocolListener* front : fronts_) sum += front->sessions();
   return sum;
 }
 
--- a/src/ops/phase.hpp
+++ b/src/ops/phase.hpp
@@ -24,7 +24,7 @@
   Phase& operator=(const Phase&) = delete;
 
   // Before all else. The front must outlive this.
-  void Add(core::Front& front) { fronts_.push_back(&front); }
+  void Add(core::ProtocolListener& front) { fronts_.push_back(&front); }
 
   // From now on it can serve: it listens and knows servers. Does nothing a second time, nor once it stops.
   void Started();
@@ -65,7 +65,7 @@
 
   core::Loop& loop_;
   core::RequestManager& request_manager_;
-  std::vector<core::Front*> fronts_;
+  std::vector<core::ProtocolListener*> fronts_;
   std::unique_ptr<core::Timer> timer_;
   std::function<void()> finished_;
   State state_ = State::kStarting;
--- a/src/record/format.cpp
+++ b/src/record/format.cpp
@@ -15,8 +15,8 @@
 constexpr std::size_t kHeaderStart = 8 + 2 + 4 + 4;  // magic, version, length, checksum
 constexpr std::size_t kBlockStart = 4 + 4 + 8 + 4;   // length, count, lost, checksum
 // More than any writer makes: guards against a damaged length that asks for gigabytes.
-constexpr std::uint32_t kMostLength = 16 << 20;
-constexpr std::size_t kMostClasses = 255;
+constexpr std::uint32_t kMaxLength = 16 << 20;
+constexpr std::size_t kMaxClasses = 255;
 
 template <typename T>
 void Put(std::string& out, T value) {
@@ -82,35 +82,35 @@
   bool good_ = true;
 };
 
-constexpr std::uint8_t kRepeatedBit = 0x80;
+constexpr std::uint8_t kRetryBit = 0x80;
 constexpr std::uint8_t kKeyBit = 0x40;
-constexpr std::uint32_t kMostFront = 31;
+constexpr std::uint32_t kMaxProtocol = 31;
 
 // What a record's first byte does not hold follows as numbers.
 bool ReadRecord(Reader& reader, Micros& last, std::size_t classes, Record& out) {
   const auto flags = reader.Take<std::uint8_t>();
-  out.end = static_cast<End>(flags & 3);
-  out.repeated = (flags & kRepeatedBit) != 0;
-  out.arrived = last = last + reader.Signed();
-  const std::uint64_t its_class = reader.Number();
-  const std::uint64_t front = reader.Number();
+  out.disposition = static_cast<Disposition>(flags & 3);
+  out.is_retry = (flags & kRetryBit) != 0;
+  out.arrival_time = last = last + reader.Signed();
+  const std::uint64_t class_index = reader.Number();
+  const std::uint64_t protocol = reader.Number();
   const std::uint64_t attempts = reader.Number();
   out.budget = static_cast<Micros>(reader.Number());
-  out.took = static_cast<Micros>(reader.Number());
+  out.duration = static_cast<Micros>(reader.Number());
   out.id = reader.Take<std::uint64_t>();
   out.key = (flags & kKeyBit) != 0 ? reader.Take<std::uint64_t>() : 0;
-  out.its_class = static_cast<std::uint32_t>(its_class);
-  out.front = static_cast<std::uint8_t>(front);
+  out.request_class = static_cast<std::uint32_t>(class_index);
+  out.protocol = static_cast<std::uint8_t>(protocol);
   out.attempts = static_cast<std::uint32_t>(attempts);
-  return reader.good() && its_class < classes && front <= kMostFront && attempts <= UINT32_MAX &&
-         out.budget >= 0 && out.took >= 0;
+  return reader.good() && class_index < classes && protocol <= kMaxProtocol && attempts <= UINT32_MAX &&
+         out.budget >= 0 && out.duration >= 0;
 }
 
 std::optional<Header> ReadHeader(std::string_view bytes) {
   Reader reader(bytes);
   Header out;
-  out.sidecar = reader.Take<std::uint64_t>();
-  out.began_us = reader.Take<std::uint64_t>();
+  out.sidecar_hash = reader.Take<std::uint64_t>();
+  out.start_time_us = reader.Take<std::uint64_t>();
   const auto count = reader.Take<std::uint8_t>();
   for (std::size_t i = 0; i < count; ++i) out.classes.emplace_back(reader.Bytes(reader.Take<std::uint8_t>()));
   if (!reader.good() || !reader.empty()) return std::nullopt;
@@ -138,9 +138,9 @@
 
 std::string EncodeHeader(const Header& header) {
   std::string body;
-  Put(body, header.sidecar);
-  Put(body, header.began_us);
-  const std::size_t count = std::min(header.classes.size(), kMostClasses);
+  Put(body, header.sidecar_hash);
+  Put(body, header.start_time_us);
+  const std::size_t count = std::min(header.classes.size(), kMaxClasses);
   Put(body, static_cast<std::uint8_t>(count));
   for (std::size_t i = 0; i < count; ++i) {
     const std::string name = header.classes[i].substr(0, UINT8_MAX);
@@ -156,26 +156,26 @@
 
 void BlockWriter::Add(const Record& record) {
   const std::uint8_t flags =
-      static_cast<std::uint8_t>(static_cast<std::uint8_t>(record.end) | (record.repeated ? kRepeatedBit : 0) |
-                                (record.key != 0 ? kKeyBit : 0));
+      static_cast<std::uint8_t>(static_cast<std::uint8_t>(record.disposition) |
+                                (record.is_retry ? kRetryBit : 0) | (record.key != 0 ? kKeyBit : 0));
   Put(records_, flags);
-  PutSigned(records_, record.arrived - last_);
-  last_ = record.arrived;
-  PutNumber(records_, record.its_class);
-  PutNumber(records_, record.front);
+  PutSigned(records_, record.arrival_time - last_);
+  last_ = record.arrival_time;
+  PutNumber(records_, record.request_class);
+  PutNumber(records_, record.protocol);
   PutNumber(records_, record.attempts);
   PutNumber(records_, static_cast<std::uint64_t>(std::max<Micros>(record.budget, 0)));
-  PutNumber(records_, static_cast<std::uint64_t>(std::max<Micros>(record.took, 0)));
+  PutNumber(records_, static_cast<std::uint64_t>(std::max<Micros>(record.duration, 0)));
   Put(records_, record.id);
   if (record.key != 0) Put(records_, record.key);
   ++count_;
 }
 
-std::string BlockWriter::Take(std::uint64_t lost) {
+std::string BlockWriter::Take(std::uint64_t lost_records) {
   std::string start;
   Put(start, static_cast<std::uint32_t>(records_.size()));
   Put(start, count_);
-  Put(start, lost);
+  Put(start, lost_records);
   std::string out = start;
   Put(out, Checksum(start, records_));
   out += records_;
@@ -197,7 +197,7 @@
            std::to_string(kVersion);
   const auto length = reader.Take<std::uint32_t>();
   const auto checksum = reader.Take<std::uint32_t>();
-  if (!reader.good() || length > kMostLength) return "its header is cut off or damaged";
+  if (!reader.good() || length > kMaxLength) return "its header is cut off or damaged";
   const std::string_view body = reader.Bytes(length);
   const auto header = reader.good() && Checksum(body) == checksum ? ReadHeader(body) : std::nullopt;
   if (!header) return "its header is cut off or damaged";
@@ -211,7 +211,7 @@
     const auto count = reader.Take<std::uint32_t>();
     const auto lost = reader.Take<std::uint64_t>();
     const auto sum = reader.Take<std::uint32_t>();
-    if (reader.good() && size > kMostLength) return "it is damaged" + At(offset);
+    if (reader.good() && size > kMaxLength) return "it is damaged" + At(offset);
     const std::string_view records = reader.Bytes(size);
     if (!reader.good()) return "it is cut off" + At(offset);
     if (Checksum(start, records) != sum) return "it is damaged" + At(offset);
@@ -223,7 +223,7 @@
       out.records.push_back(record);
     }
     if (!within.empty()) return "it is damaged" + At(offset);
-    out.lost += lost;
+    out.lost_records += lost;
     offset += kBlockStart + size;
   }
   return out;
--- a/src/record/format.hpp
+++ b/src/record/format.hpp
@@ -1,11 +1,12 @@
-// A recording of the requests that a sidecar took: when, of which class, and what became of them. No bodies;
-// ids and keys only as salted hashes, so that a recording tells repeats apart and nobody's number.
+// The file format of request recordings: when each request of a sidecar arrived, its class, and how it ended.
+// Contains no bodies; ids and keys are only stored as salted hashes.
 //
-// The file, all numbers little-endian: a header (magic, version, length, checksum, then the recorder's name
-// as a hash, its start on the wall clock, and the classes' names), then blocks (length, count of records,
-// records lost before, checksum, records). A record is a few bytes: variable-length numbers, times as
-// differences. A file is whole if it ends where a block ends. Checksums are CRC-32 (Boost.CRC); hashes are
-// the first 64 bits of a UUID of version 5 (RFC 4122, section 4.3: SHA-1) in a name space made of the salt.
+// All numbers are little-endian. The file is a header (magic, version, length, checksum, then the hashed name
+// of the sidecar, the start time and the class names) followed by blocks (length, number of records, number
+// of records lost before the block, checksum, records). Records use variable-length integers, and times
+// relative to the record before. A file that ends at the end of a block is complete. Checksums are CRC-32
+// (Boost.CRC); hashes are the first 64 bits of a version 5 UUID (RFC 4122, section 4.3) whose name space is
+// derived from the salt.
 #ifndef MERLINRUN_RECORD_FORMAT_HPP_
 #define MERLINRUN_RECORD_FORMAT_HPP_
 
@@ -19,24 +20,24 @@
 
 namespace merlinrun::record {
 
-enum class End : std::uint8_t { kServed = 0, kRefused = 1, kFailed = 2, kLeft = 3 };  // kLeft: its client did
+enum class Disposition : std::uint8_t { kServed = 0, kRefused = 1, kFailed = 2, kClientGone = 3 };
 
 struct Record {
-  Micros arrived = 0;  // since the recording began
-  Micros budget = 0;   // how long its client waited at most
-  Micros took = 0;     // until its final answer
-  std::uint32_t its_class = 0;
+  Micros arrival_time = 0;  // since the start of the recording
+  Micros budget = 0;        // the longest that the client waits
+  Micros duration = 0;      // until the final response
+  std::uint32_t request_class = 0;
   std::uint32_t attempts = 0;
-  End end = End::kServed;
-  std::uint8_t front = 0;  // the protocol that it came by, 0 to 31
-  bool repeated = false;   // the client said that it is a repeat
-  std::uint64_t id = 0;    // hashed
-  std::uint64_t key = 0;   // hashed; 0 = it had none
+  Disposition disposition = Disposition::kServed;
+  std::uint8_t protocol = 0;  // 0 to 31
+  bool is_retry = false;      // as the client states it
+  std::uint64_t id = 0;       // hashed
+  std::uint64_t key = 0;      // hashed; 0 = none
 };
 
 struct Header {
-  std::uint64_t sidecar = 0;         // its name, hashed
-  std::uint64_t began_us = 0;        // Unix time in microseconds
+  std::uint64_t sidecar_hash = 0;    // of its name
+  std::uint64_t start_time_us = 0;   // Unix time in microseconds
   std::vector<std::string> classes;  // at most 255, of at most 255 bytes
 };
 
@@ -52,14 +53,14 @@
 
 std::string EncodeHeader(const Header& header);
 
-// Puts records together to a block.
+// Encodes records into a block.
 class BlockWriter {
  public:
   void Add(const Record& record);
-  std::size_t size() const { return records_.size(); }  // bytes of records so far
+  std::size_t size() const { return records_.size(); }  // bytes of encoded records
   std::uint32_t count() const { return count_; }
-  // The block, which says that so many records were lost before it; the next one is empty.
-  std::string Take(std::uint64_t lost);
+  // Returns the block and starts an empty one. `lost_records`: records dropped before this block.
+  std::string Take(std::uint64_t lost_records);
 
  private:
   std::string records_;
@@ -69,12 +70,12 @@
 
 struct Recording {
   Header header;
-  std::vector<Record> records;  // in the order in which they ended
-  std::uint64_t lost = 0;
+  std::vector<Record> records;  // in order of completion
+  std::uint64_t lost_records = 0;
 };
 
-// Reads a file's bytes. On failure one plain line without the file's name: that it is no recording, of
-// another version, damaged or cut off, and where.
+// Decodes a recording file. On failure returns a one-line message without the file name: not a recording,
+// unsupported version, damaged or truncated, and at which offset.
 std::variant<Recording, std::string> ParseRecording(std::string_view bytes);
 
 }  // namespace merlinrun::record
--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -65,7 +65,7 @@
   std::uint64_t size_ = 0;
 };
 
-using config::Wrong;
+using config::FormatTomlError;
 
 }  // namespace
 
@@ -82,21 +82,22 @@
       } else if (key == "salt" && node.is_string()) {
         out.salt = node.value_or(std::string());
         if (out.salt.size() < kLeastSalt)
-          return Wrong(node.source(), file, "salt: at least 16 bytes are needed");
+          return FormatTomlError(node.source(), file, "salt: at least 16 bytes are needed");
       } else if (key == "most_mb" && node.is_integer()) {
         const auto megabytes = node.value_or(std::int64_t{0});
         if (megabytes < 1 || megabytes > kMostMegabytes)
-          return Wrong(node.source(), file, "most_mb: a whole number from 1 to 1048576 is needed");
+          return FormatTomlError(node.source(), file, "most_mb: a whole number from 1 to 1048576 is needed");
         out.most_bytes = static_cast<std::uint64_t>(megabytes) << 20;
       } else {
-        return Wrong(node.source(), file, "'" + std::string(key.str()) + "' is unknown or of the wrong kind");
+        return FormatTomlError(node.source(), file,
+                               "'" + std::string(key.str()) + "' is unknown or of the wrong kind");
       }
     }
     if (out.file.empty() || out.salt.empty() || out.most_bytes == 0)
-      return Wrong(root.source(), file, "file, salt and most_mb are needed");
+      return FormatTomlError(root.source(), file, "file, salt and most_mb are needed");
     return out;
   } catch (const toml::parse_error& error) {
-    return Wrong(error.source(), file, error.description());
+    return FormatTomlError(error.source(), file, error.description());
   }
 }
 
@@ -140,7 +141,7 @@
 
 void Recorder::Add(Micros now, Record record, std::string_view id, std::string_view key) {
   if (block_.count() == 0) block_began_ = now;
-  record.arrived -= began_;
+  record.arrival_time -= began_;
   record.id = hash_(id);
   record.key = key.empty() ? 0 : hash_(key);
   block_.Add(record);
--- a/src/record/recorder.hpp
+++ b/src/record/recorder.hpp
@@ -47,7 +47,7 @@
   Recorder(const Recorder&) = delete;
   Recorder& operator=(const Recorder&) = delete;
 
-  // `record.arrived` is the loop's time; id and key come as they are and are hashed here. Never waits.
+  // `record.arrival_time` is the loop's time; id and key come as they are and are hashed here. Never waits.
   void Add(Micros now, Record record, std::string_view id, std::string_view key);
 
   std::uint64_t recorded() const;  // records that were written
--- a/src/stats/counters.hpp
+++ b/src/stats/counters.hpp
@@ -1,5 +1,5 @@
-// The registry of what this process has done since it started: written where a thing happens, read in one
-// turn of the loop, so that the figures agree with one another. Nobody waits for it. One thread.
+// Counters of this process since its start. Incremented and read on the loop's thread only, so that the
+// values of one read are consistent.
 #ifndef MERLINRUN_STATS_COUNTERS_HPP_
 #define MERLINRUN_STATS_COUNTERS_HPP_
 
@@ -10,14 +10,14 @@
 
 namespace merlinrun::stats {
 
-// How a request ended for its client.
-enum class Ending { kOk, kShed, kError };
+// How a request ended for the client.
+enum class RequestResult { kOk, kShed, kError };
 
-// By the status of its answer: 200 is served, 429 and 503 are refusals, whoever worded them, any other
-// failed.
-constexpr Ending EndingOf(unsigned status) {
-  if (status == 200) return Ending::kOk;
-  return status == 429 || status == 503 ? Ending::kShed : Ending::kError;
+// The result for a response status: 200 is a success, 429 and 503 are refusals (by the sidecar or the
+// server), anything else is an error.
+constexpr RequestResult ResultForStatus(unsigned status) {
+  if (status == 200) return RequestResult::kOk;
+  return status == 429 || status == 503 ? RequestResult::kShed : RequestResult::kError;
 }
 
 struct ClassCounters {
@@ -27,27 +27,28 @@
 };
 
 struct Counters {
-  std::vector<ClassCounters> classes;  // as the settings number them
-  std::int64_t tries = 0;              // attempts that were written whole to a server
-  std::int64_t active = 0;             // requests taken and not ended
+  std::vector<ClassCounters> classes;  // indexed like Settings::classes
+  std::int64_t attempts_sent = 0;      // attempts that were completely written to a server
+  std::int64_t active = 0;             // requests in progress
 
-  void Count(int request_class, Ending ending) {
+  void Count(int request_class, RequestResult result) {
     if (request_class < 0 || static_cast<std::size_t>(request_class) >= classes.size()) return;
     ClassCounters& to = classes[static_cast<std::size_t>(request_class)];
-    ++(ending == Ending::kOk ? to.ok : ending == Ending::kShed ? to.shed : to.errors);
+    ++(result == RequestResult::kOk ? to.ok : result == RequestResult::kShed ? to.shed : to.errors);
   }
 };
 
-// One request that has been taken: counts as active for as long as this lives. The counters must outlive it.
-class Taken {
+// Counts one request as active while it lives. The counters must outlive it.
+class ActiveRequestGuard {
  public:
-  Taken() = default;
-  Taken(Counters& counters, int request_class) : counters_(&counters), request_class_(request_class) {
+  ActiveRequestGuard() = default;
+  ActiveRequestGuard(Counters& counters, int request_class)
+      : counters_(&counters), request_class_(request_class) {
     ++counters.active;
   }
-  Taken(Taken&& other) noexcept
+  ActiveRequestGuard(ActiveRequestGuard&& other) noexcept
       : counters_(std::exchange(other.counters_, nullptr)), request_class_(other.request_class_) {}
-  Taken& operator=(Taken&& other) noexcept {
+  ActiveRequestGuard& operator=(ActiveRequestGuard&& other) noexcept {
     if (this != &other) {
       Drop();
       counters_ = std::exchange(other.counters_, nullptr);
@@ -55,14 +56,14 @@
     }
     return *this;
   }
-  ~Taken() { Drop(); }
+  ~ActiveRequestGuard() { Drop(); }
 
-  // Its client has been sent the whole of its answer.
-  void End(Ending ending) {
-    if (counters_ != nullptr) counters_->Count(request_class_, ending);
+  // The response has been sent completely.
+  void Finish(RequestResult result) {
+    if (counters_ != nullptr) counters_->Count(request_class_, result);
     Drop();
   }
-  // Its client has gone, or will not be answered.
+  // The client has disconnected or gets no response.
   void Drop() {
     if (counters_ != nullptr) --std::exchange(counters_, nullptr)->active;
   }
--- a/src/stats/trace.cpp
+++ b/src/stats/trace.cpp
@@ -85,7 +85,7 @@
           {"future", w.future}, {"broken", w.broken}, {"sent", w.sent}, {"sent_bytes", w.sent_bytes}};
 }
 
-using config::Wrong;
+using config::FormatTomlError;
 
 }  // namespace
 
@@ -97,18 +97,20 @@
       if (key == "every_ms" && node.is_integer()) {
         const auto every = node.value_or(std::int64_t{0});
         if (every < kLeastEvery || every > kMostEvery)
-          return Wrong(node.source(), file, "every_ms: a whole number from 100 to 3600000 is needed");
+          return FormatTomlError(node.source(), file,
+                                 "every_ms: a whole number from 100 to 3600000 is needed");
         out.every = every * kMillisecond;
       } else if (key == "servers" && node.is_boolean()) {
         out.servers = node.value_or(true);
       } else {
-        return Wrong(node.source(), file, "'" + std::string(key.str()) + "' is unknown or of the wrong kind");
+        return FormatTomlError(node.source(), file,
+                               "'" + std::string(key.str()) + "' is unknown or of the wrong kind");
       }
     }
-    if (out.every == 0) return Wrong(root.source(), file, "every_ms is needed");
+    if (out.every == 0) return FormatTomlError(root.source(), file, "every_ms is needed");
     return out;
   } catch (const toml::parse_error& error) {
-    return Wrong(error.source(), file, error.description());
+    return FormatTomlError(error.source(), file, error.description());
   }
 }
 
--- a/src/zones/orders.cpp
+++ b/src/zones/orders.cpp
@@ -7,7 +7,7 @@
 namespace merlinrun::zones {
 namespace {
 
-using config::Wrong;
+using config::FormatTomlError;
 
 }  // namespace
 
@@ -19,27 +19,29 @@
     for (const auto& [key, node] : root) {
       const bool leave = key == "leave";
       if ((!leave && key != "keep") || !node.is_array())
-        return Wrong(node.source(), file,
-                     "'" + std::string(key.str()) + "': only leave and keep are known, as lists of zones");
+        return FormatTomlError(
+            node.source(), file,
+            "'" + std::string(key.str()) + "': only leave and keep are known, as lists of zones");
       for (const toml::node& entry : *node.as_array()) {
         const auto name = entry.value<std::string>();
         const auto it = std::find(names.begin(), names.end(), name.value_or(""));
         if (!name || it == names.end())
-          return Wrong(entry.source(), file, "'" + name.value_or("") + "' is no zone of the settings");
+          return FormatTomlError(entry.source(), file,
+                                 "'" + name.value_or("") + "' is no zone of the settings");
         const auto zone = static_cast<int>(it - names.begin());
         const auto same = [&](const ZoneOrder& known) { return known.zone == zone; };
         if (std::any_of(out.begin(), out.end(), same))
-          return Wrong(entry.source(), file, "'" + *name + "' is ordered twice");
+          return FormatTomlError(entry.source(), file, "'" + *name + "' is ordered twice");
         out.push_back({zone, leave ? ZoneOrder::Kind::kLeave : ZoneOrder::Kind::kKeep});
       }
     }
     const auto left = std::count_if(out.begin(), out.end(),
                                     [](const ZoneOrder& o) { return o.kind == ZoneOrder::Kind::kLeave; });
     if (left > 0 && static_cast<std::size_t>(left) == names.size())
-      return Wrong(root.source(), file, "every zone is ordered to be left");
+      return FormatTomlError(root.source(), file, "every zone is ordered to be left");
     return out;
   } catch (const toml::parse_error& error) {
-    return Wrong(error.source(), file, error.description());
+    return FormatTomlError(error.source(), file, error.description());
   }
 }
 
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -27,10 +27,10 @@
 
 template <bool kRequest>
 Outcome Parse(const std::string& text, std::size_t piece) {
-  http::parser<kRequest, GatheredBody> parser;
+  http::parser<kRequest, IncrementalBody> parser;
   parser.eager(false);
-  parser.header_limit(kMostHeader);
-  parser.body_limit(kMostStreamed);
+  parser.header_limit(kMaxHeader);
+  parser.body_limit(kMaxStreamedBody);
   Outcome out;
   std::string held;
   for (std::size_t at = 0; at < text.size() && !parser.is_done();) {
@@ -45,19 +45,19 @@
       if (!had && parser.is_header_done()) {
         out.header = true;
         if constexpr (kRequest) {
-          UseOriginForm(parser.get());
+          ConvertToOriginForm(parser.get());
           const std::string once(View(parser.get().target()));
-          if (once.front() == '/') UseOriginForm(parser.get());
+          if (once.front() == '/') ConvertToOriginForm(parser.get());
           Require(once == View(parser.get().target()));
-          out.taken = !CheckRequest(parser.get());
+          out.taken = !ValidateRequest(parser.get());
           // What is passed on has one framing, whoever reads it.
           if (out.taken)
             Require(parser.get().count(http::field::content_length) +
                         parser.get().count(http::field::transfer_encoding) <=
                     1);
         } else {
-          out.taken = AcceptAnswer(parser.get());
-          if (EndsWithItsConnection(parser.get())) Require(!parser.content_length());
+          out.taken = IsValidResponse(parser.get());
+          if (IsDelimitedByClose(parser.get())) Require(!parser.content_length());
         }
         out.target = std::string(View(parser.get().base()[http::field::host]));
         if (!out.taken) return out;
@@ -96,7 +96,7 @@
       break;
     default: {
       std::string error;
-      const auto held = merlinrun::handover::ReadHolding(text, error);
+      const auto held = merlinrun::handover::ParseHeldResources(text, error);
       Require(held.has_value() == error.empty());
     }
   }
--- a/tests/handover/channel_test.cpp
+++ b/tests/handover/channel_test.cpp
@@ -62,7 +62,7 @@
   net::Tcp::acceptor listener{io, Loopback()};
   const std::string folder;
   std::string path;
-  Holding holding{false, 12, 34};
+  HeldResources holding{false, 12, 34};
   std::unique_ptr<Door> door;
   int newcomers = 0;
   int serving = 0;
--- a/tests/handover/terms_test.cpp
+++ b/tests/handover/terms_test.cpp
@@ -8,12 +8,12 @@
 
 std::string WhyNot(std::string_view message) {
   std::string error;
-  return ReadHolding(message, error) ? "" : error;
+  return ParseHeldResources(message, error) ? "" : error;
 }
 
 TEST(TermsTest, ReadsWhatItWrites) {
   std::string error;
-  const auto read = ReadHolding(Write({true, 321, 1 << 20}), error);
+  const auto read = ParseHeldResources(Write({true, 321, 1 << 20}), error);
   ASSERT_TRUE(read) << error;
   EXPECT_TRUE(read->evacuated);
   EXPECT_EQ(read->sockets, 321U);
--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -16,7 +16,7 @@
                          {"grades", {{{"name", "x"}}, {{"name", "y"}}}},
                          {"tenants", Json::array()},
                          {"unset", nullptr}};
-  EXPECT_EQ(Flatten(settings),
+  EXPECT_EQ(FlattenSettings(settings),
             "allowed.cancel=true allowed.open_cap=250000 azs=a_b,c_d costs.waste=0.04 grades.count=2 "
             "grades.0.name=x grades.1.name=y tenants=");
 }
@@ -24,8 +24,8 @@
 TEST(Config, ReadsAllThatASidecarIsTold) {
   const Tcp::endpoint at(asio::ip::make_address("127.0.0.1"), 81);
   const Config config = ParseConfig(ConfigJson(at, {Entry("s1", at)}).dump(), "127.0.0.2:80", "");
-  EXPECT_EQ(Text(config.listen), "127.0.0.2:80");  // the environment's
-  EXPECT_EQ(Text(config.discovery), "127.0.0.1:81");
+  EXPECT_EQ(FormatAddress(config.listen), "127.0.0.2:80");  // the environment's
+  EXPECT_EQ(FormatAddress(config.discovery), "127.0.0.1:81");
   EXPECT_EQ(config.seed, 0x8c1f30d27a5be964U);
   EXPECT_EQ(config.sockets, 1024U);
   ASSERT_EQ(config.wire.settings.classes.size(), 3U);
--- a/tests/net/inbound_test.cpp
+++ b/tests/net/inbound_test.cpp
@@ -22,7 +22,7 @@
     events.on_request = [this](const Inbound::SessionPtr& session, Inbound::Request request, int) {
       requests.push_back(std::move(request.head));
       pipes.push_back(std::move(request.rest));
-      if (answers) Inbound::Respond(session, Plain(http::status::ok, body));
+      if (answers) Inbound::Respond(session, TextResponse(http::status::ok, body));
     };
     events.on_whole = [this](const std::string& id) { whole.push_back(id); };
     events.on_gone = [this](const std::string& id) { gone.push_back(id); };
@@ -47,7 +47,7 @@
 
   asio::io_context io;
   Inbound::Limits limits;
-  Budget budget{std::size_t{1} << 20};
+  MemoryBudget budget{std::size_t{1} << 20};
   stats::Counters counters{{{}}};
   std::unique_ptr<Inbound> inbound;
   std::vector<HttpRequest> requests;
@@ -149,7 +149,7 @@
   auto chunked = Client("POST /api HTTP/1.1\r\nReq-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n3938700\r\n");
   EXPECT_EQ(Status(*chunked), "413");
   EXPECT_TRUE(Ends(*client) && Ends(*chunked));
-  EXPECT_EQ(budget.held(), 0U);
+  EXPECT_EQ(budget.reserved(), 0U);
 }
 
 TEST_F(InboundTest, BodiesBeyondTheMemoryBudgetAreRefusedAndTheBudgetComesBack) {
@@ -158,12 +158,12 @@
   Start();
   std::vector<std::shared_ptr<Peer>> clients;  // 8 bodies, counted twice, are the whole megabyte
   for (int i = 0; i < 8; ++i) clients.push_back(Client(head));
-  ASSERT_TRUE(RunUntil(io, [&] { return budget.held() == std::size_t{1} << 20; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return budget.reserved() == std::size_t{1} << 20; }));
   EXPECT_EQ(Status(*Client(head)), "503");
   clients[0]->Write(std::string(65536, 'x'));
   EXPECT_EQ(Status(*clients[0]), "200");
   for (const auto& client : clients) client->Close();
-  EXPECT_TRUE(RunUntil(io, [&] { return budget.held() == 0; }));
+  EXPECT_TRUE(RunUntil(io, [&] { return budget.reserved() == 0; }));
 }
 
 TEST_F(InboundTest, TellsWhichRequestsClientHasGone) {
--- a/tests/net/loopback.hpp
+++ b/tests/net/loopback.hpp
@@ -154,8 +154,10 @@
 inline nlohmann::json Entry(const std::string& id, const Tcp::endpoint& address,
                             const std::string& lifecycle = "up", std::int64_t started_ms = 0,
                             const std::string& zone = "east") {
-  return {{"instanceId", id}, {"hostPort", Text(address)}, {"zone", zone},  {"machineType", "std"},
-          {"cell", 1},        {"lifecycle", lifecycle},    {"weight", 1.0}, {"startedAtMs", started_ms}};
+  return {{"instanceId", id}, {"hostPort", FormatAddress(address)},
+          {"zone", zone},     {"machineType", "std"},
+          {"cell", 1},        {"lifecycle", lifecycle},
+          {"weight", 1.0},    {"startedAtMs", started_ms}};
 }
 
 inline nlohmann::json List(std::int64_t generation, bool reset,
@@ -173,7 +175,7 @@
                                  const std::vector<nlohmann::json>& instances) {
   return {{"name", "n0"},
           {"listen", "127.0.0.1:1"},
-          {"discovery", Text(discovery)},
+          {"discovery", FormatAddress(discovery)},
           {"seed", "8c1f30d27a5be964"},
           {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
           {"known", List(1, true, instances)},
--- a/tests/net/program_test.cpp
+++ b/tests/net/program_test.cpp
@@ -41,14 +41,15 @@
     };
   }
   void Configure(const std::string& text) { std::ofstream(path, std::ios::trunc) << text; }
-  std::string Text(const Tcp::endpoint& discovery, const std::vector<nlohmann::json>& instances) const {
+  std::string FormatAddress(const Tcp::endpoint& discovery,
+                            const std::vector<nlohmann::json>& instances) const {
     nlohmann::json json = ConfigJson(discovery, instances);
-    json["listen"] = net::Text(listen);
+    json["listen"] = net::FormatAddress(listen);
     return json.dump();
   }
   void Start() {
     const std::string config = "EDGE_CONFIG=" + path;
-    const std::string named = "EDGE_DISCOVERY=" + net::Text(discovery_.address);
+    const std::string named = "EDGE_DISCOVERY=" + net::FormatAddress(discovery_.address);
     const std::vector<const char*> environment = {config.c_str(), named.c_str(), nullptr};
     const std::vector<const char*> arguments = {FENNELHOLLOW_PROGRAM, nullptr};
     ASSERT_EQ(::posix_spawn(&pid, FENNELHOLLOW_PROGRAM, nullptr, nullptr,
@@ -82,7 +83,7 @@
 TEST_F(ProgramTest, SighupMakesItFollowTheDiscoveryOfTheNewFile) {
   ScriptedServer server(io, Serves("ok"));
   ScriptedServer other(io, TellsOf(List(2, true, {Entry("s1", server.address)})));
-  Configure(Text(other.address, {}));  // EDGE_DISCOVERY comes before the file at the start
+  Configure(FormatAddress(other.address, {}));  // EDGE_DISCOVERY comes before the file at the start
   Start();
   ASSERT_TRUE(RunUntil(io, [&] { return discovery_.requests() >= 2; }));
   EXPECT_TRUE(other.peers.empty());
@@ -92,7 +93,7 @@
   RunFor(io, 50ms);
   EXPECT_TRUE(Runs());
   EXPECT_FALSE(discovery_.peers.back()->ended);
-  Configure(Text(other.address, {}));
+  Configure(FormatAddress(other.address, {}));
   ::kill(pid, SIGHUP);
   ASSERT_TRUE(RunUntil(io, [&] { return Ask("GET /ready HTTP/1.1\r\n\r\n") == "200"; }));
   EXPECT_EQ(Ask("GET /api HTTP/1.1\r\nReq-Id: r1\r\nReq-Kind: look\r\n\r\n"), "200");
--- a/tests/net/sidecar_test.cpp
+++ b/tests/net/sidecar_test.cpp
@@ -110,7 +110,7 @@
   EXPECT_EQ(sent.find("TE: "), std::string::npos);
   client->Write(Get("r2"));
   EXPECT_EQ(Status(*client, 2), "200");
-  EXPECT_EQ(sidecar->requests_held(), 0U);
+  EXPECT_EQ(sidecar->active_requests(), 0U);
 }
 
 TEST_F(SidecarTest, AnswersPipelinedRequestsInTurn) {
@@ -201,7 +201,7 @@
   EXPECT_EQ(Ask(Post("port", "r1", "0.6")), "502");
   EXPECT_LT(std::chrono::steady_clock::now() - begin, 600ms);
   EXPECT_TRUE(RunUntil(io, [&] { return server.peers[0]->ended; })) << "the attempt's connection was kept";
-  EXPECT_EQ(sidecar->requests_held(), 0U);
+  EXPECT_EQ(sidecar->active_requests(), 0U);
 }
 
 TEST_F(SidecarTest, AClientThatLeavesEndsItsAttempt) {
@@ -211,7 +211,7 @@
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
   client->Close();
   EXPECT_TRUE(RunUntil(io, [&] { return server.peers[0]->ended; }));
-  EXPECT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0; }));
+  EXPECT_TRUE(RunUntil(io, [&] { return sidecar->active_requests() == 0; }));
 }
 
 TEST_F(SidecarTest, ATruncatedAnswerIsNeverPassedOn) {
--- a/tests/net/streaming_test.cpp
+++ b/tests/net/streaming_test.cpp
@@ -222,8 +222,9 @@
   EXPECT_TRUE(client->right && server.peers.at(0)->right);
   EXPECT_NE(server.peers[0]->head.find(Length(kLarge)), std::string::npos);
   EXPECT_NE(client->head.find("200 OK"), std::string::npos);
-  EXPECT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0 && sidecar->counters().active == 0; }));
-  EXPECT_EQ(sidecar->counters().tries, 1);
+  EXPECT_TRUE(
+      RunUntil(io, [&] { return sidecar->active_requests() == 0 && sidecar->counters().active == 0; }));
+  EXPECT_EQ(sidecar->counters().attempts_sent, 1);
   EXPECT_EQ(sidecar->counters().classes[2].ok, 1);
 }
 
@@ -257,13 +258,13 @@
   }
   std::size_t most = 0;
   ASSERT_TRUE(RunUntil(io, [&] {
-    most = std::max(most, sidecar->memory_held());
+    most = std::max(most, sidecar->reserved_memory());
     return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return c->come == kSize; });
   }));
   for (const auto& client : clients) EXPECT_TRUE(client->right);
   EXPECT_GT(most, 0U);
-  EXPECT_LE(most, 40 * 2 * kPipeCharge);
-  EXPECT_TRUE(RunUntil(io, [&] { return sidecar->memory_held() == 0; }));
+  EXPECT_LE(most, 40 * 2 * kPipeReservation);
+  EXPECT_TRUE(RunUntil(io, [&] { return sidecar->reserved_memory() == 0; }));
 }
 
 // A client that takes nothing more: what its server gives stays with the server.
@@ -278,7 +279,7 @@
   client->Read(200'000);
   ASSERT_TRUE(RunUntil(io, [&] { return client->come >= 200'000; }));
   RunFor(io, 200ms);
-  EXPECT_LE(sidecar->memory_held(), 2 * kPipeCharge);
+  EXPECT_LE(sidecar->reserved_memory(), 2 * kPipeReservation);
   client->Read();  // it goes on, and nothing was lost
   ASSERT_TRUE(RunUntil(io, [&] { return client->come == kLarge; }));
   EXPECT_TRUE(client->right);
@@ -294,7 +295,7 @@
   client->Read(100'000);
   ASSERT_TRUE(RunUntil(io, [&] { return client->come >= 100'000; }));
   client->Reset();
-  EXPECT_TRUE(RunUntil(io, [&] { return server.peers.at(0)->ended && sidecar->memory_held() == 0; }));
+  EXPECT_TRUE(RunUntil(io, [&] { return server.peers.at(0)->ended && sidecar->reserved_memory() == 0; }));
   EXPECT_EQ(sidecar->upstream_connections(), 0U);
   EXPECT_EQ(sidecar->counters().active, 0);
 }
@@ -339,7 +340,7 @@
   EXPECT_NE(client->head.find("Connection: close"), std::string::npos);
   RunFor(io, 300ms);
   EXPECT_EQ(server.peers.size(), 1U);
-  EXPECT_EQ(sidecar->counters().tries, 0);
+  EXPECT_EQ(sidecar->counters().attempts_sent, 0);
 }
 
 // Before anything of it is gone it goes to another server like any other.
@@ -389,7 +390,7 @@
   client->Read();
   ASSERT_TRUE(RunUntil(io, [&] { return !client->head.empty(); }));
   EXPECT_NE(client->head.find("408"), std::string::npos);
-  EXPECT_TRUE(RunUntil(io, [&] { return sidecar->requests_held() == 0 && server.peers.at(0)->ended; }));
+  EXPECT_TRUE(RunUntil(io, [&] { return sidecar->active_requests() == 0 && server.peers.at(0)->ended; }));
 }
 
 TEST_F(StreamingTest, ExpectContinueIsAnsweredBeforeTheBody) {
--- a/tests/net/upstream_test.cpp
+++ b/tests/net/upstream_test.cpp
@@ -55,7 +55,7 @@
 
   asio::io_context io;
   Upstream::Limits limits;
-  Budget budget{std::size_t{1} << 20};
+  MemoryBudget budget{std::size_t{1} << 20};
   stats::Counters counters;
   std::vector<UpstreamAnswer> answers;
 
--- a/tests/net/validate_test.cpp
+++ b/tests/net/validate_test.cpp
@@ -19,11 +19,11 @@
   parser.put(asio::buffer(text), error);
   if (error && error != http::error::need_more) return 400;  // the library itself will not have it
   EXPECT_TRUE(parser.is_header_done()) << text;
-  const auto fault = CheckRequest(parser.get());
+  const auto fault = ValidateRequest(parser.get());
   return fault ? static_cast<int>(fault->status) : 0;
 }
 
-TEST(CheckRequest, TakesWhatTheProtocolDescribes) {
+TEST(ValidateRequest, TakesWhatTheProtocolDescribes) {
   EXPECT_EQ(Turned("GET /api?obj=7f", "Req-Kind: a\r\nReq-Deadline: 0.480\r\n"), 0);
   EXPECT_EQ(Turned("GET /api", "Content-Length: 0\r\nReq-Deadline: 3\r\n"), 0);
   EXPECT_EQ(
@@ -36,12 +36,12 @@
 }
 
 // RFC 9112, 3.2.2: what a proxy is sent. What is no plain host is left as it is, and turned away.
-TEST(CheckRequest, ATargetInAbsoluteFormBecomesAPath) {
+TEST(ValidateRequest, ATargetInAbsoluteFormBecomesAPath) {
   const auto origin = [](const std::string& target) {
     RequestHeader header;
     header.target(target);
     header.set(http::field::host, "before");
-    UseOriginForm(header);
+    ConvertToOriginForm(header);
     return std::string(View(header[http::field::host])) + " " + std::string(View(header.target()));
   };
   EXPECT_EQ(origin("http://origin.svc/api?obj=1"), "origin.svc /api?obj=1");
@@ -52,7 +52,7 @@
     EXPECT_EQ(origin(left), "before " + left);
 }
 
-TEST(CheckRequest, TurnsAwayWhatIsInDoubt) {
+TEST(ValidateRequest, TurnsAwayWhatIsInDoubt) {
   const struct {
     int status;
     std::string start;
@@ -105,12 +105,12 @@
   EXPECT_EQ(Turned("GET /api", many), 431);
 }
 
-TEST(CheckAgainstClass, MethodAndKeyFollowFromTheClass) {
+TEST(ValidateForClass, MethodAndKeyFollowFromTheClass) {
   const auto turned = [](http::verb method, Repeat repeat, const char* key) {
     RequestHeader header;
     header.method(method);
     if (key != nullptr) header.set(kIdempotencyHeader, key);
-    return CheckAgainstClass(header, repeat).has_value();
+    return ValidateForClass(header, repeat).has_value();
   };
   EXPECT_FALSE(turned(http::verb::get, Repeat::kSafe, nullptr));
   EXPECT_FALSE(turned(http::verb::post, Repeat::kDeduplicated, "k1"));
@@ -124,13 +124,13 @@
   EXPECT_TRUE(turned(http::verb::post, Repeat::kNever, "k1"));
 }
 
-TEST(AcceptAnswer, TakesOneLengthWithinTheLimitAndNothingElse) {
+TEST(IsValidResponse, TakesOneLengthWithinTheLimitAndNothingElse) {
   const auto takes = [](unsigned status, std::initializer_list<std::pair<http::field, const char*>> fields) {
     ResponseHeader header;
     header.version(11);
     header.result(status);
     for (const auto& [name, value] : fields) header.insert(name, value);
-    return AcceptAnswer(header);
+    return IsValidResponse(header);
   };
   const auto length = http::field::content_length;
   const auto coding = http::field::transfer_encoding;
--- a/tests/ops/api_test.cpp
+++ b/tests/ops/api_test.cpp
@@ -76,16 +76,16 @@
 }
 
 TEST_F(ApiTest, CountsEndsByTheStatusThatTheClientSaw) {
-  EXPECT_EQ(stats::EndingOf(200), stats::Ending::kOk);
-  EXPECT_EQ(stats::EndingOf(429), stats::Ending::kShed);
-  EXPECT_EQ(stats::EndingOf(503), stats::Ending::kShed);
-  EXPECT_EQ(stats::EndingOf(502), stats::Ending::kError);
-  EXPECT_EQ(stats::EndingOf(400), stats::Ending::kError);
-  stats::Taken first(counters, 0);
-  stats::Taken second(counters, 1);
+  EXPECT_EQ(stats::ResultForStatus(200), stats::RequestResult::kOk);
+  EXPECT_EQ(stats::ResultForStatus(429), stats::RequestResult::kShed);
+  EXPECT_EQ(stats::ResultForStatus(503), stats::RequestResult::kShed);
+  EXPECT_EQ(stats::ResultForStatus(502), stats::RequestResult::kError);
+  EXPECT_EQ(stats::ResultForStatus(400), stats::RequestResult::kError);
+  stats::ActiveRequestGuard first(counters, 0);
+  stats::ActiveRequestGuard second(counters, 1);
   EXPECT_EQ(Figures().at("active"), 2);
-  first.End(stats::Ending::kShed);
-  first.End(stats::Ending::kOk);  // one end a request
+  first.Finish(stats::RequestResult::kShed);
+  first.Finish(stats::RequestResult::kOk);  // one end a request
   second.Drop();
   const auto figures = Figures();
   EXPECT_EQ(figures.at("active"), 0);
--- a/tests/ops/phase_test.cpp
+++ b/tests/ops/phase_test.cpp
@@ -14,7 +14,7 @@
 using namespace merlinrun::testing;  // NOLINT(google-build-using-namespace)
 using State = Phase::State;
 
-class ScriptedFront : public core::Front {
+class ScriptedFront : public core::ProtocolListener {
  public:
   void SetDraining(bool on) override {
     steps += on ? "drain " : "back ";
--- a/tests/record/recorder_test.cpp
+++ b/tests/record/recorder_test.cpp
@@ -24,14 +24,14 @@
   std::vector<Record> out;
   for (std::size_t i = 0; i < count; ++i) {
     Record record;
-    record.arrived = static_cast<Micros>(i * 1000 + random() % 100'000);
+    record.arrival_time = static_cast<Micros>(i * 1000 + random() % 100'000);
     record.budget = static_cast<Micros>(random() % 6'000'000);
-    record.took = static_cast<Micros>(random() % 3'000'000);
-    record.its_class = static_cast<std::uint32_t>(random() % 2);
+    record.duration = static_cast<Micros>(random() % 3'000'000);
+    record.request_class = static_cast<std::uint32_t>(random() % 2);
     record.attempts = static_cast<std::uint32_t>(random() % 5);
-    record.end = static_cast<End>(random() % 4);
-    record.front = static_cast<std::uint8_t>(random() % 2);
-    record.repeated = random() % 2 == 0;
+    record.disposition = static_cast<Disposition>(random() % 4);
+    record.protocol = static_cast<std::uint8_t>(random() % 2);
+    record.is_retry = random() % 2 == 0;
     record.id = random() | 1;
     record.key = random() % 2 == 0 ? 0 : random() | 1;
     out.push_back(record);
@@ -63,18 +63,18 @@
   ASSERT_TRUE(std::holds_alternative<Recording>(read)) << std::get<std::string>(read);
   const auto& recording = std::get<Recording>(read);
   EXPECT_EQ(recording.header.classes, ExampleHeader().classes);
-  EXPECT_EQ(recording.header.began_us, ExampleHeader().began_us);
-  EXPECT_EQ(recording.lost, 6U);
+  EXPECT_EQ(recording.header.start_time_us, ExampleHeader().start_time_us);
+  EXPECT_EQ(recording.lost_records, 6U);
   ASSERT_EQ(recording.records.size(), records.size());
   for (std::size_t i = 0; i < records.size(); ++i) {
-    EXPECT_EQ(recording.records[i].arrived, records[i].arrived);
+    EXPECT_EQ(recording.records[i].arrival_time, records[i].arrival_time);
     EXPECT_EQ(recording.records[i].budget, records[i].budget);
-    EXPECT_EQ(recording.records[i].took, records[i].took);
-    EXPECT_EQ(recording.records[i].its_class, records[i].its_class);
+    EXPECT_EQ(recording.records[i].duration, records[i].duration);
+    EXPECT_EQ(recording.records[i].request_class, records[i].request_class);
     EXPECT_EQ(recording.records[i].attempts, records[i].attempts);
-    EXPECT_EQ(recording.records[i].end, records[i].end);
-    EXPECT_EQ(recording.records[i].front, records[i].front);
-    EXPECT_EQ(recording.records[i].repeated, records[i].repeated);
+    EXPECT_EQ(recording.records[i].disposition, records[i].disposition);
+    EXPECT_EQ(recording.records[i].protocol, records[i].protocol);
+    EXPECT_EQ(recording.records[i].is_retry, records[i].is_retry);
     EXPECT_EQ(recording.records[i].id, records[i].id);
     EXPECT_EQ(recording.records[i].key, records[i].key);
   }
@@ -143,14 +143,14 @@
     Recorder recorder(OpenFile(path_, 1 << 20), ExampleHeader(), kSalt, 1'000);
     for (int i = 0; i < 500; ++i) {
       Record record;
-      record.arrived = 1'000 + 10 * i;
+      record.arrival_time = 1'000 + 10 * i;
       recorder.Add(1'000 + 10 * i, record, "r-" + std::to_string(i), "");
     }
   }
   const auto read = Read();
   ASSERT_TRUE(std::holds_alternative<Recording>(read)) << std::get<std::string>(read);
   EXPECT_EQ(std::get<Recording>(read).records.size(), 500U);
-  EXPECT_EQ(std::get<Recording>(read).records[3].arrived, 30);
+  EXPECT_EQ(std::get<Recording>(read).records[3].arrival_time, 30);
   EXPECT_EQ(std::get<Recording>(read).records[3].id, Hasher(kSalt)("r-3"));
   struct stat status {};
   ASSERT_EQ(::stat(path_.c_str(), &status), 0);
@@ -170,7 +170,7 @@
   const auto read = Read();
   ASSERT_TRUE(std::holds_alternative<Recording>(read)) << std::get<std::string>(read);
   EXPECT_GT(std::get<Recording>(read).records.size(), 1'000U);
-  EXPECT_EQ(std::get<Recording>(read).records.size() + std::get<Recording>(read).lost, 1U * kRecords);
+  EXPECT_EQ(std::get<Recording>(read).records.size() + std::get<Recording>(read).lost_records, 1U * kRecords);
 }
 
 // /dev/full takes no byte: what a disk that is full says, at the first write already.
--- a/tests/rig/client_fault_test.cpp
+++ b/tests/rig/client_fault_test.cpp
@@ -113,7 +113,7 @@
   for (int i = 0; i < 5'000; ++i) peer->Send(diameter::MakeDwr(peer->identity));
   ASSERT_TRUE(world->RunUntil([&] { return peer->received.size() == 5'001; }));
   EXPECT_EQ(Arrived(), 0U);
-  EXPECT_EQ(sidecar->requests_held(), 0U);
+  EXPECT_EQ(sidecar->active_requests(), 0U);
   EXPECT_EQ(sidecar->diameter()->front().remembered(), 0U);
   peer->looked_at = peer->received.size();
   EXPECT_EQ(peer->Ask(peer->Request("number-port", 1)), ResultCode::kSuccess);
--- a/tests/rig/mixed_test.cpp
+++ b/tests/rig/mixed_test.cpp
@@ -18,7 +18,7 @@
   EXPECT_EQ(diameter::ResultOf(client->last()), ResultCode::kSuccess);
   EXPECT_EQ(Broken() + Owed(), "");
   EXPECT_EQ(world->ledger.Rows()["number-port"].served, 1U);
-  EXPECT_EQ(sidecar->requests_held(), 0U);
+  EXPECT_EQ(sidecar->active_requests(), 0U);
 }
 
 // 20,000 requests, one in ten a port. A server dies with a port begun, one restarts, the back office restarts
--- a/tests/rig/record_test.cpp
+++ b/tests/rig/record_test.cpp
@@ -29,21 +29,21 @@
   http.Start();
   const auto diameter = Client(traffic, 4);
   ASSERT_TRUE(world->RunUntil([&] { return traffic.left() == 0 && http.idle() && diameter->idle(); }));
-  ASSERT_TRUE(world->RunUntil([&] { return sidecar->requests_held() == 0; }));
+  ASSERT_TRUE(world->RunUntil([&] { return sidecar->active_requests() == 0; }));
   sidecar = nullptr;
   std::ifstream in(folder_ + "/requests.rec", std::ios::binary);
   const auto read = record::ParseRecording(std::string((std::istreambuf_iterator<char>(in)), {}));
   ASSERT_TRUE(std::holds_alternative<record::Recording>(read)) << std::get<std::string>(read);
   const auto& recording = std::get<record::Recording>(read);
-  EXPECT_EQ(recording.lost, 0U);
+  EXPECT_EQ(recording.lost_records, 0U);
   EXPECT_EQ(recording.records.size(), 600U);
   std::map<std::string, std::uint64_t> served;
   std::uint64_t over_diameter = 0;
   for (const record::Record& r : recording.records) {
-    if (r.end == record::End::kServed) ++served[recording.header.classes.at(r.its_class)];
-    over_diameter += r.front;
-    EXPECT_GT(r.took, 0);
-    EXPECT_LT(r.took, r.budget);
+    if (r.disposition == record::Disposition::kServed) ++served[recording.header.classes.at(r.request_class)];
+    over_diameter += r.protocol;
+    EXPECT_GT(r.duration, 0);
+    EXPECT_LT(r.duration, r.budget);
   }
   for (const auto& [name, row] : world->ledger.Rows()) EXPECT_EQ(served[name], row.served) << name;
   EXPECT_GT(over_diameter, 0U);
--- a/tools/mesh/configuration.cpp
+++ b/tools/mesh/configuration.cpp
@@ -86,7 +86,7 @@
   io.run();
   bool answered = false;
   for (std::size_t i = 0; i < cores.size(); ++i) {
-    nlohmann::ordered_json line = {{"core", merlinrun::net::Text(cores[i])}};
+    nlohmann::ordered_json line = {{"core", merlinrun::net::FormatAddress(cores[i])}};
     const auto& reply = replies[i];
     if (!reply || !reply->ok()) {
       line["error"] = reply ? std::string(reply->status().message()) : "no answer";
--- a/tools/mesh/follower.cpp
+++ b/tools/mesh/follower.cpp
@@ -66,7 +66,7 @@
   try {
     const ordered_json read = ordered_json::parse(body);
     Position& position = positions_[at_];
-    const std::string core = merlinrun::net::Text(settings_.cores[at_]);
+    const std::string core = merlinrun::net::FormatAddress(settings_.cores[at_]);
     const auto epoch = read.at("epoch").get<std::uint64_t>();
     const auto next = read.at("next").get<std::uint64_t>();
     const auto lost = read.at("lost").get<std::uint64_t>();
@@ -93,7 +93,7 @@
 }
 
 void Follower::Fail(const std::string& trouble) {
-  sink_.trouble(absl::StrCat(merlinrun::net::Text(settings_.cores[at_]), ": ", trouble));
+  sink_.trouble(absl::StrCat(merlinrun::net::FormatAddress(settings_.cores[at_]), ": ", trouble));
   following_ = false;
   at_ = (at_ + 1) % settings_.cores.size();
   if (++failed_ >= settings_.cores.size() && settings_.once) return sink_.done(false);
--- a/tools/mesh/http_client.cpp
+++ b/tools/mesh/http_client.cpp
@@ -30,7 +30,7 @@
     request_.method_string(call.method);
     request_.target(call.target);
     request_.version(11);
-    request_.set(http::field::host, merlinrun::net::Text(core));
+    request_.set(http::field::host, merlinrun::net::FormatAddress(core));
     request_.keep_alive(false);
     if (!call.body.empty()) request_.set(http::field::content_type, "application/json");
     request_.body() = std::move(call.body);
--- a/tools/mesh/repeater.cpp
+++ b/tools/mesh/repeater.cpp
@@ -69,7 +69,7 @@
   call.target = target;
   Exchange(io_, core, std::move(call), limits_.http,
            [self = shared_from_this(), core, redirects](absl::StatusOr<HttpReply> reply) {
-             const std::string from = merlinrun::net::Text(core);
+             const std::string from = merlinrun::net::FormatAddress(core);
              if (!reply.ok()) return self->Again(absl::StrCat(from, ": ", reply.status().message()), "");
              if (reply->status == 307 || reply->status == 308) {
                const auto place = PlaceOf(reply->location, core);
