--- a/src/mesh/egress/http_server.cpp
+++ b/src/mesh/egress/http_server.cpp
@@ -29,7 +29,7 @@
 constexpr auto kLinger = std::chrono::milliseconds(500);
 constexpr std::size_t kMostFields = 100;
 
-using merlinrun::net::View;
+using merlinrun::net::ToStringView;
 
 bool EndsHere(beast::string_view name) {
   return transport::IsHopByHop(name) || beast::iequals(name, "proxy-authorization") ||
@@ -235,20 +235,21 @@
   void Dispatch() {
     auto& head = parser_->get();
     HttpRequest in;
-    in.method = std::string(View(head.method_string()));
-    in.target = std::string(View(head.target()));
-    in.host = std::string(View(head[http::field::host]));
+    in.method = std::string(ToStringView(head.method_string()));
+    in.target = std::string(ToStringView(head.target()));
+    in.host = std::string(ToStringView(head[http::field::host]));
     // What Connection names concerns this connection alone (RFC 9110, 7.6.1).
     std::vector<std::string> named;
-    for (const auto& token : http::token_list(head[http::field::connection])) named.emplace_back(View(token));
+    for (const auto& token : http::token_list(head[http::field::connection]))
+      named.emplace_back(ToStringView(token));
     for (const auto& field : head) {
-      const std::string_view name = View(field.name_string());
+      const std::string_view name = ToStringView(field.name_string());
       if (EndsHere(field.name_string())) continue;
       const bool dropped = std::any_of(named.begin(), named.end(), [&](const std::string& n) {
         return n.size() == name.size() && beast::iequals(n, beast::string_view(name.data(), name.size())) &&
                !beast::iequals(n, "host") && !beast::iequals(n, "attempt-id");
       });
-      if (!dropped) in.headers.emplace_back(std::string(name), std::string(View(field.value())));
+      if (!dropped) in.headers.emplace_back(std::string(name), std::string(ToStringView(field.value())));
     }
     in.body = std::move(head.body());
     keep_ = parser_->keep_alive();
--- a/src/net/http_front.cpp
+++ b/src/net/http_front.cpp
@@ -107,13 +107,13 @@
                 },
                 [this](const std::string& id) { request_manager_.OnRequestComplete(id); },
                 [this](const RequestHeader& header) {
-                  return core::ClassIndex(request_manager_.settings(), View(header[kClassHeader]));
+                  return core::ClassIndex(request_manager_.settings(), ToStringView(header[kClassHeader]));
                 },
                 [this](const std::string& id) { request_manager_.OnClientGone(id); }, std::move(ready)}) {}
 
 std::optional<RequestError> HttpFront::Check(const HttpRequest& request, int request_class) const {
   if (request_class < 0) return RequestError{http::status::not_found, "unknown Req-Kind\n"};
-  if (request_manager_.Contains(std::string(View(request[kIdHeader]))))
+  if (request_manager_.Contains(std::string(ToStringView(request[kIdHeader]))))
     return RequestError{http::status::conflict, "Req-Id is in use\n"};
   return ValidateForClass(
       request, request_manager_.settings().classes[static_cast<std::size_t>(request_class)].repeat);
@@ -125,15 +125,15 @@
   core::IncomingRequest arrival;
   arrival.request_class = request_class;
   if (const auto fault = Check(request, arrival.request_class)) return Inbound::Reject(session, *fault);
-  arrival.id = std::string(View(request[kIdHeader]));
-  arrival.tenant = core::TenantIndex(settings, View(request[kTenantHeader]));
-  if (const auto seconds = ParseDecimal(View(request[kDeadlineHeader])))
+  arrival.id = std::string(ToStringView(request[kIdHeader]));
+  arrival.tenant = core::TenantIndex(settings, ToStringView(request[kTenantHeader]));
+  if (const auto seconds = ParseDecimal(ToStringView(request[kDeadlineHeader])))
     arrival.client_timeout = static_cast<Micros>(*seconds * kMicrosASecond);
   arrival.is_retry = request[kRetryHeader] == "1";
   arrival.write = request.method() != http::verb::get;
-  if (const auto cost = ParseDecimal(View(request[kCostHeader])); cost && *cost < 1e12)
+  if (const auto cost = ParseDecimal(ToStringView(request[kCostHeader])); cost && *cost < 1e12)
     arrival.cost = static_cast<Micros>(*cost);
-  arrival.key = std::string(KeyOf(View(request.target())));
+  arrival.key = std::string(KeyOf(ToStringView(request.target())));
   if (from.rest != nullptr) arrival.upload_time = from.upload;
   arrival.request = std::make_unique<RequestMessage>(std::move(from));
   arrival.response_sink = std::make_unique<HttpCaller>(session);
--- a/src/net/inbound.cpp
+++ b/src/net/inbound.cpp
@@ -417,7 +417,7 @@
                                   ready ? "ready\n" : "not yet\n"),
                      {});
     }
-    request_ = std::string(View(request[kIdHeader]));
+    request_ = std::string(ToStringView(request[kIdHeader]));
     active_request_ = {owner_.counters_, request_class_};
     try {
       owner_.events_.on_request(shared_from_this(), std::move(from), request_class_);
--- a/src/net/validate.cpp
+++ b/src/net/validate.cpp
@@ -41,14 +41,14 @@
   const auto lengths = header.count(http::field::content_length);
   const auto codings = header.count(http::field::transfer_encoding);
   if (lengths + codings > 1) return false;
-  if (lengths == 1) return IsLength(View(header[http::field::content_length]));
+  if (lengths == 1) return IsLength(ToStringView(header[http::field::content_length]));
   return codings == 0 || (version == 11 && beast::iequals(header[http::field::transfer_encoding], "chunked"));
 }
 
 template <typename Header>
 bool HasBody(const Header& header) {
   if (header.count(http::field::transfer_encoding) > 0) return true;
-  const std::string_view length = View(header[http::field::content_length]);
+  const std::string_view length = ToStringView(header[http::field::content_length]);
   return std::any_of(length.begin(), length.end(), [](char c) { return c != '0'; });
 }
 
@@ -77,7 +77,7 @@
 
 void ConvertToOriginForm(RequestHeader& header) {
   constexpr beast::string_view kScheme = "http://";
-  const std::string target(View(header.target()));
+  const std::string target(ToStringView(header.target()));
   if (target.size() <= kScheme.size() || !beast::iequals(target.substr(0, kScheme.size()), kScheme)) return;
   const std::size_t path = target.find_first_of("/?", kScheme.size());
   const std::string host = target.substr(kScheme.size(), path - kScheme.size());
@@ -94,7 +94,7 @@
   if (static_cast<std::size_t>(std::distance(header.begin(), header.end())) > kMostFields)
     return RequestError{http::status::request_header_fields_too_large, "too many header fields\n"};
   if (!OneFraming(header, header.version())) return bad("the body's length is in doubt\n");
-  const auto length = View(header[http::field::content_length]);
+  const auto length = ToStringView(header[http::field::content_length]);
   if (ParseDecimal(length).value_or(0) > static_cast<double>(kMaxStreamedBody))
     return RequestError{http::status::payload_too_large, "too large\n"};
   if (const auto expects = header.count(http::field::expect);
@@ -110,9 +110,9 @@
       return RequestError{http::status::method_not_allowed, "GET alone\n"};
     return std::nullopt;
   }
-  if (!IsName(View(header[kIdHeader]), kMostId)) return bad("no valid Req-Id\n");
+  if (!IsName(ToStringView(header[kIdHeader]), kMostId)) return bad("no valid Req-Id\n");
   if (header.count(kDeadlineHeader) > 0) {
-    const auto deadline = ParseDecimal(View(header[kDeadlineHeader]));
+    const auto deadline = ParseDecimal(ToStringView(header[kDeadlineHeader]));
     if (!deadline || *deadline <= 0 || *deadline > kMostDeadline) return bad("no valid Req-Deadline\n");
   }
   return std::nullopt;
@@ -124,7 +124,7 @@
   if (header.method() != method)
     return RequestError{http::status::method_not_allowed, "not this class's method\n"};
   if (keyed != (repeat == Repeat::kDeduplicated) ||
-      (keyed && !IsName(View(header[kIdempotencyHeader]), kMostKey)))
+      (keyed && !IsName(ToStringView(header[kIdempotencyHeader]), kMostKey)))
     return RequestError{http::status::bad_request, "Idempotency-Key does not fit the class\n"};
   return std::nullopt;
 }
@@ -145,7 +145,7 @@
       header.count(http::field::transfer_encoding) == 0)
     return false;
   return OneFraming(header, header.version()) &&
-         ParseDecimal(View(header[http::field::content_length])).value_or(0) <=
+         ParseDecimal(ToStringView(header[http::field::content_length])).value_or(0) <=
              static_cast<double>(kMaxStreamedBody);
 }
 
--- a/src/net/validate.hpp
+++ b/src/net/validate.hpp
@@ -43,7 +43,7 @@
 // The form that ParseDecimal reads, of a time in seconds: 0.480.
 std::string FormatSeconds(Micros time);
 
-inline std::string_view View(beast::string_view text) { return {text.data(), text.size()}; }
+inline std::string_view ToStringView(beast::string_view text) { return {text.data(), text.size()}; }
 
 }  // namespace merlinrun::net
 
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -46,9 +46,9 @@
         out.header = true;
         if constexpr (kRequest) {
           ConvertToOriginForm(parser.get());
-          const std::string once(View(parser.get().target()));
+          const std::string once(ToStringView(parser.get().target()));
           if (once.front() == '/') ConvertToOriginForm(parser.get());
-          Require(once == View(parser.get().target()));
+          Require(once == ToStringView(parser.get().target()));
           out.taken = !ValidateRequest(parser.get());
           // What is passed on has one framing, whoever reads it.
           if (out.taken)
@@ -59,7 +59,7 @@
           out.taken = IsValidResponse(parser.get());
           if (IsDelimitedByClose(parser.get())) Require(!parser.content_length());
         }
-        out.target = std::string(View(parser.get().base()[http::field::host]));
+        out.target = std::string(ToStringView(parser.get().base()[http::field::host]));
         if (!out.taken) return out;
         parser.eager(true);
       }
--- a/tests/net/validate_test.cpp
+++ b/tests/net/validate_test.cpp
@@ -42,7 +42,8 @@
     header.target(target);
     header.set(http::field::host, "before");
     ConvertToOriginForm(header);
-    return std::string(View(header[http::field::host])) + " " + std::string(View(header.target()));
+    return std::string(ToStringView(header[http::field::host])) + " " +
+           std::string(ToStringView(header.target()));
   };
   EXPECT_EQ(origin("http://origin.svc/api?obj=1"), "origin.svc /api?obj=1");
   EXPECT_EQ(origin("HTTP://origin.svc:80"), "origin.svc:80 /");
