--- a/src/mesh/ingress/admission_queue.hpp
+++ b/src/mesh/ingress/admission_queue.hpp
@@ -16,8 +16,8 @@
 #include "merlinrun/balancer.hpp"
 #include "mesh/ingress/fair_queue.hpp"
 #include "mesh/ingress/flow.hpp"
-#include "mesh/ingress/flow_account.hpp"
-#include "mesh/ingress/hop.hpp"
+#include "mesh/ingress/flow_stats.hpp"
+#include "mesh/ingress/proxy_protocol.hpp"
 
 namespace fennelhollow::ingress {
 
--- a/src/mesh/ingress/fair_queue.hpp
+++ b/src/mesh/ingress/fair_queue.hpp
@@ -19,7 +19,7 @@
 
 #include "merlinrun/balancer.hpp"
 #include "mesh/ingress/flow.hpp"
-#include "mesh/ingress/hop.hpp"
+#include "mesh/ingress/proxy_protocol.hpp"
 
 namespace fennelhollow::ingress {
 
--- a/src/mesh/ingress/flow_account.cpp
+++ b/src/mesh/ingress/flow_stats.cpp
@@ -1,4 +1,4 @@
-#include "mesh/ingress/flow_account.hpp"
+#include "mesh/ingress/flow_stats.hpp"
 
 #include <algorithm>
 
--- a/src/mesh/ingress/flow_account.hpp
+++ b/src/mesh/ingress/flow_stats.hpp
@@ -1,8 +1,8 @@
 // What each flow asked of a server and got: tells a flow that is starved, and checks that none is.
 //
 // Free of I/O.
-#ifndef FENNELHOLLOW_MESH_INGRESS_FLOW_ACCOUNT_HPP_
-#define FENNELHOLLOW_MESH_INGRESS_FLOW_ACCOUNT_HPP_
+#ifndef FENNELHOLLOW_MESH_INGRESS_FLOW_STATS_HPP_
+#define FENNELHOLLOW_MESH_INGRESS_FLOW_STATS_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -65,4 +65,4 @@
 
 }  // namespace fennelhollow::ingress
 
-#endif  // FENNELHOLLOW_MESH_INGRESS_FLOW_ACCOUNT_HPP_
+#endif  // FENNELHOLLOW_MESH_INGRESS_FLOW_STATS_HPP_
--- a/src/mesh/ingress/inbound_proxy.hpp
+++ b/src/mesh/ingress/inbound_proxy.hpp
@@ -11,8 +11,8 @@
 
 #include "core/loop.hpp"
 #include "mesh/ingress/admission_queue.hpp"
-#include "mesh/ingress/hop.hpp"
-#include "mesh/ingress/server_pool.hpp"
+#include "mesh/ingress/proxy_protocol.hpp"
+#include "mesh/ingress/server_connection_pool.hpp"
 #include "mesh/registry/registry.hpp"
 #include "mesh/transport/link.hpp"
 
--- a/src/mesh/ingress/hop.hpp
+++ b/src/mesh/ingress/proxy_protocol.hpp
@@ -1,8 +1,8 @@
 // What the two hops of a request say to each other (standard term: proxy-to-proxy protocol). A link carries
 // one attempt at a time, so a slow reader holds up nothing but its own answer, and a reset takes one request
 // with it. The first byte of a frame is its Word, the rest is cereal.
-#ifndef FENNELHOLLOW_MESH_INGRESS_HOP_HPP_
-#define FENNELHOLLOW_MESH_INGRESS_HOP_HPP_
+#ifndef FENNELHOLLOW_MESH_INGRESS_PROXY_PROTOCOL_HPP_
+#define FENNELHOLLOW_MESH_INGRESS_PROXY_PROTOCOL_HPP_
 
 #include <absl/status/statusor.h>
 
@@ -168,4 +168,4 @@
 
 }  // namespace fennelhollow::ingress
 
-#endif  // FENNELHOLLOW_MESH_INGRESS_HOP_HPP_
+#endif  // FENNELHOLLOW_MESH_INGRESS_PROXY_PROTOCOL_HPP_
--- a/src/mesh/ingress/server_pool.cpp
+++ b/src/mesh/ingress/server_connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "mesh/ingress/server_pool.hpp"
+#include "mesh/ingress/server_connection_pool.hpp"
 
 #include <netinet/tcp.h>
 
--- a/src/mesh/ingress/server_pool.hpp
+++ b/src/mesh/ingress/server_connection_pool.hpp
@@ -1,6 +1,6 @@
 // Kept HTTP/1.1 connections to the server on this machine (standard term: upstream connection pool).
-#ifndef FENNELHOLLOW_MESH_INGRESS_SERVER_POOL_HPP_
-#define FENNELHOLLOW_MESH_INGRESS_SERVER_POOL_HPP_
+#ifndef FENNELHOLLOW_MESH_INGRESS_SERVER_CONNECTION_POOL_HPP_
+#define FENNELHOLLOW_MESH_INGRESS_SERVER_CONNECTION_POOL_HPP_
 
 #include <boost/asio/steady_timer.hpp>
 #include <cstdint>
@@ -10,7 +10,7 @@
 #include <memory>
 #include <string>
 
-#include "mesh/ingress/hop.hpp"
+#include "mesh/ingress/proxy_protocol.hpp"
 #include "net/protocol.hpp"
 
 namespace fennelhollow::ingress {
@@ -77,4 +77,4 @@
 
 }  // namespace fennelhollow::ingress
 
-#endif  // FENNELHOLLOW_MESH_INGRESS_SERVER_POOL_HPP_
+#endif  // FENNELHOLLOW_MESH_INGRESS_SERVER_CONNECTION_POOL_HPP_
--- a/tests/mesh/ingress_server_pool_test.cpp
+++ b/tests/mesh/ingress_server_pool_test.cpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "loopback.hpp"
-#include "mesh/ingress/server_pool.hpp"
+#include "mesh/ingress/server_connection_pool.hpp"
 
 namespace fennelhollow::ingress {
 namespace {
