--- a/bench/mesh/order_cost.cpp
+++ b/bench/mesh/order_cost.cpp
@@ -45,10 +45,10 @@
 struct Member final : Sink {
   Member(World& w, ReplicaId name, int r) : world(w), id(std::move(name)), region(r) {}
   void Send(const ReplicaId& to, std::string message) override;
-  void Write(const Durable& durable, std::uint64_t token) override;
-  void Deliver(const Entry& entry) override;
-  void Done(std::uint64_t call, Outcome outcome) override;
-  void OnLeader(const ReplicaId&, std::uint64_t) override {}
+  void Write(const PersistentState& durable, std::uint64_t token) override;
+  void Apply(const Entry& entry) override;
+  void OnRequestDone(std::uint64_t call, Outcome outcome) override;
+  void OnLeaderChange(const ReplicaId&, std::uint64_t) override {}
   World& world;
   const ReplicaId id;
   const int region;
@@ -69,9 +69,9 @@
       s.self = id;
       s.incarnation = ++life;
       s.seed = life;
-      s.founders = s.contacts = ids;
-      s.first_start = true;
-      s.most_voters = static_cast<std::size_t>(count);
+      s.initial_voters = s.seed_peers = ids;
+      s.bootstrap = true;
+      s.max_voters = static_cast<std::size_t>(count);
       m->replica = std::make_unique<Replica>(s, now, *m);
       Tick(*m);
     }
@@ -95,7 +95,7 @@
   }
   Member* Holder() {
     for (auto& [id, m] : members)
-      if (m->replica->leads()) return m.get();
+      if (m->replica->is_leader()) return m.get();
     return nullptr;
   }
   struct Event {
@@ -119,12 +119,14 @@
     other.replica->OnMessage(world.now, id, *text);
   });
 }
-void Member::Write(const Durable&, std::uint64_t token) {
+void Member::Write(const PersistentState&, std::uint64_t token) {
   ++world.writes;
   world.At(world.now + kMs / 2, [this, token] { replica->OnWritten(world.now, token, true); });
 }
-void Member::Deliver(const Entry& entry) { delivered = entry.number; }
-void Member::Done(std::uint64_t, Outcome outcome) { world.settled += outcome == Outcome::kDone ? 1 : 0; }
+void Member::Apply(const Entry& entry) { delivered = entry.index; }
+void Member::OnRequestDone(std::uint64_t, Outcome outcome) {
+  world.settled += outcome == Outcome::kSuccess ? 1 : 0;
+}
 
 void MeasureOrder() {
   constexpr int kChanges = 40;
@@ -155,7 +157,7 @@
         for (int i = 0; i < kChanges; ++i) {
           Member* holder = world.Holder();
           const std::string state(kb * 1000, static_cast<char>('a' + i % 26));
-          const std::uint64_t want = world.settled + 1, number = holder->replica->newest().number;
+          const std::uint64_t want = world.settled + 1, number = holder->replica->last_committed().index;
           const Micros began = world.now;
           before = Processor();
           holder->replica->Propose(world.now, static_cast<std::uint64_t>(i + 1), number, state);
@@ -202,14 +204,14 @@
       std::filesystem::remove_all(folder);
       auto store = storage::Store::Open(folder.string(), std::size_t{64} << 20);
       CHECK(store.ok()) << store.status();
-      Durable durable;
-      durable.store = 5;
+      PersistentState durable;
+      durable.storage_id = 5;
       durable.accepted.voters = {"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"};
-      durable.accepted.voter_stores = {1, 2, 3};
+      durable.accepted.voter_storage_ids = {1, 2, 3};
       durable.accepted.state.assign(kb * 1000, 's');
       const double before = Processor();
       for (int i = 0; i < kWrites; ++i) {
-        durable.accepted.number = static_cast<std::uint64_t>(i + 1);
+        durable.accepted.index = static_cast<std::uint64_t>(i + 1);
         const Micros began = Now();
         const auto written = (*store)->Write(durable);
         CHECK(written.ok()) << written;
--- a/rig/sim/core_process.cpp
+++ b/rig/sim/core_process.cpp
@@ -38,10 +38,10 @@
 void CoreProcess::Open() {
   consensus::ReplicaSettings replica;
   replica.seed = settings_.incarnation * 31 + 7;
-  replica.founders = settings_.seeds;
-  replica.first_start = settings_.first_start;
-  replica.stored = disk_.synced;
-  replica.contacts = settings_.seeds;
+  replica.initial_voters = settings_.seeds;
+  replica.bootstrap = settings_.first_start;
+  replica.persisted = disk_.synced;
+  replica.seed_peers = settings_.seeds;
   replica_.Start(std::move(replica));
   if (terminated_at_ >= 0) replica_.Leave();
   Observe();
@@ -71,7 +71,7 @@
   if (terminated_at_ < 0 || ended_) return;
   const Micros since = events_.now() - terminated_at_;
   if (replica_.CallsUnderWay() && since < 2 * kSecond) return;
-  if (!replica_.MayEnd() && since < settings_.leave_within) return;
+  if (!replica_.ReadyForShutdown() && since < settings_.leave_within) return;
   if (replica_.Leads() && since < settings_.leave_within + kFlushWithin) return;
   ended_ = true;
   events_.At(events_.now(), observer_.on_ended);
@@ -79,14 +79,14 @@
 
 // ---- disk and threads
 
-void CoreProcess::Write(const consensus::Durable& durable, std::uint64_t token) {
+void CoreProcess::Write(const consensus::PersistentState& durable, std::uint64_t token) {
   disk_.under_way = durable;
   const Micros done =
       std::max(events_.now(), disk_.stalled_until) + disk_.write_takes + random_.Upto(disk_.write_takes / 2);
   // The thread that writes stops with a frozen process, the disk with a stall that comes in the midst.
   Later(done, [this, token] {
     if (events_.now() < disk_.stalled_until) {
-      const consensus::Durable again = *disk_.under_way;
+      const consensus::PersistentState again = *disk_.under_way;
       return Write(again, token);
     }
     const bool ok = !disk_.full;
--- a/rig/sim/core_process.hpp
+++ b/rig/sim/core_process.hpp
@@ -60,7 +60,7 @@
   bool SendToPeer(const consensus::ReplicaId& to, std::string_view frame) override;
   void SendToSidecars(const std::vector<SidecarLink>& links, const push::News& news) override;
   void CloseSidecar(SidecarLink link) override;
-  void Write(const consensus::Durable& durable, std::uint64_t token) override;
+  void Write(const consensus::PersistentState& durable, std::uint64_t token) override;
   bool RunAside(std::function<void()> work, std::function<void()> done) override;
   std::string ControlAddress(const consensus::ReplicaId& core) const override { return core; }
   void Post(std::function<void()> next) override;
--- a/rig/sim/disk.hpp
+++ b/rig/sim/disk.hpp
@@ -12,8 +12,8 @@
 struct Disk {
   static constexpr Micros kWriteTakes = 2 * kMillisecond;  // two commits
 
-  std::optional<consensus::Durable> synced;
-  std::optional<consensus::Durable> under_way;
+  std::optional<consensus::PersistentState> synced;
+  std::optional<consensus::PersistentState> under_way;
   Micros write_takes = kWriteTakes;
   Micros stalled_until = 0;
   bool full = false;
--- a/rig/sim/world.cpp
+++ b/rig/sim/world.cpp
@@ -399,7 +399,7 @@
 void World::OnStep(const CoreProcess& process) {
   const control::ControlReplica& replica = process.replica();
   Core& core = cores_[process.address()];
-  const std::uint64_t entry = replica.entry().number;
+  const std::uint64_t entry = replica.entry().index;
   if (entry == core.entry) return;
   if (entry < core.entry) throw Violation("CONFIG: a core goes back: " + process.address());
   core.entry = entry;
@@ -508,7 +508,7 @@
       if (cores_[voter].removed) why = voter + " votes, and is gone for good";
     }
     for (const Address& id : Cores()) {
-      if (!cores_[id].process || cores_[id].process->replica().entry().number != entry.number)
+      if (!cores_[id].process || cores_[id].process->replica().entry().index != entry.index)
         why = id + " has not caught up";
     }
     for (const auto& [id, sidecar] : sidecars_) {
--- a/src/mesh/consensus/election.cpp
+++ b/src/mesh/consensus/election.cpp
@@ -32,7 +32,7 @@
   role_ = Role::kPreCandidate;
   ++pre_vote_round_;
   granted_.clear();
-  granted_.insert({settings_.self, durable_.store});
+  granted_.insert({settings_.self, durable_.storage_id});
   began_ = now_;
   SendPreVote();
   if (HasQuorum(durable_.accepted, granted_, true)) StartCandidacy(false);
@@ -40,7 +40,7 @@
 
 void Replica::Impl::SendPreVote() {
   asked_at_ = now_;
-  Message ask = Begin(Kind::kPreVote);
+  Message ask = Begin(MessageType::kPreVote);
   ask.round = pre_vote_round_;
   for (const ReplicaId& member : VotersOf(durable_.accepted)) Send(member, ask);
 }
@@ -48,22 +48,22 @@
 void Replica::Impl::OnPreVote(const ReplicaId& from, const Message& m) {
   // One that was removed while it was away asks by its old view.
   if (role_ == Role::kLeader) AddLearner(from);
-  Message vote = Begin(Kind::kPreVoteAnswer);
+  Message vote = Begin(MessageType::kPreVoteAnswer);
   vote.round = m.round;
-  vote.yes = !HearsLeader() && DiskOk();
+  vote.flag = !HearsLeader() && DiskOk();
   Send(from, vote);
 }
 
 void Replica::Impl::OnPreVoteAnswer(const ReplicaId& from, const Message& m) {
   if (role_ != Role::kPreCandidate || m.round != pre_vote_round_) return;
-  if (!m.yes) {
+  if (!m.flag) {
     if (!m.leader.empty() && m.leader != settings_.self) {
       Learn({m.leader});
-      if (VotersOf(durable_.accepted).count(m.leader) == 0) Send(m.leader, Begin(Kind::kJoin));
+      if (VotersOf(durable_.accepted).count(m.leader) == 0) Send(m.leader, Begin(MessageType::kJoin));
     }
     return;
   }
-  granted_.insert({from, m.store});
+  granted_.insert({from, m.storage_id});
   if (HasQuorum(durable_.accepted, granted_, true)) StartCandidacy(false);
 }
 
@@ -72,8 +72,8 @@
   by_name_ = by_name;
   prepared_ = false;
   SetLeader("", leader_term_);
-  term_ = TermAbove(std::max(highest_seen_, durable_.promised));
-  durable_.promised = term_;
+  term_ = TermAbove(std::max(highest_seen_, durable_.promised_term));
+  durable_.promised_term = term_;
   promised_to_ = settings_.self;
   promised_incarnation_ = settings_.incarnation;
   answer_due_ = false;
@@ -86,10 +86,10 @@
 
 void Replica::Impl::SendPrepare() {
   asked_at_ = now_;
-  Message prepare = Begin(Kind::kPrepare);
+  Message prepare = Begin(MessageType::kPrepare);
   prepare.term = term_;
   prepare.accepted = IdOf(best_);
-  prepare.yes = by_name_;
+  prepare.flag = by_name_;
   for (const ReplicaId& member : VotersOf(best_)) {
     const bool has =
         std::any_of(granted_.begin(), granted_.end(), [&](const auto& vote) { return vote.first == member; });
@@ -99,10 +99,10 @@
 
 void Replica::Impl::OnPrepare(const ReplicaId& from, const Message& m) {
   const bool again =
-      m.term == durable_.promised && promised_to_ == from && promised_incarnation_ == m.incarnation;
-  const bool may = m.term > durable_.promised && (m.yes || !HearsLeader());
+      m.term == durable_.promised_term && promised_to_ == from && promised_incarnation_ == m.incarnation;
+  const bool may = m.term > durable_.promised_term && (m.flag || !HearsLeader());
   if (!again && !may) {
-    Message refusal = Begin(Kind::kPromise);
+    Message refusal = Begin(MessageType::kPromise);
     refusal.term = m.term;
     Send(from, refusal);
     return;
@@ -112,7 +112,7 @@
     role_ = Role::kFollower;
     heard_any_ = false;
     SetLeader("", leader_term_);
-    durable_.promised = m.term;
+    durable_.promised_term = m.term;
     promised_to_ = from;
     promised_incarnation_ = m.incarnation;
     ResetElectionTimer();
@@ -125,11 +125,11 @@
 
 // Once the promise is on disk.
 void Replica::Impl::AnswerPrepare() {
-  if (!answer_due_ || disk_promised_ < durable_.promised || unwritten_) return;
+  if (!answer_due_ || disk_promised_ < durable_.promised_term || unwritten_) return;
   answer_due_ = false;
-  Message promise = Begin(Kind::kPromise);
-  promise.term = durable_.promised;
-  promise.yes = true;
+  Message promise = Begin(MessageType::kPromise);
+  promise.term = durable_.promised_term;
+  promise.flag = true;
   promise.accepted = IdOf(durable_.accepted);
   if (promise.accepted > promised_has_) promise.entry.push_back(durable_.accepted);
   Send(promised_to_, promise);
@@ -137,8 +137,8 @@
 
 void Replica::Impl::OnPromise(const ReplicaId& from, const Message& m) {
   if (role_ != Role::kCandidate || m.term != term_ || !prepared_) return;
-  if (!m.yes) {
-    if (m.promised > term_) {  // overtaken: asks again, above it
+  if (!m.flag) {
+    if (m.promised_term > term_) {  // overtaken: asks again, above it
       role_ = Role::kFollower;
       deadline_ = now_ + random_.Upto(settings_.election_timeout / 2);
     }
@@ -146,13 +146,13 @@
   }
   if (!m.entry.empty() && IdOf(m.entry[0]) == m.accepted && m.accepted > IdOf(best_)) best_ = m.entry[0];
   if (m.accepted > IdOf(best_)) return;  // it has something newer, that didn't come with it
-  granted_.insert({from, m.store});
+  granted_.insert({from, m.storage_id});
   TryWin();
 }
 
 void Replica::Impl::TryWin() {
   if (!prepared_ || !HasQuorum(best_, granted_, true)) return;
-  if (!IsVoter(best_, settings_.self, durable_.store)) {  // was removed, and is told so only now
+  if (!IsVoter(best_, settings_.self, durable_.storage_id)) {  // was removed, and is told so only now
     role_ = Role::kFollower;
     removed_in_ = IdOf(best_);
     Learn(best_.voters);
@@ -185,7 +185,8 @@
   if (now_ < deadline_) return;
   SetLeader("", leader_term_);
   if (removed_in_ > IdOf(durable_.accepted)) return;  // waits to be let in
-  if (IsVoter(durable_.accepted, settings_.self, durable_.store) && DiskOk() && now_ >= no_candidacy_until_)
+  if (IsVoter(durable_.accepted, settings_.self, durable_.storage_id) && DiskOk() &&
+      now_ >= no_candidacy_until_)
     StartPreVote();
 }
 
--- a/src/mesh/consensus/impl.hpp
+++ b/src/mesh/consensus/impl.hpp
@@ -36,22 +36,22 @@
   void OnMessage(Micros now, const ReplicaId& from, const std::string& bytes);
   void OnWritten(Micros now, std::uint64_t token, bool ok);
   void OnTick(Micros now);
-  void SetContacts(std::vector<ReplicaId> contacts);
+  void SetSeedPeers(std::vector<ReplicaId> seed_peers);
   void Propose(Micros now, std::uint64_t call, std::uint64_t on_top_of, std::string state);
-  void Confirm(Micros now, std::uint64_t call);
+  void ConfirmLeadership(Micros now, std::uint64_t call);
   void TransferLeadership(Micros now);
-  void Leave(Micros now);
-  bool MayEnd() const;
-  void OnRefused(Micros now, const ReplicaId& peer);
+  void PrepareShutdown(Micros now);
+  bool ReadyForShutdown() const;
+  void OnConnectionRefused(Micros now, const ReplicaId& peer);
 
-  bool leads() const { return role_ == Role::kLeader && committed_.term == term_; }
-  bool in_contact() const { return leads() ? HearsMajority() : !leader_.empty() && HearsLeader(); }
+  bool is_leader() const { return role_ == Role::kLeader && committed_.term == term_; }
+  bool is_connected() const { return is_leader() ? HearsMajority() : !leader_.empty() && HearsLeader(); }
   const ReplicaId& leader() const { return leader_; }
   std::uint64_t term() const { return leader_term_; }
-  const Entry& newest() const { return newest_; }
-  bool busy() const { return under_way_; }
-  std::vector<ReplicaId> known() const;
-  std::uint64_t unreadable() const { return unreadable_; }
+  const Entry& last_committed() const { return newest_; }
+  bool replicating() const { return under_way_; }
+  std::vector<ReplicaId> known_replicas() const;
+  std::uint64_t malformed_messages() const { return malformed_messages_; }
 
  private:
   enum class Role { kFollower, kPreCandidate, kCandidate, kLeader };
@@ -97,7 +97,7 @@
   };
 
   // replica.cpp
-  Message Begin(Kind kind) const;
+  Message Begin(MessageType type) const;
   void Send(const ReplicaId& to, const Message& message);
   void OnLeaderMessage(const ReplicaId& from, const Message& m);
   void Flush();  // begins a write if there is something to write and none is out
@@ -128,7 +128,7 @@
   std::uint64_t TermAbove(std::uint64_t term) const;
 
   // leading.cpp
-  Message LeaderMessage(Kind kind) const;
+  Message LeaderMessage(MessageType type) const;
   void StartLeading();
   void StepDown(const char* why);
   std::vector<ReplicaId> Learners() const;
@@ -176,7 +176,7 @@
   merlinrun::Random random_;
   Micros now_ = 0;
 
-  Durable durable_;  // as it shall be on disk
+  PersistentState durable_;  // as it shall be on disk
   // What the disk has for sure.
   std::uint64_t disk_promised_ = 0;
   EntryId disk_accepted_;
@@ -205,9 +205,9 @@
   std::set<ReplicaId> learners_;  // as told by a leader
   Micros next_join_ = 0;
   Micros lost_since_ = 0;  // without a leader
-  std::uint64_t unreadable_ = 0;
+  std::uint64_t malformed_messages_ = 0;
 
-  // The candidate that durable_.promised was given to.
+  // The candidate that durable_.promised_term was given to.
   ReplicaId promised_to_;
   std::uint64_t promised_incarnation_ = 0;
   EntryId promised_has_;
--- a/src/mesh/consensus/leading.cpp
+++ b/src/mesh/consensus/leading.cpp
@@ -8,7 +8,7 @@
 namespace fennelhollow::consensus {
 
 void Replica::Impl::StartLeading() {
-  LOG(INFO) << "consensus: leads term " << term_ << " from entry " << best_.number << " on";
+  LOG(INFO) << "consensus: leads term " << term_ << " from entry " << best_.index << " on";
   role_ = Role::kLeader;
   leaving_ = false;
   successor_.clear();
@@ -39,10 +39,10 @@
   votes_.clear();
   ResetElectionTimer();
   SetLeader("", term_);
-  if (has_call_) sink_.Done(call_.call, Outcome::kUnclear);
+  if (has_call_) sink_.OnRequestDone(call_.call, Outcome::kUnknown);
   has_call_ = false;
   for (const auto* calls : {&confirms_, &confirms_next_}) {
-    for (const Call& call : *calls) sink_.Done(call.call, Outcome::kUnclear);
+    for (const Call& call : *calls) sink_.OnRequestDone(call.call, Outcome::kUnknown);
   }
   confirms_.clear();
   confirms_next_.clear();
@@ -67,13 +67,13 @@
 
 void Replica::Impl::CountOwnVote() {
   if (!under_way_ || disk_accepted_ != IdOf(durable_.accepted)) return;
-  votes_.insert({settings_.self, durable_.store});
+  votes_.insert({settings_.self, durable_.storage_id});
   TryCommitOwn();
 }
 
 void Replica::Impl::OnAck(const ReplicaId& from, const Message& m) {
   if (role_ != Role::kLeader) return;
-  if (m.promised > term_) {  // it can't take anything from this term
+  if (m.promised_term > term_) {  // it can't take anything from this term
     StepDown("a member has promised a newer one");
     if (DiskOk()) StartCandidacy(true);
     return;
@@ -81,8 +81,8 @@
   const auto it = peers_.find(from);
   if (m.term != term_ || it == peers_.end()) return;
   Peer& peer = it->second;
-  if (peer.store != m.store) {
-    peer.store = m.store;
+  if (peer.store != m.storage_id) {
+    peer.store = m.storage_id;
     peer.acked = {};
     peer.round = 0;
   }
@@ -99,7 +99,7 @@
   if (m.held != wanted && (peer.sent != wanted || now_ - peer.sent_at >= kResendEntry)) SendEntry(from, peer);
   TryConfirm();
   if (under_way_ && m.accepted == wanted) {
-    votes_.insert({from, m.store});
+    votes_.insert({from, m.storage_id});
     TryCommitOwn();
   }
 }
@@ -109,7 +109,7 @@
   under_way_ = false;
   Commit();
   SetLeader(settings_.self, term_);
-  if (has_call_) sink_.Done(call_.call, Outcome::kDone);
+  if (has_call_) sink_.OnRequestDone(call_.call, Outcome::kSuccess);
   has_call_ = false;
   SendHeartbeats();
   if (!leaving_ || !TryTransferLeadership()) ChangeVoters();
@@ -123,53 +123,53 @@
   return learners;
 }
 
-Message Replica::Impl::LeaderMessage(Kind kind) const {
-  Message m = Begin(kind);
+Message Replica::Impl::LeaderMessage(MessageType type) const {
+  Message m = Begin(type);
   m.term = term_;
   m.round = round_;
   m.leader = settings_.self;
   m.others = Learners();
-  m.yes = AllVotersCaughtUp();
+  m.flag = AllVotersCaughtUp();
   return m;
 }
 
-void Replica::Impl::SendHeartbeat(const ReplicaId& to) { Send(to, LeaderMessage(Kind::kHeartbeat)); }
+void Replica::Impl::SendHeartbeat(const ReplicaId& to) { Send(to, LeaderMessage(MessageType::kHeartbeat)); }
 
 void Replica::Impl::SendHeartbeats() {
   heartbeat_at_ = now_;
-  const std::string heartbeat = transport::Pack(LeaderMessage(Kind::kHeartbeat));
+  const std::string heartbeat = transport::Pack(LeaderMessage(MessageType::kHeartbeat));
   for (const auto& [member, peer] : peers_) sink_.Send(member, heartbeat);
 }
 
 void Replica::Impl::SendEntry(const ReplicaId& to, Peer& peer) {
   peer.sent = IdOf(durable_.accepted);
   peer.sent_at = now_;
-  Message m = LeaderMessage(Kind::kAccept);
+  Message m = LeaderMessage(MessageType::kAccept);
   m.entry.push_back(durable_.accepted);
   Send(to, m);
 }
 
 void Replica::Impl::Propose(Micros now, std::uint64_t call, std::uint64_t on_top_of, std::string state) {
   now_ = std::max(now_, now);
-  if (!leads() || under_way_ || leaving_ || on_top_of != newest_.number || state.size() > kMostState) {
-    sink_.Done(call, Outcome::kNotLeader);
+  if (!is_leader() || under_way_ || leaving_ || on_top_of != newest_.index || state.size() > kMaxStateBytes) {
+    sink_.OnRequestDone(call, Outcome::kNotLeader);
     return;
   }
   has_call_ = true;
   call_ = {call, now_};
   Entry entry = newest_;
   entry.term = term_;
-  ++entry.number;
+  ++entry.index;
   entry.previous_voters.clear();
-  entry.previous_stores.clear();
+  entry.previous_voter_storage_ids.clear();
   entry.state = std::move(state);
   Replicate(std::move(entry));
 }
 
-void Replica::Impl::Confirm(Micros now, std::uint64_t call) {
+void Replica::Impl::ConfirmLeadership(Micros now, std::uint64_t call) {
   now_ = std::max(now_, now);
-  if (!leads() || confirms_next_.size() >= kMostConfirms) {
-    sink_.Done(call, Outcome::kNotLeader);
+  if (!is_leader() || confirms_next_.size() >= kMostConfirms) {
+    sink_.OnRequestDone(call, Outcome::kNotLeader);
     return;
   }
   confirms_next_.push_back({call, now_});
@@ -189,13 +189,13 @@
 // before it.
 void Replica::Impl::TryConfirm() {
   while (round_out_) {
-    Votes votes{{settings_.self, durable_.store}};
+    Votes votes{{settings_.self, durable_.storage_id}};
     for (const auto& [member, peer] : peers_) {
       if (peer.answered && peer.round >= round_) votes.insert({member, peer.store});
     }
     if (!HasQuorum(durable_.accepted, votes, under_way_)) return;
     round_out_ = false;
-    for (const Call& call : confirms_) sink_.Done(call.call, Outcome::kDone);
+    for (const Call& call : confirms_) sink_.OnRequestDone(call.call, Outcome::kSuccess);
     confirms_.clear();
     if (confirms_next_.empty()) return;
     confirms_ = std::move(confirms_next_);
@@ -207,7 +207,7 @@
 }
 
 bool Replica::Impl::HearsMajority() const {
-  Votes votes{{settings_.self, durable_.store}};
+  Votes votes{{settings_.self, durable_.storage_id}};
   for (const auto& [member, peer] : peers_) {
     if (now_ - peer.heard >= 2 * settings_.election_timeout) continue;
     if (peer.answered) {
@@ -216,11 +216,12 @@
     }
     // Has not had the time to answer.
     for (std::size_t i = 0; i < durable_.accepted.voters.size(); ++i) {
-      if (durable_.accepted.voters[i] == member) votes.insert({member, durable_.accepted.voter_stores[i]});
+      if (durable_.accepted.voters[i] == member)
+        votes.insert({member, durable_.accepted.voter_storage_ids[i]});
     }
     for (std::size_t i = 0; i < durable_.accepted.previous_voters.size(); ++i) {
       if (durable_.accepted.previous_voters[i] == member)
-        votes.insert({member, durable_.accepted.previous_stores[i]});
+        votes.insert({member, durable_.accepted.previous_voter_storage_ids[i]});
     }
   }
   return HasQuorum(durable_.accepted, votes, under_way_);
@@ -259,20 +260,20 @@
 }
 
 void Replica::Impl::SendTakeOver() {
-  if (now_ > successor_until_ || !leader_.empty() || durable_.promised > term_) {
+  if (now_ > successor_until_ || !leader_.empty() || durable_.promised_term > term_) {
     successor_.clear();
     return;
   }
-  Message m = Begin(Kind::kTakeOver);
+  Message m = Begin(MessageType::kTakeOver);
   m.term = term_;
   m.accepted = IdOf(durable_.accepted);
   Send(successor_, m);
 }
 
 void Replica::Impl::OnTakeOver(const ReplicaId& from, const Message& m) {
-  if (m.term < durable_.promised || m.accepted > IdOf(durable_.accepted)) return;
+  if (m.term < durable_.promised_term || m.accepted > IdOf(durable_.accepted)) return;
   if (role_ == Role::kCandidate || role_ == Role::kLeader || !DiskOk()) return;
-  if (!IsVoter(durable_.accepted, settings_.self, durable_.store)) return;
+  if (!IsVoter(durable_.accepted, settings_.self, durable_.storage_id)) return;
   LOG(INFO) << "consensus: takes over from " << from;
   no_candidacy_until_ = 0;
   StartCandidacy(true);
@@ -285,16 +286,17 @@
   }
   if (has_call_ && now_ - call_.began >= kProposal) {
     has_call_ = false;
-    sink_.Done(call_.call, Outcome::kUnclear);
+    sink_.OnRequestDone(call_.call, Outcome::kUnknown);
   }
   for (auto* calls : {&confirms_, &confirms_next_}) {
     std::erase_if(*calls, [&](const Call& call) {
       if (now_ - call.began < kConfirm) return false;
-      sink_.Done(call.call, Outcome::kUnclear);
+      sink_.OnRequestDone(call.call, Outcome::kUnknown);
       return true;
     });
   }
-  if (now_ - heartbeat_at_ >= settings_.heartbeat || (round_out_ && now_ - heartbeat_at_ >= kResendRound))
+  if (now_ - heartbeat_at_ >= settings_.heartbeat_interval ||
+      (round_out_ && now_ - heartbeat_at_ >= kResendRound))
     SendHeartbeats();
   const bool bad_disk = write_failed_ || (writing_ && now_ - writing_since_ > kDiskBad);
   if ((leaving_ || bad_disk) && TryTransferLeadership()) return;
--- a/src/mesh/consensus/membership.cpp
+++ b/src/mesh/consensus/membership.cpp
@@ -25,9 +25,9 @@
     AddLearner(from);
     return;
   }
-  Message view = Begin(Kind::kContacts);
+  Message view = Begin(MessageType::kContacts);
   if (!HearsLeader()) view.leader.clear();
-  view.others = known();
+  view.others = known_replicas();
   Send(from, view);
 }
 
@@ -36,12 +36,12 @@
   Learn(m.others);
   if (m.leader.empty() || m.leader == settings_.self) return;
   Learn({m.leader});
-  Send(m.leader, Begin(Kind::kJoin));
+  Send(m.leader, Begin(MessageType::kJoin));
 }
 
 void Replica::Impl::SendJoins() {
   next_join_ = now_ + kJoinEvery;
-  for (const ReplicaId& member : Others()) Send(member, Begin(Kind::kJoin));
+  for (const ReplicaId& member : Others()) Send(member, Begin(MessageType::kJoin));
 }
 
 bool Replica::Impl::CaughtUp(const Peer& peer) const {
@@ -60,24 +60,26 @@
   }
   if (ends_ && now_ >= next_leave_ && !leader_.empty() && IsVoterId(settings_.self)) {
     next_leave_ = now_ + kLeaveEvery;
-    Send(leader_, Begin(Kind::kLeave));
+    Send(leader_, Begin(MessageType::kLeave));
   }
   if (now_ < next_join_ || HearsLeader()) return;
   // A voter asks those of its own view first; they may all have been replaced meanwhile.
-  if (IsVoter(durable_.accepted, settings_.self, durable_.store) && now_ < lost_since_ + kJoinAfter) return;
+  if (IsVoter(durable_.accepted, settings_.self, durable_.storage_id) && now_ < lost_since_ + kJoinAfter)
+    return;
   SendJoins();
 }
 
 // One change at a time, in the order of what a second loss would cost.
 void Replica::Impl::ChangeVoters() {
-  if (!leads() || under_way_ || leaving_) return;
+  if (!is_leader() || under_way_ || leaving_) return;
   if (FinishChange() || TakeNewDisk() || ReplaceVoter() || AddVoter() || RemoveVoter()) return;
   DemoteVoter();
 }
 
 std::map<ReplicaId, std::uint64_t> Replica::Impl::Voters() const {
   std::map<ReplicaId, std::uint64_t> voters;
-  for (std::size_t i = 0; i < newest_.voters.size(); ++i) voters[newest_.voters[i]] = newest_.voter_stores[i];
+  for (std::size_t i = 0; i < newest_.voters.size(); ++i)
+    voters[newest_.voters[i]] = newest_.voter_storage_ids[i];
   return voters;
 }
 
@@ -163,7 +165,7 @@
   const std::vector<ReplicaId> candidates = Candidates();
   std::map<ReplicaId, std::uint64_t> voters = Voters();
   const std::size_t wanted = voters.size() % 2 == 0 ? 1 : 2;
-  if (candidates.size() < wanted || voters.size() + wanted > settings_.most_voters) return false;
+  if (candidates.size() < wanted || voters.size() + wanted > settings_.max_voters) return false;
   LOG(INFO) << "consensus: " << candidates[0] << " becomes a voter";
   voters[candidates[0]] = peers_[candidates[0]].store;
   ReplicateVoters(voters);
@@ -209,7 +211,7 @@
 
 // ---- a voter that is about to end
 
-void Replica::Impl::Leave(Micros now) {
+void Replica::Impl::PrepareShutdown(Micros now) {
   now_ = std::max(now_, now);
   ends_ = true;
   ends_since_ = now_;
@@ -218,7 +220,7 @@
 }
 
 // Where it leads on for want of a successor, TransferLeadership's own bound ends that.
-bool Replica::Impl::MayEnd() const {
+bool Replica::Impl::ReadyForShutdown() const {
   if (role_ == Role::kLeader) return false;
   const bool voted = IsVoterId(settings_.self) || IsVoterOf(newest_, settings_.self);
   if (!voted && durable_.accepted.previous_voters.empty()) return true;
@@ -238,30 +240,30 @@
   ChangeVoters();
 }
 
-void Replica::Impl::OnRefused(Micros now, const ReplicaId& peer) {
+void Replica::Impl::OnConnectionRefused(Micros now, const ReplicaId& peer) {
   now_ = std::max(now_, now);
   if (role_ != Role::kFollower || leader_.empty() || peer != leader_) return;
   heard_any_ = false;
   // One that lives all the same is heard before.
-  deadline_ = std::min(deadline_, now_ + settings_.heartbeat + random_.Upto(kRefusedJitter));
+  deadline_ = std::min(deadline_, now_ + settings_.heartbeat_interval + random_.Upto(kRefusedJitter));
 }
 
 void Replica::Impl::ReplicateVoters(const std::map<ReplicaId, std::uint64_t>& voters) {
   Entry entry = newest_;
   entry.term = term_;
-  ++entry.number;
+  ++entry.index;
   entry.previous_voters.clear();
-  entry.previous_stores.clear();
+  entry.previous_voter_storage_ids.clear();
   entry.voters.clear();
-  entry.voter_stores.clear();
+  entry.voter_storage_ids.clear();
   for (const auto& [member, store] : voters) {
     entry.voters.push_back(member);
-    entry.voter_stores.push_back(store);
+    entry.voter_storage_ids.push_back(store);
     if (member != settings_.self && peers_.count(member) == 0) peers_[member].heard = now_;
   }
-  if (entry.voters != newest_.voters || entry.voter_stores != newest_.voter_stores) {
+  if (entry.voters != newest_.voters || entry.voter_storage_ids != newest_.voter_storage_ids) {
     entry.previous_voters = newest_.voters;
-    entry.previous_stores = newest_.voter_stores;
+    entry.previous_voter_storage_ids = newest_.voter_storage_ids;
   }
   Replicate(std::move(entry));
 }
--- a/src/mesh/consensus/message.hpp
+++ b/src/mesh/consensus/message.hpp
@@ -14,27 +14,27 @@
 // Names an entry: one term has one leader, and that one puts one entry at each number.
 struct EntryId {
   std::uint64_t term = 0;
-  std::uint64_t number = 0;
+  std::uint64_t index = 0;
   auto operator<=>(const EntryId&) const = default;
   template <class Archive>
   void serialize(Archive& a) {
-    a(term, number);
+    a(term, index);
   }
 };
 
-inline EntryId IdOf(const Entry& e) { return {e.term, e.number}; }
+inline EntryId IdOf(const Entry& e) { return {e.term, e.index}; }
 
 template <class Archive>
 void serialize(Archive& a, Entry& e) {
-  a(e.term, e.number, e.voters, e.voter_stores, e.previous_voters, e.previous_stores, e.state);
+  a(e.term, e.index, e.voters, e.voter_storage_ids, e.previous_voters, e.previous_voter_storage_ids, e.state);
 }
 
 template <class Archive>
-void serialize(Archive& a, Durable& d) {
-  a(d.store, d.promised, d.accepted);
+void serialize(Archive& a, PersistentState& d) {
+  a(d.storage_id, d.promised_term, d.accepted);
 }
 
-enum class Kind : std::uint8_t {
+enum class MessageType : std::uint8_t {
   kHeartbeat = 1,      // leader: committed, round, learners
   kAccept = 2,         // leader: a heartbeat with an entry
   kAck = 3,            // to the leader: what is on disk, the round of the heartbeat
@@ -49,23 +49,24 @@
 };
 
 struct Message {
-  Kind kind = Kind::kHeartbeat;
+  MessageType type = MessageType::kHeartbeat;
   std::uint64_t incarnation = 0;  // of the sender
-  std::uint64_t store = 0;
-  std::uint64_t term = 0;      // that it is about
-  std::uint64_t promised = 0;  // of the sender, perhaps not yet on disk
-  EntryId accepted;            // on the sender's disk; that of the candidate or the promise
-  EntryId held;                // in the sender's memory
+  std::uint64_t storage_id = 0;
+  std::uint64_t term = 0;           // that it is about
+  std::uint64_t promised_term = 0;  // of the sender, perhaps not yet on disk
+  EntryId accepted;                 // on the sender's disk; that of the candidate or the promise
+  EntryId held;                     // in the sender's memory
   EntryId committed;
   std::uint64_t round = 0;
-  bool yes = false;
+  bool flag = false;
   ReplicaId leader;
   std::vector<ReplicaId> others;  // learners (kHeartbeat, kAccept); all known (kContacts)
   std::vector<Entry> entry;       // none or one
 
   template <class Archive>
   void serialize(Archive& a) {
-    a(kind, incarnation, store, term, promised, accepted, held, committed, round, yes, leader, others, entry);
+    a(type, incarnation, storage_id, term, promised_term, accepted, held, committed, round, flag, leader,
+      others, entry);
   }
 };
 
--- a/src/mesh/control/call_forwarder.cpp
+++ b/src/mesh/control/call_forwarder.cpp
@@ -113,7 +113,7 @@
   for (Call& call : again) Hold(now, std::move(call), retry_at);
 }
 
-void CallForwarder::OnLeader(Micros now, const ReplicaId& leader) {
+void CallForwarder::OnLeaderChange(Micros now, const ReplicaId& leader) {
   deaf_until_ = 0;
   ForwardAgain(
       now, [&](const ReplicaId& to) { return to != leader; }, now);
--- a/src/mesh/control/call_forwarder.hpp
+++ b/src/mesh/control/call_forwarder.hpp
@@ -105,7 +105,7 @@
   void Retry(Micros now, Call call) { Hold(now, std::move(call), now); }
   // `leader` leads now: calls that were passed on to others are passed on anew. The same call again is the
   // same change, whether the first came through or not.
-  void OnLeader(Micros now, const ReplicaId& leader);
+  void OnLeaderChange(Micros now, const ReplicaId& leader);
   // The link to `core` is gone, and what was sent over it may be lost.
   void OnPeerDown(Micros now, const ReplicaId& core);
   void OnTick(Micros now);
--- a/src/mesh/control/configuration_service.cpp
+++ b/src/mesh/control/configuration_service.cpp
@@ -56,7 +56,7 @@
     host_.Propose(first.call, first.on_top_of, first.verdict->next);
   } else {
     first.stage = Stage::kConfirming;
-    host_.Confirm(first.call);
+    host_.ConfirmLeadership(first.call);
   }
 }
 
@@ -72,7 +72,7 @@
 void ConfigurationService::OnOutcome(Micros now, std::uint64_t call, Outcome outcome) {
   if (!reading_.empty() && call == reading_call_) {
     OnRead(outcome);
-    if (outcome == Outcome::kDone) StartReading(now);  // else at the next tick
+    if (outcome == Outcome::kSuccess) StartReading(now);  // else at the next tick
     return;
   }
   if (changes_.empty() || changes_.front().call != call) return;
@@ -83,11 +83,11 @@
 void ConfigurationService::OnProposed(Micros now, Outcome outcome) {
   Change& first = changes_.front();
   switch (outcome) {
-    case Outcome::kDone:
+    case Outcome::kSuccess:
       ++counters_.taken;
       Await(now, first.on_top_of + 1);
       return Work(now);
-    case Outcome::kUnclear:
+    case Outcome::kUnknown:
       ++counters_.unclear;
       AnswerFirst(TryAgain("leadership was lost on the way; repeat the call unchanged"));
       return Work(now);
@@ -101,7 +101,7 @@
 
 void ConfigurationService::OnConfirmed(Micros now, Outcome outcome) {
   Change& first = changes_.front();
-  if (outcome != Outcome::kDone || first.on_top_of != host_.NewestNumber()) {
+  if (outcome != Outcome::kSuccess || first.on_top_of != host_.NewestNumber()) {
     // Not what it was judged by: nothing was begun, so it is judged anew, or by another.
     first.stage = Stage::kWaiting;
     if (!host_.Leads() || first.on_top_of != host_.NewestNumber()) Work(now);
@@ -170,12 +170,12 @@
   reading_.swap(reads_);
   reading_call_ = ++calls_;
   reading_until_ = now + limits_.outcome;
-  host_.Confirm(reading_call_);
+  host_.ConfirmLeadership(reading_call_);
 }
 
 void ConfigurationService::OnRead(Outcome outcome) {
   std::vector<Reader> readers = std::exchange(reading_, {});
-  if (outcome != Outcome::kDone) {
+  if (outcome != Outcome::kSuccess) {
     if (host_.Leads()) {  // at the next tick again, each until its deadline
       std::move(readers.begin(), readers.end(), std::back_inserter(reads_));
       return;
--- a/src/mesh/control/configuration_service.hpp
+++ b/src/mesh/control/configuration_service.hpp
@@ -31,7 +31,7 @@
   virtual bool Decide(std::uint64_t call, bool modify, std::shared_ptr<const std::string> body) = 0;
   // As consensus::Replica has them; both end in OnOutcome.
   virtual void Propose(std::uint64_t call, std::uint64_t on_top_of, std::string state) = 0;
-  virtual void Confirm(std::uint64_t call) = 0;
+  virtual void ConfirmLeadership(std::uint64_t call) = 0;
   // All sidecars that were heard lately have the entry in force.
   virtual bool InForce(std::uint64_t number) const = 0;
 };
--- a/src/mesh/control/control_replica.cpp
+++ b/src/mesh/control/control_replica.cpp
@@ -87,17 +87,18 @@
   host_.SendToPeer(to, message);
 }
 
-void ControlReplica::Deliver(const Entry& entry) {
+void ControlReplica::Apply(const Entry& entry) {
   deferred_.emplace_back([this, entry] { OnDelivered(entry); });
 }
 
-void ControlReplica::Done(std::uint64_t call, Outcome outcome) {
+void ControlReplica::OnRequestDone(std::uint64_t call, Outcome outcome) {
   deferred_.emplace_back([this, call, outcome] { service_.OnOutcome(host_.Now(), call, outcome); });
 }
 
-void ControlReplica::OnLeader(const ReplicaId& leader, std::uint64_t term) {
+void ControlReplica::OnLeaderChange(const ReplicaId& leader, std::uint64_t term) {
   events_.Add(host_.Now(), push::HolderEvent{leader, term});
-  if (!leader.empty()) deferred_.emplace_back([this, leader] { forwarder_.OnLeader(host_.Now(), leader); });
+  if (!leader.empty())
+    deferred_.emplace_back([this, leader] { forwarder_.OnLeaderChange(host_.Now(), leader); });
 }
 
 void ControlReplica::Drive(const std::function<void()>& step) {
@@ -134,28 +135,28 @@
 void ControlReplica::OnDelivered(const Entry& entry) {
   const std::vector<ReplicaId> joined = Without(entry.voters, entry_.voters);
   const std::vector<ReplicaId> left = Without(entry_.voters, entry.voters);
-  for (const ReplicaId& voter : joined) LOG(INFO) << "member in: " << voter << ", entry " << entry.number;
-  for (const ReplicaId& voter : left) LOG(INFO) << "member out: " << voter << ", entry " << entry.number;
+  for (const ReplicaId& voter : joined) LOG(INFO) << "member in: " << voter << ", entry " << entry.index;
+  for (const ReplicaId& voter : left) LOG(INFO) << "member out: " << voter << ", entry " << entry.index;
   if (!joined.empty() || !left.empty())
-    events_.Add(host_.Now(), push::VotersEvent{entry.voters, entry.number});
+    events_.Add(host_.Now(), push::VotersEvent{entry.voters, entry.index});
   if (entry.state != state_) TakeState(entry);
   entry_.term = entry.term;
-  entry_.number = entry.number;
+  entry_.index = entry.index;
   entry_.voters = entry.voters;
-  if (!state_.empty()) herald_.SetLedger(host_.Now(), entry.number, pushed_);
+  if (!state_.empty()) herald_.SetLedger(host_.Now(), entry.index, pushed_);
 }
 
 void ControlReplica::TakeState(const Entry& entry) {
   auto ledger = configuration::Ledger::Read(entry.state);
   if (!ledger.ok()) {  // what this core keeps is as good as it gets
-    LOG(ERROR) << "entry " << entry.number << " can't be read: " << ledger.status();
+    LOG(ERROR) << "entry " << entry.index << " can't be read: " << ledger.status();
     return;
   }
   ledger_ = std::make_shared<const configuration::Ledger>(*std::move(ledger));
   state_ = entry.state;
   pushed_ = ledger_->WithoutCalls().Write();
-  LOG(INFO) << "entry " << entry.number << " committed, version " << ledger_->newest().version();
-  events_.Add(host_.Now(), push::ConfigurationEvent{ledger_->newest().version(), entry.number});
+  LOG(INFO) << "entry " << entry.index << " committed, version " << ledger_->newest().version();
+  events_.Add(host_.Now(), push::ConfigurationEvent{ledger_->newest().version(), entry.index});
   const auto tables = configuration::Tables::Of(ledger_->newest());
   if (tables.ok()) herald_.SetLimits(host_.Now(), LimitsOf(**tables));
 }
@@ -166,17 +167,17 @@
 }
 
 void ControlReplica::Leave() {
-  Drive([&] { replica_->Leave(host_.Now()); });
+  Drive([&] { replica_->PrepareShutdown(host_.Now()); });
 }
 
-bool ControlReplica::MayEnd() const { return !replica_ || replica_->MayEnd(host_.Now()); }
+bool ControlReplica::ReadyForShutdown() const { return !replica_ || replica_->ReadyForShutdown(host_.Now()); }
 
 void ControlReplica::OnPeerRefused(const ReplicaId& peer) {
-  Drive([&] { replica_->OnRefused(host_.Now(), peer); });
+  Drive([&] { replica_->OnConnectionRefused(host_.Now(), peer); });
 }
 
-void ControlReplica::SetContacts(std::vector<ReplicaId> contacts) {
-  if (replica_) replica_->SetContacts(std::move(contacts));
+void ControlReplica::SetSeedPeers(std::vector<ReplicaId> contacts) {
+  if (replica_) replica_->SetSeedPeers(std::move(contacts));
 }
 
 // ---- messages
@@ -214,16 +215,16 @@
 void ControlReplica::OnTick() {
   const Micros now = host_.Now();
   Drive([&] { replica_->OnTick(now); });
-  if (replica_ && replica_->in_contact()) contact_at_ = now;
+  if (replica_ && replica_->is_connected()) contact_at_ = now;
   service_.OnTick(now);
   herald_.OnTick(now);
   watch_.Look(now, herald_.listing(), events_);
-  if (replica_) herald_.SetCores(replica_->known(), replica_->leader(), replica_->in_contact());
+  if (replica_) herald_.SetCores(replica_->known_replicas(), replica_->leader(), replica_->is_connected());
   forwarder_.OnTick(now);
 }
 
 bool ControlReplica::Busy() const {
-  return !replica_ || replica_->leader().empty() || replica_->busy() || CallsUnderWay() ||
+  return !replica_ || replica_->leader().empty() || replica_->replicating() || CallsUnderWay() ||
          herald_.Subscribers() > 0;
 }
 
@@ -239,12 +240,12 @@
 }
 
 bool ControlReplica::OutOfContact() const {
-  return replica_ && !replica_->in_contact() && host_.Now() - contact_at_ >= kRedirectAfter;
+  return replica_ && !replica_->is_connected() && host_.Now() - contact_at_ >= kRedirectAfter;
 }
 
 std::optional<Answer> ControlReplica::Elsewhere(CallKind kind) {
   if (!replica_) return std::nullopt;
-  std::vector<ReplicaId> others = replica_->known();
+  std::vector<ReplicaId> others = replica_->known_replicas();
   std::erase(others, settings_.self);
   if (others.empty()) return std::nullopt;
   const std::string address = host_.ControlAddress(others[redirects_++ % others.size()]);
@@ -296,8 +297,8 @@
   DrainLater();
 }
 
-void ControlReplica::Confirm(std::uint64_t call) {
-  replica_->Confirm(host_.Now(), call);
+void ControlReplica::ConfirmLeadership(std::uint64_t call) {
+  replica_->ConfirmLeadership(host_.Now(), call);
   DrainLater();
 }
 
--- a/src/mesh/control/control_replica.hpp
+++ b/src/mesh/control/control_replica.hpp
@@ -36,7 +36,7 @@
   virtual void SendToSidecars(const std::vector<SidecarLink>& links, const push::News& news) = 0;
   virtual void CloseSidecar(SidecarLink link) = 0;
   // Writes and syncs, then OnWritten(token, ok). One is out at a time.
-  virtual void Write(const consensus::Durable& durable, std::uint64_t token) = 0;
+  virtual void Write(const consensus::PersistentState& durable, std::uint64_t token) = 0;
   // Calls `work` beside the loop, then `done` in a turn of it. False, and neither is called: no room.
   virtual bool RunAside(std::function<void()> work, std::function<void()> done) = 0;
   // The address at which operators reach another core; empty: not known.
@@ -76,15 +76,15 @@
   // An operator's call; `reply` is called once, within a second.
   void Submit(CallKind kind, std::string body, std::function<void(Answer)> reply);
   // The settings file names others now.
-  void SetContacts(std::vector<ReplicaId> contacts);
+  void SetSeedPeers(std::vector<ReplicaId> contacts);
   // The machine of `peer` refuses connections: no process of a core runs there.
   void OnPeerRefused(const ReplicaId& peer);
-  // This process is about to end (SIGTERM): its leadership and its vote go to others; MayEnd once they have,
-  // or nobody is there to take them.
+  // This process is about to end (SIGTERM): its leadership and its vote go to others; ReadyForShutdown once
+  // they have, or nobody is there to take them.
   void Leave();
-  bool MayEnd() const;
+  bool ReadyForShutdown() const;
 
-  bool Leads() const override { return replica_ && replica_->leads(); }
+  bool Leads() const override { return replica_ && replica_->is_leader(); }
   bool CallsUnderWay() const { return !service_.empty() || !forwarder_.empty(); }
   // Something is due sooner than at rest.
   bool Busy() const;
@@ -102,10 +102,12 @@
   // consensus::Sink: none of these may come back into the replica, so what would is done after its function
   // has returned.
   void Send(const ReplicaId& to, std::string message) override;
-  void Write(const consensus::Durable& durable, std::uint64_t token) override { host_.Write(durable, token); }
-  void Deliver(const consensus::Entry& entry) override;
-  void Done(std::uint64_t call, consensus::Outcome outcome) override;
-  void OnLeader(const ReplicaId& leader, std::uint64_t term) override;
+  void Write(const consensus::PersistentState& durable, std::uint64_t token) override {
+    host_.Write(durable, token);
+  }
+  void Apply(const consensus::Entry& entry) override;
+  void OnRequestDone(std::uint64_t call, consensus::Outcome outcome) override;
+  void OnLeaderChange(const ReplicaId& leader, std::uint64_t term) override;
 
   // push::Herald::Sink
   void Send(SidecarLink link, const push::News& news) override { host_.SendToSidecars({link}, news); }
@@ -115,11 +117,11 @@
   void Close(SidecarLink link) override { host_.CloseSidecar(link); }
 
   // ConfigurationServiceHost
-  std::uint64_t NewestNumber() const override { return entry_.number; }
+  std::uint64_t NewestNumber() const override { return entry_.index; }
   std::string NewestText() const override;
   bool Decide(std::uint64_t call, bool modify, std::shared_ptr<const std::string> body) override;
   void Propose(std::uint64_t call, std::uint64_t on_top_of, std::string state) override;
-  void Confirm(std::uint64_t call) override;
+  void ConfirmLeadership(std::uint64_t call) override;
   bool InForce(std::uint64_t number) const override;
 
   // CallForwarderHost
--- a/src/mesh/node/core.cpp
+++ b/src/mesh/node/core.cpp
@@ -60,7 +60,7 @@
 struct Opened {
   absl::Status status;
   bool lost = false;  // there was a store that can't be trusted
-  std::optional<consensus::Durable> stored;
+  std::optional<consensus::PersistentState> stored;
 };
 
 Opened OpenStore(Disk& disk, const std::string& folder, std::size_t most_bytes) {
@@ -164,7 +164,7 @@
   bool SendToPeer(const ReplicaId& to, std::string_view frame) override { return peers_.Send(to, frame); }
   void SendToSidecars(const std::vector<SidecarLink>& links, const push::News& news) override;
   void CloseSidecar(SidecarLink link) override;
-  void Write(const consensus::Durable& durable, std::uint64_t token) override;
+  void Write(const consensus::PersistentState& durable, std::uint64_t token) override;
   bool RunAside(std::function<void()> work, std::function<void()> done) override {
     return checks_->Run(std::move(work), std::move(done));
   }
@@ -282,19 +282,19 @@
   if (opened.lost) LOG(ERROR) << "the store can't be trusted: this member has forgotten";
   consensus::ReplicaSettings replica;
   replica.seed = incarnation_ ^ 0x9e3779b97f4a7c15U;
-  replica.founders = Seeds(settings_);
+  replica.initial_voters = Seeds(settings_);
   // A founder starts from nothing; a member that had a store and lost it may have promised something.
-  replica.first_start = settings_.first_start && !opened.lost;
-  replica.stored = std::move(opened.stored);
-  replica.contacts = replica.founders;
+  replica.bootstrap = settings_.first_start && !opened.lost;
+  replica.persisted = std::move(opened.stored);
+  replica.seed_peers = replica.initial_voters;
   LOG(INFO) << "core " << self_ << " starts, life " << incarnation_ << ", "
-            << (replica.stored ? absl::StrCat("entry ", replica.stored->accepted.number, " stored")
-                               : std::string(replica.first_start ? "a founder" : "nothing stored"));
+            << (replica.persisted ? absl::StrCat("entry ", replica.persisted->accepted.index, " stored")
+                                  : std::string(replica.bootstrap ? "a founder" : "nothing stored"));
   replica_.Start(std::move(replica));
   if (stopping_) EndIfStopped();
 }
 
-void Core::Impl::Write(const consensus::Durable& durable, std::uint64_t token) {
+void Core::Impl::Write(const consensus::PersistentState& durable, std::uint64_t token) {
   ++counters_.writes;
   const auto status = std::make_shared<absl::Status>();
   const bool queued =
@@ -324,7 +324,7 @@
 }
 
 void Core::Impl::CheckCommitted() {
-  const std::uint64_t committed = replica_.entry().number;
+  const std::uint64_t committed = replica_.entry().index;
   invariants_.Check(metrics::Invariant::kCommittedEntryMonotonic, committed >= committed_,
                     [&] { return absl::StrCat("entry ", committed, " after entry ", committed_); });
   committed_ = std::max(committed_, committed);
@@ -334,7 +334,7 @@
   const consensus::Replica* replica = replica_.replica();
   metrics_.leads.Set(replica_.Leads() ? 1 : 0);
   metrics_.term.Set(replica ? static_cast<double>(replica->term()) : 0);
-  metrics_.entry.Set(static_cast<double>(replica_.entry().number));
+  metrics_.entry.Set(static_cast<double>(replica_.entry().index));
   metrics_.version.Set(static_cast<double>(replica_.ledger().newest().version()));
   metrics_.sidecars.Set(static_cast<double>(replica_.herald().Heard(loop_.Now())));
 }
@@ -457,7 +457,7 @@
 
 void Core::Impl::OnSettings(const settings::Settings& settings) {
   settings_.seeds = settings.seeds;
-  replica_.SetContacts(Seeds(settings_));
+  replica_.SetSeedPeers(Seeds(settings_));
 }
 
 void Core::Impl::Stop(std::function<void()> done) {
@@ -478,7 +478,7 @@
   const Micros now = loop_.Now();
   const bool calls = !control_stopped_ || replica_.CallsUnderWay();
   if (calls && now < stop_by_) return;
-  if (!replica_.MayEnd() && now < leave_by_) return;
+  if (!replica_.ReadyForShutdown() && now < leave_by_) return;
   if (flush_by_ == 0) flush_by_ = now + kFlushWithin;
   if ((replica_.Leads() || peers_.queued() > 0) && now < flush_by_) return;
   asio::post(io_, std::exchange(stopped_, nullptr));
@@ -492,7 +492,7 @@
   out["life"] = incarnation_;
   out["epoch"] = replica ? replica->term() : 0;
   out["holder"] = replica ? replica->leader() : "";
-  out["entry"] = replica_.entry().number;
+  out["entry"] = replica_.entry().index;
   out["version"] = replica_.ledger().newest().version();
   out["voters"] = replica_.entry().voters;
   out["sidecarsHeard"] = replica_.herald().Heard(loop_.Now());
--- a/src/mesh/storage/store.cpp
+++ b/src/mesh/storage/store.cpp
@@ -190,7 +190,7 @@
     const auto record = slots[i].Read();
     if (!record.ok()) return record.status();
     // Readable, too: a record of another format is none.
-    if (record->first > 0 && !transport::Unpack<Durable>(record->second).ok())
+    if (record->first > 0 && !transport::Unpack<PersistentState>(record->second).ok())
       return absl::DataLossError("a record can't be read");
     numbers[i] = record->first;
     return absl::OkStatus();
@@ -259,18 +259,18 @@
   return std::unique_ptr<Store>(new Store(std::move(impl)));
 }
 
-absl::StatusOr<std::optional<Durable>> Store::Read() {
+absl::StatusOr<std::optional<PersistentState>> Store::Read() {
   const std::size_t newest = impl_->newest();
-  if (impl_->numbers[newest] == 0) return std::optional<Durable>();
+  if (impl_->numbers[newest] == 0) return std::optional<PersistentState>();
   const auto record = impl_->slots[newest].Read();
   if (!record.ok()) return record.status();
-  auto durable = transport::Unpack<Durable>(record->second);
+  auto durable = transport::Unpack<PersistentState>(record->second);
   if (!durable.ok()) return durable.status();
-  return std::optional<Durable>(*std::move(durable));
+  return std::optional<PersistentState>(*std::move(durable));
 }
 
 // The older slot first: the other one holds what was acknowledged last until this one holds the new record.
-absl::Status Store::Write(const Durable& durable) {
+absl::Status Store::Write(const PersistentState& durable) {
   const std::string body = transport::Pack(durable);
   const std::size_t newest = impl_->newest();
   const std::uint64_t number = impl_->numbers[newest] + 1;
--- a/src/mesh/storage/store.hpp
+++ b/src/mesh/storage/store.hpp
@@ -13,7 +13,7 @@
 
 namespace fennelhollow::storage {
 
-using consensus::Durable;
+using consensus::PersistentState;
 
 // Blocks on the disk: for a thread of its own. One thread at a time.
 class Store {
@@ -23,11 +23,11 @@
   static absl::StatusOr<std::unique_ptr<Store>> Open(const std::string& folder, std::size_t most_bytes);
   ~Store();
   // What was written last; absent if nothing was.
-  absl::StatusOr<std::optional<Durable>> Read();
+  absl::StatusOr<std::optional<PersistentState>> Read();
   // Returns once two copies are synced, each checksummed and numbered in a file of its own: whichever one of
   // them is lost later, what was acknowledged is read. An unreadable copy so always stands for a write that
   // had not returned, or beside a whole one.
-  absl::Status Write(const Durable& durable);
+  absl::Status Write(const PersistentState& durable);
 
  private:
   struct Impl;
--- a/tests/mesh/consensus_replica_test.cpp
+++ b/tests/mesh/consensus_replica_test.cpp
@@ -26,16 +26,16 @@
 struct Member final : Sink {
   Member(World& w, ReplicaId name) : world(w), id(std::move(name)) {}
   void Send(const ReplicaId& to, std::string message) override;
-  void Write(const Durable& durable, std::uint64_t token) override;
-  void Deliver(const Entry& entry) override;
-  void Done(std::uint64_t call, Outcome outcome) override;
-  void OnLeader(const ReplicaId& leader, std::uint64_t) override { heard_leader = leader; }
+  void Write(const PersistentState& durable, std::uint64_t token) override;
+  void Apply(const Entry& entry) override;
+  void OnRequestDone(std::uint64_t call, Outcome outcome) override;
+  void OnLeaderChange(const ReplicaId& leader, std::uint64_t) override { heard_leader = leader; }
 
   World& world;
   ReplicaId id;
   std::unique_ptr<Replica> replica;  // null: its process doesn't run
   std::uint64_t incarnation = 0;
-  std::optional<Durable> disk;
+  std::optional<PersistentState> disk;
   Micros write_takes = kMs / 2;
   Micros stalled_until = 0;
   bool failing = false;
@@ -53,7 +53,7 @@
       ids.push_back("10.0.0." + std::to_string(i + 1) + ":7000");
       members[ids.back()] = std::make_unique<Member>(*this, ids.back());
     }
-    founders.assign(ids.begin(), ids.begin() + founder_count);
+    initial_voters.assign(ids.begin(), ids.begin() + founder_count);
     for (const ReplicaId& id : ids) Start(id, true);
   }
 
@@ -97,10 +97,10 @@
     s.self = id;
     s.incarnation = m.incarnation;
     s.seed = random.Next();
-    s.founders = founders;
-    s.first_start = first;
-    s.stored = m.disk;
-    s.contacts = founders;
+    s.initial_voters = initial_voters;
+    s.bootstrap = first;
+    s.persisted = m.disk;
+    s.seed_peers = initial_voters;
     s.replace_after = replace_after;
     s.remove_after = 3 * replace_after;
     m.replica = std::make_unique<Replica>(s, now, m);
@@ -134,7 +134,7 @@
   Member* Leader() {
     Member* best = nullptr;
     for (auto& [id, m] : members) {
-      if (m->replica && m->replica->leads() && (!best || m->replica->term() > best->replica->term()))
+      if (m->replica && m->replica->is_leader() && (!best || m->replica->term() > best->replica->term()))
         best = m.get();
     }
     return best;
@@ -148,34 +148,36 @@
   bool IsVoter(const ReplicaId& id) {
     Member* leader = Leader();
     if (!leader) return false;
-    const Entry& e = leader->replica->newest();
+    const Entry& e = leader->replica->last_committed();
     for (std::size_t i = 0; i < e.voters.size(); ++i) {
-      if (e.voters[i] == id) return members[id]->disk && members[id]->disk->store == e.voter_stores[i];
+      if (e.voters[i] == id)
+        return members[id]->disk && members[id]->disk->storage_id == e.voter_storage_ids[i];
     }
     return false;
   }
   bool AllVoters() {  // have their disks, and no change is under way
     Member* leader = Leader();
-    if (!leader || leader->replica->busy() || !leader->replica->newest().previous_voters.empty())
+    if (!leader || leader->replica->replicating() ||
+        !leader->replica->last_committed().previous_voters.empty())
       return false;
-    const auto& voters = leader->replica->newest().voters;
+    const auto& voters = leader->replica->last_committed().voters;
     return std::all_of(voters.begin(), voters.end(), [&](const ReplicaId& id) { return IsVoter(id); });
   }
-  std::size_t VoterCount() { return Leader() ? Leader()->replica->newest().voters.size() : 0; }
+  std::size_t VoterCount() { return Leader() ? Leader()->replica->last_committed().voters.size() : 0; }
 
   std::uint64_t Propose(Member& m) {
     const std::uint64_t call = ++calls;
-    proposed[call] = {m.replica->newest().number,
+    proposed[call] = {m.replica->last_committed().index,
                       "s" + std::to_string(call) + std::string(call % 7 * 100, 'x')};
     m.replica->Propose(now, call, proposed[call].first, proposed[call].second);
     return call;
   }
-  std::uint64_t Confirm(Member& m) {
+  std::uint64_t ConfirmLeadership(Member& m) {
     confirming[++calls] = highest_done;
-    m.replica->Confirm(now, calls);
+    m.replica->ConfirmLeadership(now, calls);
     return calls;
   }
-  bool IsDone(std::uint64_t call) { return outcomes.count(call) > 0 && outcomes[call] == Outcome::kDone; }
+  bool IsDone(std::uint64_t call) { return outcomes.count(call) > 0 && outcomes[call] == Outcome::kSuccess; }
   // A change committed, tried again and again at whoever holds.
   bool Progress(Micros within) {
     const std::uint64_t before = highest_done;
@@ -188,7 +190,8 @@
     Member* leader = Leader();
     if (!leader) return false;
     for (auto& [id, m] : members) {
-      if (!m->replica || m->replica->newest().number != leader->replica->newest().number) return false;
+      if (!m->replica || m->replica->last_committed().index != leader->replica->last_committed().index)
+        return false;
     }
     return true;
   }
@@ -204,7 +207,7 @@
   Micros now = kSecond;
   std::uint64_t sequence = 0, incarnations = 0, calls = 0;
   std::priority_queue<Event> events;
-  std::vector<ReplicaId> ids, founders;
+  std::vector<ReplicaId> ids, initial_voters;
   std::map<ReplicaId, std::unique_ptr<Member>> members;
   std::set<std::pair<ReplicaId, ReplicaId>> cut;
   double loss = 0, twice = 0;
@@ -221,7 +224,7 @@
 void Member::Send(const ReplicaId& to, std::string message) {
   REQUIRE(to != id);
   const auto sent = fennelhollow::transport::Unpack<Message>(message);
-  if (sent.ok() && sent->kind == Kind::kPromise && sent->yes) ++promises;
+  if (sent.ok() && sent->type == MessageType::kPromise && sent->flag) ++promises;
   const int copies = world.random.Unit() < world.twice ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
     if (world.random.Unit() < world.loss) continue;
@@ -233,7 +236,7 @@
   }
 }
 
-void Member::Write(const Durable& durable, std::uint64_t token) {
+void Member::Write(const PersistentState& durable, std::uint64_t token) {
   const Micros end = std::max(world.now, stalled_until) + write_takes + world.random.Upto(write_takes);
   // The disk is written by the end, whether the process still runs or not; or is not, if it died.
   const bool lost = world.random.Unit() < 0.5;
@@ -246,34 +249,34 @@
   });
 }
 
-void Member::Deliver(const Entry& entry) {
-  REQUIRE(entry.number > delivered);
-  delivered = entry.number;
-  const auto [it, fresh] = world.committed.emplace(entry.number, std::pair(entry.voters, entry.state));
+void Member::Apply(const Entry& entry) {
+  REQUIRE(entry.index > delivered);
+  delivered = entry.index;
+  const auto [it, fresh] = world.committed.emplace(entry.index, std::pair(entry.voters, entry.state));
   if (!fresh) REQUIRE(it->second == std::pair(entry.voters, entry.state));
 }
 
-void Member::Done(std::uint64_t call, Outcome outcome) {
+void Member::OnRequestDone(std::uint64_t call, Outcome outcome) {
   REQUIRE(world.outcomes.emplace(call, outcome).second);  // one answer
-  if (outcome != Outcome::kDone) return;
+  if (outcome != Outcome::kSuccess) return;
   if (const auto it = world.proposed.find(call); it != world.proposed.end()) {
     const std::uint64_t number = it->second.first + 1;
     REQUIRE(world.done.emplace(number, it->second.second).second);
     world.highest_done = std::max(world.highest_done, number);
-    REQUIRE(replica->newest().state == it->second.second);
+    REQUIRE(replica->last_committed().state == it->second.second);
   } else {
-    REQUIRE(replica->newest().number >= world.confirming[call]);
+    REQUIRE(replica->last_committed().index >= world.confirming[call]);
   }
 }
 
-TEST_CASE("founders on a calm day take turns in one order, and a leader stands within 1.5 s") {
+TEST_CASE("initial_voters on a calm day take turns in one order, and a leader stands within 1.5 s") {
   World w(3, 3, 1);
   REQUIRE(w.RunTill([&] { return w.Leader() != nullptr; }, 1500 * kMs));
   REQUIRE(w.Progress(kSecond));
   for (int i = 0; i < 20; ++i) {
     const std::uint64_t call = w.Propose(*w.Leader());
     REQUIRE(w.RunTill([&] { return w.IsDone(call); }, 50 * kMs));
-    const std::uint64_t read = w.Confirm(*w.Leader());
+    const std::uint64_t read = w.ConfirmLeadership(*w.Leader());
     REQUIRE(w.RunTill([&] { return w.IsDone(read); }, 50 * kMs));
   }
   const std::uint64_t stale = ++w.calls;
@@ -288,7 +291,7 @@
   w.Run(100 * kMs);
   for (const ReplicaId& id : w.ids) w.Start(id, false);
   REQUIRE(w.RunTill([&] { return w.Leader() != nullptr; }, 1500 * kMs));
-  REQUIRE(w.Leader()->replica->newest().state == w.done[w.highest_done]);
+  REQUIRE(w.Leader()->replica->last_committed().state == w.done[w.highest_done]);
 }
 
 // Some hundreds of bad days. Agreement, one kDone a number and no old read are checked in Deliver and Done.
@@ -300,7 +303,7 @@
   w.twice = 0.05;
   w.late = w.random.Unit() < 0.5 ? 0 : 400 * kMs;
   w.Run(100 * kMs +
-        w.random.Upto(3 * kSecond));  // founders that lose power before their first write are none
+        w.random.Upto(3 * kSecond));  // initial_voters that lose power before their first write are none
   for (auto& [id, m] : w.members) m->write_takes = w.random.Unit() < 0.5 ? kMs / 2 : 20 * kMs;
   const auto restart = [&](const ReplicaId& id) {
     w.At(w.now + 50 * kMs + w.random.Upto(1500 * kMs), [&w, id] {
@@ -312,8 +315,8 @@
   while (w.now < end) {
     w.Run(1 + w.random.Upto(40 * kMs));
     Member& client = *w.members[w.ids[w.random.Below(w.ids.size())]];
-    if (client.replica && client.replica->leads() && w.now >= client.frozen_until) {
-      w.random.Unit() < 0.5 ? w.Propose(client) : w.Confirm(client);
+    if (client.replica && client.replica->is_leader() && w.now >= client.frozen_until) {
+      w.random.Unit() < 0.5 ? w.Propose(client) : w.ConfirmLeadership(client);
     }
     if (w.now < next_fault) continue;
     next_fault = w.now + w.random.Upto(900 * kMs);
@@ -356,7 +359,7 @@
         break;
       case 10:
         if (!m.replica) break;
-        m.replica->Leave(w.now);
+        m.replica->PrepareShutdown(w.now);
         m.told_to_end = true;
         w.AtMember(w.now + w.random.Upto(1500 * kMs), m.id, m.incarnation, [&w, restart](Member& ended) {
           w.Kill(ended.id);
@@ -384,7 +387,7 @@
     const auto it = w.committed.find(number);
     REQUIRE((it != w.committed.end() && it->second.second == state));
   }
-  REQUIRE(w.Leader()->replica->newest().number >= w.highest_done);
+  REQUIRE(w.Leader()->replica->last_committed().index >= w.highest_done);
 }
 
 struct Calm : World {  // with a leader, and all as voters or learners that have everything
@@ -455,11 +458,11 @@
     if (!w.IsVoter(id)) learner = id;
   }
   w.Cut({leader->id, learner});
-  const std::uint64_t read = w.Confirm(*leader);
+  const std::uint64_t read = w.ConfirmLeadership(*leader);
   REQUIRE(w.RunTill([&] { return w.Leader() && w.Leader() != leader; }, 2500 * kMs));
   REQUIRE(w.Progress(kSecond));
-  REQUIRE(w.RunTill([&] { return !leader->replica->leads(); }, kSecond));
-  REQUIRE(w.outcomes[read] != Outcome::kDone);
+  REQUIRE(w.RunTill([&] { return !leader->replica->is_leader(); }, kSecond));
+  REQUIRE(w.outcomes[read] != Outcome::kSuccess);
   w.cut.clear();
   REQUIRE(w.RunTill([&] { return w.AllAgree(); }, kSecond));
 }
@@ -489,9 +492,9 @@
   Member* second = w.Leader();
   const std::uint64_t unclear = w.Propose(*second);
   w.Run(6 * kSecond);
-  REQUIRE(w.outcomes[unclear] == Outcome::kUnclear);
+  REQUIRE(w.outcomes[unclear] == Outcome::kUnknown);
   REQUIRE(w.Leader() == second);
-  const std::uint64_t read = w.Confirm(*second);
+  const std::uint64_t read = w.ConfirmLeadership(*second);
   REQUIRE(w.RunTill([&] { return w.IsDone(read); }, 100 * kMs));
 }
 
@@ -515,10 +518,10 @@
   const bool mute = GENERATE(true, false);
   for (const ReplicaId& id : w.ids)
     if (id != leader->id) w.cut.insert(mute ? std::pair(leader->id, id) : std::pair(id, leader->id));
-  const std::uint64_t read = w.Confirm(*leader);
+  const std::uint64_t read = w.ConfirmLeadership(*leader);
   REQUIRE(w.RunTill([&] { return w.Leader() && w.Leader() != leader; }, 4 * kSecond));
   REQUIRE(w.Progress(kSecond));
-  REQUIRE(w.RunTill([&] { return !leader->replica->leads(); }, 2 * kSecond));
+  REQUIRE(w.RunTill([&] { return !leader->replica->is_leader(); }, 2 * kSecond));
   REQUIRE(!w.IsDone(read));
   w.cut.clear();
   REQUIRE(w.RunTill([&] { return w.AllAgree(); }, 2 * kSecond));
@@ -542,8 +545,8 @@
   Calm w(4);
   const bool leader_ends = GENERATE(true, false);
   Member* leaving = leader_ends ? w.Leader() : w.Other(w.Leader());
-  leaving->replica->Leave(w.now);
-  REQUIRE(w.RunTill([&] { return leaving->replica->MayEnd(w.now); }, 700 * kMs));
+  leaving->replica->PrepareShutdown(w.now);
+  REQUIRE(w.RunTill([&] { return leaving->replica->ReadyForShutdown(w.now); }, 700 * kMs));
   REQUIRE(!w.IsVoter(leaving->id));
   REQUIRE(w.VoterCount() == 3);
   w.Kill(leaving->id);
@@ -573,11 +576,11 @@
     w.Add("10.0.0.9:7000");
     w.Run(GENERATE(0, 20, 100, 400) * kMs);
   }
-  leaving->replica->Leave(w.now);
+  leaving->replica->PrepareShutdown(w.now);
   w.Run(200 * kMs);
   if (!successor_first) w.Add("10.0.0.9:7000");
   REQUIRE(w.RunTill([&] { return w.IsVoter("10.0.0.9:7000"); }, 1500 * kMs));
-  REQUIRE(w.RunTill([&] { return leaving->replica->MayEnd(w.now); }, 500 * kMs));
+  REQUIRE(w.RunTill([&] { return leaving->replica->ReadyForShutdown(w.now); }, 500 * kMs));
   w.Kill(leaving->id);
   w.Kill(w.Leader()->id);
   REQUIRE(w.Progress(3 * kSecond));
@@ -591,10 +594,10 @@
     if (m.get() != leaving && m.get() != w.Leader()) third = m.get();
   third->stalled_until = w.now + 2 * kSecond;  // the newest entry is on two disks alone
   REQUIRE(w.Progress(kSecond));
-  leaving->replica->Leave(w.now);
+  leaving->replica->PrepareShutdown(w.now);
   w.Run(1500 * kMs);
-  REQUIRE(!leaving->replica->MayEnd(w.now));
-  REQUIRE(w.RunTill([&] { return leaving->replica->MayEnd(w.now); }, 2 * kSecond));
+  REQUIRE(!leaving->replica->ReadyForShutdown(w.now));
+  REQUIRE(w.RunTill([&] { return leaving->replica->ReadyForShutdown(w.now); }, 2 * kSecond));
   REQUIRE(w.IsVoter(leaving->id));
   // It comes back under its old vote, and a successor that comes later takes nobody's.
   w.Kill(leaving->id);
@@ -612,13 +615,13 @@
   Member* leader = w.Leader();
   const std::uint64_t term = leader->replica->term();
   for (auto& [id, m] : w.members)
-    if (m.get() != leader) m->replica->OnRefused(w.now, leader->id);
+    if (m.get() != leader) m->replica->OnConnectionRefused(w.now, leader->id);
   w.Run(kSecond);
   REQUIRE(w.Leader() == leader);  // a heartbeat or its own word came before a majority was for a change
   REQUIRE(leader->replica->term() == term);
   w.Kill(leader->id);
   for (auto& [id, m] : w.members)
-    if (m.get() != leader) m->replica->OnRefused(w.now, leader->id);
+    if (m.get() != leader) m->replica->OnConnectionRefused(w.now, leader->id);
   REQUIRE(w.RunTill([&] { return w.Leader() && w.Leader() != leader; }, 400 * kMs));
 }
 
@@ -641,7 +644,7 @@
   Calm w(3);
   Member* m = w.Leader();
   m->replica->OnMessage(w.now, "10.0.0.9:1", "garbage");
-  REQUIRE(m->replica->unreadable() == 1);
+  REQUIRE(m->replica->malformed_messages() == 1);
 }
 
 TEST_CASE("bad days: one order, nothing lost, progress after the last fault") {
--- a/tests/mesh/control_call_forwarder_test.cpp
+++ b/tests/mesh/control_call_forwarder_test.cpp
@@ -80,7 +80,7 @@
   bench.Submit(1);
   SECTION("another leads") {
     bench.leader = "c";
-    bench.forwarder.OnLeader(bench.now, "c");
+    bench.forwarder.OnLeaderChange(bench.now, "c");
   }
   SECTION("the link is lost") {
     bench.leader = "c";
--- a/tests/mesh/control_configuration_service_test.cpp
+++ b/tests/mesh/control_configuration_service_test.cpp
@@ -83,7 +83,7 @@
   void Propose(std::uint64_t call, std::uint64_t on_top_of, std::string state) override {
     outs.push_back({call, true, on_top_of, std::move(state)});
   }
-  void Confirm(std::uint64_t call) override { outs.push_back({call, false, 0, ""}); }
+  void ConfirmLeadership(std::uint64_t call) override { outs.push_back({call, false, 0, ""}); }
 
   void Submit(int id, const std::string& body, Micros within = 900'000) {
     service.Submit(now, now + within, false, std::make_shared<const std::string>(body), Take(id));
@@ -101,11 +101,11 @@
     service.OnVerdict(now, call, verdict);
   }
   // The order does what it is asked, or says that it can't.
-  void Resolve(Outcome outcome = Outcome::kDone) {
+  void Resolve(Outcome outcome = Outcome::kSuccess) {
     const Out out = outs.front();
     outs.pop_front();
     if (!leads) outcome = Outcome::kNotLeader;
-    if (out.propose && outcome == Outcome::kDone) {
+    if (out.propose && outcome == Outcome::kSuccess) {
       if (out.on_top_of == number) {
         taken.push_back(out.state);
         ++number;
@@ -182,7 +182,7 @@
   CHECK_FALSE(world.answers[2]);
   CHECK_FALSE(world.answers[3]);
   const std::uint64_t proposal = world.outs.back().call;
-  world.service.OnOutcome(world.now, proposal, Outcome::kUnclear);
+  world.service.OnOutcome(world.now, proposal, Outcome::kUnknown);
   CHECK(world.status(1) == 503);
   world.Submit(4, "0>4");
   REQUIRE(world.answers.count(4));
@@ -280,7 +280,7 @@
           break;
         case 4:
         case 5:
-          if (!world.outs.empty()) world.Resolve(random() % 6 ? Outcome::kDone : Outcome::kUnclear);
+          if (!world.outs.empty()) world.Resolve(random() % 6 ? Outcome::kSuccess : Outcome::kUnknown);
           break;
         case 6:
           world.Tick(static_cast<Micros>(random() % 200'000));
--- a/tests/mesh/storage_test.cpp
+++ b/tests/mesh/storage_test.cpp
@@ -30,10 +30,10 @@
   fs::path path;
 };
 
-Durable Of(std::uint64_t n) {
-  Durable d;
-  d.store = 7;
-  d.promised = n;
+PersistentState Of(std::uint64_t n) {
+  PersistentState d;
+  d.storage_id = 7;
+  d.promised_term = n;
   d.accepted = {
       n, n + 1, {"a", "b"}, {0, 7}, {"a"}, {0}, "state" + std::to_string(n) + std::string(10000, 'x')};
   return d;
@@ -45,15 +45,15 @@
   const auto read = (*store)->Read();
   REQUIRE(read.ok());
   REQUIRE(read->has_value());
-  const Durable want = Of(n);
-  const Durable& have = **read;
-  REQUIRE((have.store == want.store && have.promised == n));
-  REQUIRE((have.accepted.term == n && have.accepted.number == n + 1 &&
+  const PersistentState want = Of(n);
+  const PersistentState& have = **read;
+  REQUIRE((have.storage_id == want.storage_id && have.promised_term == n));
+  REQUIRE((have.accepted.term == n && have.accepted.index == n + 1 &&
            have.accepted.state == want.accepted.state));
   REQUIRE((have.accepted.voters == want.accepted.voters &&
-           have.accepted.voter_stores == want.accepted.voter_stores));
+           have.accepted.voter_storage_ids == want.accepted.voter_storage_ids));
   REQUIRE((have.accepted.previous_voters == want.accepted.previous_voters &&
-           have.accepted.previous_stores == want.accepted.previous_stores));
+           have.accepted.previous_voter_storage_ids == want.accepted.previous_voter_storage_ids));
 }
 
 void WriteTill(const std::string& folder, std::uint64_t n) {
@@ -114,7 +114,7 @@
       REQUIRE(store.ok());
       const auto read = (*store)->Read();
       REQUIRE((read.ok() && read->has_value()));
-      const std::uint64_t have = (*read)->promised;
+      const std::uint64_t have = (*read)->promised_term;
       REQUIRE((have == 4 || have == 1));
       fourth += have == 4 ? 1 : 0;
       REQUIRE((*store)->Write(Of(6)).ok());
@@ -160,10 +160,10 @@
   Folder f;
   WriteTill(f.path, 2);
   auto store = Store::Open(f.path, kMost);
-  Durable large = Of(3);
+  PersistentState large = Of(3);
   large.accepted.state.assign(kMost, 'x');
   for (int i = 0; i < 3; ++i) REQUIRE(absl::IsResourceExhausted((*store)->Write(large)));
-  REQUIRE((*store)->Read()->value().promised == 2);
+  REQUIRE((*store)->Read()->value().promised_term == 2);
   store->reset();
   RequireIs(f.path, 2);
   store = Store::Open(f.path, kMost);
