--- a/rig/sim/core_process.cpp
+++ b/rig/sim/core_process.cpp
@@ -43,7 +43,7 @@
   replica.persisted = disk_.synced;
   replica.seed_peers = settings_.seeds;
   replica_.Start(std::move(replica));
-  if (terminated_at_ >= 0) replica_.Leave();
+  if (terminated_at_ >= 0) replica_.PrepareShutdown();
   Observe();
 }
 
@@ -55,7 +55,7 @@
 }
 
 void CoreProcess::Submit(control::CallKind kind, std::string body,
-                         std::function<void(control::Answer)> reply) {
+                         std::function<void(control::Response)> reply) {
   replica_.Submit(kind, std::move(body), std::move(reply));
   Observe();
 }
@@ -64,15 +64,15 @@
 void CoreProcess::Terminate() {
   if (terminated_at_ >= 0) return;
   terminated_at_ = events_.now();
-  replica_.Leave();
+  replica_.PrepareShutdown();
 }
 
 void CoreProcess::EndIfDone() {
   if (terminated_at_ < 0 || ended_) return;
   const Micros since = events_.now() - terminated_at_;
-  if (replica_.CallsUnderWay() && since < 2 * kSecond) return;
+  if (replica_.HasPendingCalls() && since < 2 * kSecond) return;
   if (!replica_.ReadyForShutdown() && since < settings_.leave_within) return;
-  if (replica_.Leads() && since < settings_.leave_within + kFlushWithin) return;
+  if (replica_.IsLeader() && since < settings_.leave_within + kFlushWithin) return;
   ended_ = true;
   events_.At(events_.now(), observer_.on_ended);
 }
@@ -97,7 +97,7 @@
   });
 }
 
-bool CoreProcess::RunAside(std::function<void()> work, std::function<void()> done) {
+bool CoreProcess::RunInBackground(std::function<void()> work, std::function<void()> done) {
   work();
   Later(events_.now() + random_.Upto(kCheckTakes), [this, done = std::move(done)] {
     done();
@@ -168,7 +168,7 @@
   if (auto tell = from.starts_with("side") ? transport::Unpack<push::Tell>(frame)
                                            : absl::StatusOr<push::Tell>(absl::NotFoundError(""));
       tell.ok()) {
-    replica_.OnTell(link, *tell);
+    replica_.OnSidecarMessage(link, *tell);
   } else {
     replica_.OnPeerFrame(from, frame);
   }
@@ -193,7 +193,7 @@
   peer.retry_at = events_.now() + kDialPause;
   if (held) DialPeer(to, peer);
   replica_.OnPeerDown(to);
-  if (refused) replica_.OnPeerRefused(to);
+  if (refused) replica_.OnPeerConnectionRefused(to);
   Observe();
 }
 
--- a/rig/sim/core_process.hpp
+++ b/rig/sim/core_process.hpp
@@ -35,7 +35,7 @@
   CoreProcess(EventQueue& events, Network& network, Disk& disk, Settings settings, Events observer);
 
   void Terminate();  // SIGTERM
-  void Submit(control::CallKind kind, std::string body, std::function<void(control::Answer)> reply);
+  void Submit(control::CallKind kind, std::string body, std::function<void(control::Response)> reply);
 
   const control::ControlReplica& replica() const { return replica_; }
   const Address& address() const { return settings_.self; }
@@ -61,7 +61,7 @@
   void SendToSidecars(const std::vector<SidecarLink>& links, const push::News& news) override;
   void CloseSidecar(SidecarLink link) override;
   void Write(const consensus::PersistentState& durable, std::uint64_t token) override;
-  bool RunAside(std::function<void()> work, std::function<void()> done) override;
+  bool RunInBackground(std::function<void()> work, std::function<void()> done) override;
   std::string ControlAddress(const consensus::ReplicaId& core) const override { return core; }
   void Post(std::function<void()> next) override;
 
--- a/rig/sim/operators.cpp
+++ b/rig/sim/operators.cpp
@@ -76,13 +76,13 @@
   if (order.first_sent < 0) order.first_sent = sent_at;
   const auto kind = order.modify ? control::CallKind::kModify : control::CallKind::kReplace;
   call_(id + static_cast<std::uint64_t>(tries), kind, order.body,
-        [this, who, id, tries, sent_at](const std::optional<control::Answer>& answer) {
+        [this, who, id, tries, sent_at](const std::optional<control::Response>& answer) {
           OnAnswer(who, id, tries, sent_at, answer);
         });
 }
 
 void Operators::OnAnswer(std::size_t who, std::uint64_t id, int tries, Micros sent_at,
-                         const std::optional<control::Answer>& answer) {
+                         const std::optional<control::Response>& answer) {
   Order& order = judge_.Find(id);
   if (answer) judge_.OnAnswer(order, sent_at, events_.now(), answer->status);
   if (!order.open()) {
@@ -111,7 +111,7 @@
 void Operators::ReadNewest(std::size_t who) {
   const Micros sent_at = events_.now();
   call_(random_.Next() % 1000, control::CallKind::kRead, {},
-        [this, who, sent_at](const std::optional<control::Answer>& answer) {
+        [this, who, sent_at](const std::optional<control::Response>& answer) {
           if (answer) judge_.OnRead(sent_at, events_.now(), answer->status, answer->body);
           if (answer && answer->status == 404)
             return Close(who, kFirstPause);  // there is no configuration yet
@@ -127,7 +127,7 @@
 void Operators::ReadLoop() {
   const Micros sent_at = events_.now();
   call_(random_.Next() % 1000, control::CallKind::kRead, {},
-        [this, sent_at](const std::optional<control::Answer>& answer) {
+        [this, sent_at](const std::optional<control::Response>& answer) {
           if (answer) judge_.OnRead(sent_at, events_.now(), answer->status, answer->body);
         });
   events_.At(events_.now() + kReadEvery / 2 + random_.Upto(kReadEvery), [this] { ReadLoop(); });
--- a/rig/sim/operators.hpp
+++ b/rig/sim/operators.hpp
@@ -19,7 +19,7 @@
 class Operators {
  public:
   // Absent: no answer came.
-  using Done = std::function<void(std::optional<control::Answer>)>;
+  using Done = std::function<void(std::optional<control::Response>)>;
   // Sends a call to some core; the next `turn` is the next core.
   using CallCore =
       std::function<void(std::uint64_t turn, control::CallKind kind, const std::string& body, Done done)>;
@@ -40,7 +40,7 @@
   Order MakeOrder(const Operator& from);
   void Send(std::size_t who, std::uint64_t id, int tries);
   void OnAnswer(std::size_t who, std::uint64_t id, int tries, Micros sent_at,
-                const std::optional<control::Answer>& answer);
+                const std::optional<control::Response>& answer);
   void Close(std::size_t who, Micros pause);
   void ReadNewest(std::size_t who);
   void ReadLoop();
--- a/rig/sim/world.cpp
+++ b/rig/sim/world.cpp
@@ -31,7 +31,7 @@
 }
 
 // Of the Location of a redirection.
-Address HostOf(const control::Answer& answer) {
+Address HostOf(const control::Response& answer) {
   constexpr std::string_view kScheme = "http://";
   const std::string location = answer.headers.at(0).second.substr(kScheme.size());
   return location.substr(0, location.find('/'));
@@ -146,7 +146,7 @@
   Address leader;
   std::uint64_t term = 0;
   for (const auto& [id, core] : cores_) {
-    if (!core.process || !core.process->replica().Leads()) continue;
+    if (!core.process || !core.process->replica().IsLeader()) continue;
     const std::uint64_t its_term = core.process->replica().replica()->term();
     if (its_term < term) continue;
     term = its_term;
@@ -399,7 +399,7 @@
 void World::OnStep(const CoreProcess& process) {
   const control::ControlReplica& replica = process.replica();
   Core& core = cores_[process.address()];
-  const std::uint64_t entry = replica.entry().index;
+  const std::uint64_t entry = replica.committed_entry().index;
   if (entry == core.entry) return;
   if (entry < core.entry) throw Violation("CONFIG: a core goes back: " + process.address());
   core.entry = entry;
@@ -467,7 +467,7 @@
     done(std::nullopt);
   });
   network_.Deliver(sent + kMillisecond, id, incarnation, [this, kind, body, done, call, id, redirections] {
-    cores_[id].process->Submit(kind, body, [=, this](const control::Answer& answer) {
+    cores_[id].process->Submit(kind, body, [=, this](const control::Response& answer) {
       call->said = true;
       if (kind != control::CallKind::kRead && answer.status == 200) OnAcknowledged(id);
       const bool lost = random_.Unit() < answers_lost_;
@@ -502,13 +502,13 @@
       why = "orders are open, or nobody leads";
       continue;
     }
-    const consensus::Entry& entry = cores_[leader].process->replica().entry();
+    const consensus::Entry& entry = cores_[leader].process->replica().committed_entry();
     if (entry.voters.size() % 2 == 0) why = "an even number votes";
     for (const Address& voter : entry.voters) {
       if (cores_[voter].removed) why = voter + " votes, and is gone for good";
     }
     for (const Address& id : Cores()) {
-      if (!cores_[id].process || cores_[id].process->replica().entry().index != entry.index)
+      if (!cores_[id].process || cores_[id].process->replica().committed_entry().index != entry.index)
         why = id + " has not caught up";
     }
     for (const auto& [id, sidecar] : sidecars_) {
--- a/src/mesh/control/call_forwarder.cpp
+++ b/src/mesh/control/call_forwarder.cpp
@@ -14,10 +14,10 @@
 
 }  // namespace
 
-void CallForwarder::Submit(Micros now, CallKind kind, std::string body, std::function<void(Answer)> reply) {
-  if (body.size() > limits_.call_bytes) return reply(Refusal(413, "the call is too large"));
-  if (!host_.Leads() && (now < deaf_until_ || host_.OutOfContact())) {
-    if (auto elsewhere = host_.Elsewhere(kind)) {
+void CallForwarder::Submit(Micros now, CallKind kind, std::string body, std::function<void(Response)> reply) {
+  if (body.size() > limits_.call_bytes) return reply(ErrorResponse(413, "the call is too large"));
+  if (!host_.IsLeader() && (now < deaf_until_ || host_.IsPartitioned())) {
+    if (auto elsewhere = host_.RedirectToPeer(kind)) {
       ++counters_.redirected;
       return reply(*std::move(elsewhere));
     }
@@ -27,65 +27,66 @@
   call.body = std::make_shared<const std::string>(std::move(body));
   call.deadline = now + limits_.answer_within;
   call.leader_by = now + limits_.leader_within;
-  call.done = [reply = std::move(reply)](std::optional<Answer> answer) {
-    reply(answer ? *std::move(answer) : TryAgain("no leader is known"));
+  call.done = [reply = std::move(reply)](std::optional<Response> answer) {
+    reply(answer ? *std::move(answer) : UnavailableResponse("no leader is known"));
   };
   Dispatch(now, std::move(call));
 }
 
 void CallForwarder::OnCall(Micros now, const ReplicaId& from, ForwardedCall forwarded) {
-  ++counters_.forwarded_here;
+  ++counters_.received;
   Call call;
   call.forwarded = true;
   call.kind = static_cast<CallKind>(forwarded.kind);
   call.body = std::make_shared<const std::string>(std::move(forwarded.body));
-  call.deadline = now + std::clamp<Micros>(forwarded.within_ms, 0, kMostWithinMs) * kMillisecond;
-  call.done = [this, from, count = forwarded.count](std::optional<Answer> answer) {
-    ForwardedAnswer out;
-    out.count = count;
+  call.deadline = now + std::clamp<Micros>(forwarded.timeout_ms, 0, kMostWithinMs) * kMillisecond;
+  call.done = [this, from, id = forwarded.id](std::optional<Response> answer) {
+    ForwardedResponse out;
+    out.id = id;
     out.not_leader = !answer;
     if (answer) {
       out.status = answer->status;
       out.body = std::move(answer->body);
     }
-    host_.SendAnswer(from, out);
+    host_.SendResponse(from, out);
   };
   if (forwarded.kind > static_cast<std::uint8_t>(CallKind::kRead) || call.size() > limits_.call_bytes) {
     ++counters_.malformed;
-    return call.done(Refusal(400, "no such call"));
+    return call.done(ErrorResponse(400, "no such call"));
   }
   Dispatch(now, std::move(call));
 }
 
-void CallForwarder::OnAnswer(Micros now, const ReplicaId& from, ForwardedAnswer answer) {
-  const auto it = forwarded_.find(answer.count);
+void CallForwarder::OnResponse(Micros now, const ReplicaId& from, ForwardedResponse answer) {
+  const auto it = forwarded_.find(answer.id);
   if (it == forwarded_.end() || it->second.to != from) return;  // too late
   Call call = std::move(it->second.call);
   forwarded_.erase(it);
   deaf_until_ = 0;
   if (answer.not_leader || answer.status < 200 || answer.status > 599)
     return Hold(now, std::move(call), now + limits_.retry_every);
-  Answer out =
-      answer.status == 503 ? TryAgain("the leader could not say; repeat the call unchanged") : Answer{};
+  Response out = answer.status == 503
+                     ? UnavailableResponse("the leader could not say; repeat the call unchanged")
+                     : Response{};
   out.status = answer.status;
   out.body = std::move(answer.body);
   call.done(std::move(out));
 }
 
 void CallForwarder::Dispatch(Micros now, Call call) {
-  if (host_.Leads()) return host_.Serve(std::move(call));
+  if (host_.IsLeader()) return host_.Serve(std::move(call));
   if (call.forwarded) return call.done(std::nullopt);
   const ReplicaId leader = host_.KnownLeader();
   if (leader.empty()) return Hold(now, std::move(call), now + limits_.retry_every);
   Forwarded forwarded{leader, std::min(now + limits_.forwarded_within, call.deadline), std::move(call)};
   ForwardedCall out;
-  out.count = ++count_;
+  out.id = ++count_;
   out.kind = static_cast<std::uint8_t>(forwarded.call.kind);
-  out.within_ms = (forwarded.until - now) / kMillisecond - kWayMs;
+  out.timeout_ms = (forwarded.until - now) / kMillisecond - kWayMs;
   out.body = *forwarded.call.body;
   if (!host_.SendCall(leader, out)) return Hold(now, std::move(forwarded.call), now + limits_.retry_every);
   ++counters_.forwarded;
-  forwarded_.emplace(out.count, std::move(forwarded));
+  forwarded_.emplace(out.id, std::move(forwarded));
 }
 
 void CallForwarder::Hold(Micros now, Call call, Micros retry_at) {
@@ -94,7 +95,7 @@
     ++counters_.no_leader;
     return call.done(std::nullopt);
   }
-  ++counters_.pending;
+  ++counters_.queued;
   pending_bytes_ += call.size();
   pending_.push_back({retry_at, std::move(call)});
 }
@@ -133,7 +134,7 @@
     const Call::Done done = std::move(it->second.call.done);
     it = forwarded_.erase(it);
     deaf_until_ = now + limits_.deaf_for;
-    done(TryAgain("the leader did not answer in time; repeat the call unchanged"));
+    done(UnavailableResponse("the leader did not answer in time; repeat the call unchanged"));
   }
 }
 
--- a/src/mesh/control/call_forwarder.hpp
+++ b/src/mesh/control/call_forwarder.hpp
@@ -23,30 +23,30 @@
 
 // A call as one core passes it on to another (for cereal).
 struct ForwardedCall {
-  std::uint64_t count = 0;  // the sender's own number of it
-  std::uint8_t kind = 0;    // CallKind
-  std::int64_t within_ms = 0;
+  std::uint64_t id = 0;   // the sender's own number of it
+  std::uint8_t kind = 0;  // CallKind
+  std::int64_t timeout_ms = 0;
   std::string body;
   template <class Archive>
   void serialize(Archive& a) {
-    a(count, kind, within_ms, body);
+    a(id, kind, timeout_ms, body);
   }
 };
-struct ForwardedAnswer {
-  std::uint64_t count = 0;
+struct ForwardedResponse {
+  std::uint64_t id = 0;
   bool not_leader = false;  // nothing was begun
   std::uint32_t status = 0;
   std::string body;
   template <class Archive>
   void serialize(Archive& a) {
-    a(count, not_leader, status, body);
+    a(id, not_leader, status, body);
   }
 };
 
 // An operator's call, or one that another core passed on.
 struct Call {
   // Absent: this core does not lead, and nothing was begun (to one that was passed on).
-  using Done = std::function<void(std::optional<Answer>)>;
+  using Done = std::function<void(std::optional<Response>)>;
 
   CallKind kind = CallKind::kRead;
   std::shared_ptr<const std::string> body;
@@ -61,16 +61,16 @@
 class CallForwarderHost {
  public:
   virtual ~CallForwarderHost() = default;
-  virtual bool Leads() const = 0;
+  virtual bool IsLeader() const = 0;
   virtual ReplicaId KnownLeader() const = 0;  // empty: unknown
   virtual void Serve(Call call) = 0;          // this core leads
   // No leader has been in contact with this core for so long that calls don't wait for one.
-  virtual bool OutOfContact() const = 0;
+  virtual bool IsPartitioned() const = 0;
   // Sends a caller to another core, in turn; absent: none is known.
-  virtual std::optional<Answer> Elsewhere(CallKind kind) = 0;
+  virtual std::optional<Response> RedirectToPeer(CallKind kind) = 0;
   // False: there is no link now. A call that was sent may be lost all the same.
   virtual bool SendCall(const ReplicaId& to, const ForwardedCall& call) = 0;
-  virtual void SendAnswer(const ReplicaId& to, const ForwardedAnswer& answer) = 0;
+  virtual void SendResponse(const ReplicaId& to, const ForwardedResponse& answer) = 0;
 };
 
 class CallForwarder {
@@ -89,18 +89,17 @@
     std::size_t call_bytes = std::size_t{3584} * 1024;  // has to fit into a frame, as the state after it
   };
   struct Counters {
-    std::uint64_t forwarded = 0, forwarded_here = 0, pending = 0, no_leader = 0, redirected = 0,
-                  malformed = 0;
+    std::uint64_t forwarded = 0, received = 0, queued = 0, no_leader = 0, redirected = 0, malformed = 0;
   };
 
   // `host` must outlive it.
   CallForwarder(CallForwarderHost& host, const Limits& limits) : host_(host), limits_(limits) {}
 
   // Of an operator. `reply` is called once, with 503 at the latest after `answer_within`.
-  void Submit(Micros now, CallKind kind, std::string body, std::function<void(Answer)> reply);
+  void Submit(Micros now, CallKind kind, std::string body, std::function<void(Response)> reply);
   // Of another core.
   void OnCall(Micros now, const ReplicaId& from, ForwardedCall forwarded);
-  void OnAnswer(Micros now, const ReplicaId& from, ForwardedAnswer answer);
+  void OnResponse(Micros now, const ReplicaId& from, ForwardedResponse answer);
   // The core that began to serve it does not lead any more.
   void Retry(Micros now, Call call) { Hold(now, std::move(call), now); }
   // `leader` leads now: calls that were passed on to others are passed on anew. The same call again is the
--- a/src/mesh/control/command.cpp
+++ b/src/mesh/control/command.cpp
@@ -12,7 +12,7 @@
 
 // Ids go on into lists and logs: one path segment, without blanks and control characters.
 bool IsId(std::string_view text) {
-  return !text.empty() && text.size() <= kMostId &&
+  return !text.empty() && text.size() <= kMaxInstanceIdBytes &&
          std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 0x7f && c != '/'; });
 }
 
@@ -29,7 +29,7 @@
     std::uint64_t value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc() || end != text.data() + text.size()) {
-      out.bad = true;
+      out.malformed = true;
       return out;
     }
     if (name == "epoch") {
@@ -37,7 +37,7 @@
     } else if (name == "since") {
       out.since = value;
     } else {
-      out.wait_ms = static_cast<std::int64_t>(std::min<std::uint64_t>(value, kMostEventWaitMs));
+      out.wait_ms = static_cast<std::int64_t>(std::min<std::uint64_t>(value, kMaxEventWaitMs));
     }
   }
   return out;
@@ -45,19 +45,19 @@
 
 }  // namespace
 
-Command Decode(std::string_view method, std::string_view target, std::string body) {
+Command ParseCommand(std::string_view method, std::string_view target, std::string body) {
   const std::string_view path = target.substr(0, target.find('?'));
   const bool post = method == "POST";
   const bool get = method == "GET";
   if (path.starts_with(kBeatPath)) {
     const std::string_view id = path.substr(kBeatPath.size());
     if (!IsId(id) || !post) return Unknown{IsId(id)};
-    return Beat{std::string(id), std::move(body)};
+    return InstanceHeartbeat{std::string(id), std::move(body)};
   }
   if (path.starts_with(kDeparturePath)) {
     const std::string_view id = path.substr(kDeparturePath.size());
     if (!IsId(id) || !post) return Unknown{IsId(id)};
-    return Departure{std::string(id)};
+    return InstanceDeparture{std::string(id)};
   }
   if (path == kReplacePath) return post ? Command(Replace{std::move(body)}) : Unknown{true};
   if (path == kModifyPath) return post ? Command(Modify{std::move(body)}) : Unknown{true};
@@ -70,21 +70,21 @@
   return Unknown{false};
 }
 
-Answer Refusal(unsigned status, std::string_view line) {
-  Answer out;
+Response ErrorResponse(unsigned status, std::string_view line) {
+  Response out;
   out.status = status;
   // What callers sent may be quoted in the line, and need not be UTF-8.
   out.body = nlohmann::json{{"error", line}}.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   return out;
 }
 
-Answer TryAgain(std::string_view line) {
-  Answer out = Refusal(503, line);
+Response UnavailableResponse(std::string_view line) {
+  Response out = ErrorResponse(503, line);
   out.headers.emplace_back("Retry-After", "0.2");
   return out;
 }
 
-Answer Redirect(const std::string& address, std::string_view path) {
+Response RedirectResponse(const std::string& address, std::string_view path) {
   return {307, "{}", {{"Location", "http://" + address + std::string(path)}}};
 }
 
--- a/src/mesh/control/configuration_service.cpp
+++ b/src/mesh/control/configuration_service.cpp
@@ -10,10 +10,10 @@
 
 void ConfigurationService::Submit(Micros now, Micros deadline, bool modify,
                                   std::shared_ptr<const std::string> body, Done done) {
-  if (!host_.Leads()) return done(std::nullopt);
+  if (!host_.IsLeader()) return done(std::nullopt);
   if (changes_.size() + awaiting_.size() >= limits_.calls || bytes_ + body->size() > limits_.bytes) {
-    ++counters_.turned_away;
-    return done(TryAgain("too many changes at once"));
+    ++counters_.overloaded;
+    return done(UnavailableResponse("too many changes at once"));
   }
   bytes_ += body->size();
   Change& change = changes_.emplace_back();
@@ -25,10 +25,10 @@
 }
 
 void ConfigurationService::Read(Micros now, Micros deadline, Done done) {
-  if (!host_.Leads()) return done(std::nullopt);
+  if (!host_.IsLeader()) return done(std::nullopt);
   if (reads_.size() + reading_.size() >= limits_.calls) {
-    ++counters_.turned_away;
-    return done(TryAgain("too many reads at once"));
+    ++counters_.overloaded;
+    return done(UnavailableResponse("too many reads at once"));
   }
   reads_.push_back({deadline, std::move(done)});
   StartReading(now);
@@ -36,13 +36,13 @@
 
 void ConfigurationService::Work(Micros now) {
   while (!changes_.empty() && changes_.front().stage == Stage::kWaiting) {
-    if (!host_.Leads()) return Pass();
+    if (!host_.IsLeader()) return Pass();
     Change& first = changes_.front();
-    if (first.verdict && first.on_top_of == host_.NewestNumber()) return Act(now);
+    if (first.verdict && first.on_top_of == host_.CommittedIndex()) return Act(now);
     first.verdict.reset();
-    first.on_top_of = host_.NewestNumber();
+    first.on_top_of = host_.CommittedIndex();
     first.call = ++calls_;
-    if (!host_.Decide(first.call, first.modify, first.body)) return;  // at the next tick
+    if (!host_.EvaluateChange(first.call, first.modify, first.body)) return;  // at the next tick
     first.stage = Stage::kDeciding;
   }
 }
@@ -84,47 +84,47 @@
   Change& first = changes_.front();
   switch (outcome) {
     case Outcome::kSuccess:
-      ++counters_.taken;
+      ++counters_.committed;
       Await(now, first.on_top_of + 1);
       return Work(now);
     case Outcome::kUnknown:
-      ++counters_.unclear;
-      AnswerFirst(TryAgain("leadership was lost on the way; repeat the call unchanged"));
+      ++counters_.unknown_outcome;
+      AnswerFirst(UnavailableResponse("leadership was lost on the way; repeat the call unchanged"));
       return Work(now);
     case Outcome::kNotLeader:
       first.stage = Stage::kWaiting;
       // Another entry is under way, a change of members say: if that has not come yet, the tick tries again.
-      if (!host_.Leads() || first.on_top_of != host_.NewestNumber()) Work(now);
+      if (!host_.IsLeader() || first.on_top_of != host_.CommittedIndex()) Work(now);
       return;
   }
 }
 
 void ConfigurationService::OnConfirmed(Micros now, Outcome outcome) {
   Change& first = changes_.front();
-  if (outcome != Outcome::kSuccess || first.on_top_of != host_.NewestNumber()) {
+  if (outcome != Outcome::kSuccess || first.on_top_of != host_.CommittedIndex()) {
     // Not what it was judged by: nothing was begun, so it is judged anew, or by another.
     first.stage = Stage::kWaiting;
-    if (!host_.Leads() || first.on_top_of != host_.NewestNumber()) Work(now);
+    if (!host_.IsLeader() || first.on_top_of != host_.CommittedIndex()) Work(now);
     return;
   }
   switch (first.verdict->kind) {
     case Verdict::Kind::kAlready:
-      ++counters_.repeated;
+      ++counters_.duplicates;
       Await(now, first.on_top_of);
       break;
     case Verdict::Kind::kConflict:
       ++counters_.conflicts;
-      AnswerFirst(
-          Refusal(412, first.verdict->error.empty() ? "another version is in place" : first.verdict->error));
+      AnswerFirst(ErrorResponse(
+          412, first.verdict->error.empty() ? "another version is in place" : first.verdict->error));
       break;
     case Verdict::Kind::kUnknown:
-      ++counters_.unclear;
-      AnswerFirst(TryAgain(first.verdict->error));
+      ++counters_.unknown_outcome;
+      AnswerFirst(UnavailableResponse(first.verdict->error));
       break;
     case Verdict::Kind::kInvalid:
     case Verdict::Kind::kTake:  // is proposed, not confirmed
       ++counters_.invalid;
-      AnswerFirst(Refusal(400, first.verdict->error));
+      AnswerFirst(ErrorResponse(400, first.verdict->error));
       break;
   }
   Work(now);
@@ -132,14 +132,14 @@
 
 void ConfigurationService::Await(Micros now, std::uint64_t number) {
   Change& first = changes_.front();
-  if (first.done && !host_.InForce(number)) {
+  if (first.done && !host_.IsActiveOnSidecars(number)) {
     awaiting_.push_back({number, std::min(now + limits_.acks, first.deadline), std::move(first.done)});
     first.done = nullptr;
   }
-  AnswerFirst(Answer{});
+  AnswerFirst(Response{});
 }
 
-void ConfigurationService::AnswerFirst(std::optional<Answer> answer) {
+void ConfigurationService::AnswerFirst(std::optional<Response> answer) {
   const Done done = std::move(changes_.front().done);
   bytes_ -= changes_.front().body->size();
   changes_.pop_front();
@@ -176,7 +176,7 @@
 void ConfigurationService::OnRead(Outcome outcome) {
   std::vector<Reader> readers = std::exchange(reading_, {});
   if (outcome != Outcome::kSuccess) {
-    if (host_.Leads()) {  // at the next tick again, each until its deadline
+    if (host_.IsLeader()) {  // at the next tick again, each until its deadline
       std::move(readers.begin(), readers.end(), std::back_inserter(reads_));
       return;
     }
@@ -184,28 +184,28 @@
     return;
   }
   counters_.reads += readers.size();
-  Answer answer;
-  answer.body = host_.NewestText();
-  if (answer.body.empty()) answer = Refusal(404, "there is no configuration yet");
+  Response answer;
+  answer.body = host_.ConfigurationText();
+  if (answer.body.empty()) answer = ErrorResponse(404, "there is no configuration yet");
   for (const Reader& reader : readers) reader.done(answer);
 }
 
 void ConfigurationService::OnLeadership(Micros now) {
-  if (!host_.Leads()) return Pass();
+  if (!host_.IsLeader()) return Pass();
   Work(now);
 }
 
 void ConfigurationService::OnAcks(Micros now) {
   for (std::size_t i = 0; i < awaiting_.size();) {
-    const bool in_force = host_.InForce(awaiting_[i].number);
+    const bool in_force = host_.IsActiveOnSidecars(awaiting_[i].number);
     if (!in_force && now < awaiting_[i].until) {
       ++i;
       continue;
     }
-    if (!in_force) ++counters_.acks_missing;
+    if (!in_force) ++counters_.missing_acks;
     const Done done = std::move(awaiting_[i].done);
     awaiting_.erase(awaiting_.begin() + static_cast<std::ptrdiff_t>(i));
-    done(Answer{});
+    done(Response{});
   }
 }
 
@@ -220,7 +220,7 @@
       continue;
     }
     const Done done = std::exchange(change.done, nullptr);
-    if (done || given_up) ++counters_.unclear;
+    if (done || given_up) ++counters_.unknown_outcome;
     if (proposed && !given_up) {  // stays until the replica says what came of it
       ++i;
     } else {
@@ -228,7 +228,7 @@
       bytes_ -= change.body->size();
       changes_.erase(changes_.begin() + static_cast<std::ptrdiff_t>(i));
     }
-    if (done) done(TryAgain("not settled in time; repeat the call unchanged"));
+    if (done) done(UnavailableResponse("not settled in time; repeat the call unchanged"));
   }
   for (std::vector<Reader>* readers : {&reads_, &reading_}) {
     for (std::size_t i = 0; i < readers->size();) {
@@ -238,15 +238,15 @@
       }
       const Done done = std::move((*readers)[i].done);
       readers->erase(readers->begin() + static_cast<std::ptrdiff_t>(i));
-      ++counters_.unclear;
-      done(TryAgain("no majority could be asked in time"));
+      ++counters_.unknown_outcome;
+      done(UnavailableResponse("no majority could be asked in time"));
     }
   }
   if (!reading_.empty() && now >= reading_until_) {  // asked again under a new number
     std::move(reading_.begin(), reading_.end(), std::back_inserter(reads_));
     reading_.clear();
   }
-  if (!host_.Leads()) return Pass();
+  if (!host_.IsLeader()) return Pass();
   Work(now);
   StartReading(now);
 }
--- a/src/mesh/control/configuration_service.hpp
+++ b/src/mesh/control/configuration_service.hpp
@@ -23,17 +23,17 @@
 class ConfigurationServiceHost {
  public:
   virtual ~ConfigurationServiceHost() = default;
-  virtual bool Leads() const = 0;
-  virtual std::uint64_t NewestNumber() const = 0;  // of the settled entry
-  virtual std::string NewestText()
+  virtual bool IsLeader() const = 0;
+  virtual std::uint64_t CommittedIndex() const = 0;  // of the settled entry
+  virtual std::string ConfigurationText()
       const = 0;  // its configuration as operators read it; empty: there is none yet
   // Decides on top of the newest entry; ends in OnVerdict. False: no room now.
-  virtual bool Decide(std::uint64_t call, bool modify, std::shared_ptr<const std::string> body) = 0;
+  virtual bool EvaluateChange(std::uint64_t call, bool modify, std::shared_ptr<const std::string> body) = 0;
   // As consensus::Replica has them; both end in OnOutcome.
   virtual void Propose(std::uint64_t call, std::uint64_t on_top_of, std::string state) = 0;
   virtual void ConfirmLeadership(std::uint64_t call) = 0;
   // All sidecars that were heard lately have the entry in force.
-  virtual bool InForce(std::uint64_t number) const = 0;
+  virtual bool IsActiveOnSidecars(std::uint64_t number) const = 0;
 };
 
 // One change is worked on at a time, the others wait behind it and are decided on top of what came before; so
@@ -49,13 +49,13 @@
         3'000'000;  // for the replica to say what came of it; then the change behind it is taken up
   };
   struct Counters {
-    std::uint64_t taken = 0, repeated = 0, conflicts = 0, invalid = 0, unclear = 0, reads = 0,
-                  turned_away = 0;
-    std::uint64_t acks_missing = 0;  // answered though some sidecar did not have it in force
+    std::uint64_t committed = 0, duplicates = 0, conflicts = 0, invalid = 0, unknown_outcome = 0, reads = 0,
+                  overloaded = 0;
+    std::uint64_t missing_acks = 0;  // answered though some sidecar did not have it in force
   };
   // Called once, maybe from inside Submit or Read; may not call back into ConfigurationService. Absent: this
   // core does not lead, and nothing was begun.
-  using Done = std::function<void(std::optional<Answer>)>;
+  using Done = std::function<void(std::optional<Response>)>;
 
   // `host` must outlive it.
   ConfigurationService(ConfigurationServiceHost& host, Limits limits) : host_(host), limits_(limits) {}
@@ -105,7 +105,7 @@
   void Await(Micros now, std::uint64_t number);
   // All that has not begun is answered as not the holder's.
   void Pass();
-  void AnswerFirst(std::optional<Answer> answer);
+  void AnswerFirst(std::optional<Response> answer);
   void StartReading(Micros now);
 
   ConfigurationServiceHost& host_;
--- a/src/mesh/control/control_replica.cpp
+++ b/src/mesh/control/control_replica.cpp
@@ -126,7 +126,7 @@
 }
 
 void ControlReplica::TellLeadership() {
-  if (Leads() == told_leads_) return;
+  if (IsLeader() == told_leads_) return;
   told_leads_ = !told_leads_;
   herald_.SetDuty(host_.Now(), told_leads_);
   service_.OnLeadership(host_.Now());
@@ -163,16 +163,16 @@
 
 void ControlReplica::OnWritten(std::uint64_t token, bool ok) {
   Drive([&] { replica_->OnWritten(host_.Now(), token, ok); });
-  if (!ok && Leads()) Drive([&] { replica_->TransferLeadership(host_.Now()); });
+  if (!ok && IsLeader()) Drive([&] { replica_->TransferLeadership(host_.Now()); });
 }
 
-void ControlReplica::Leave() {
+void ControlReplica::PrepareShutdown() {
   Drive([&] { replica_->PrepareShutdown(host_.Now()); });
 }
 
 bool ControlReplica::ReadyForShutdown() const { return !replica_ || replica_->ReadyForShutdown(host_.Now()); }
 
-void ControlReplica::OnPeerRefused(const ReplicaId& peer) {
+void ControlReplica::OnPeerConnectionRefused(const ReplicaId& peer) {
   Drive([&] { replica_->OnConnectionRefused(host_.Now(), peer); });
 }
 
@@ -196,8 +196,8 @@
         return forwarder_.OnCall(host_.Now(), from, *std::move(call));
       break;
     case PeerFrame::kAnswer:
-      if (auto answer = transport::Unpack<ForwardedAnswer>(rest); answer.ok())
-        return forwarder_.OnAnswer(host_.Now(), from, *std::move(answer));
+      if (auto answer = transport::Unpack<ForwardedResponse>(rest); answer.ok())
+        return forwarder_.OnResponse(host_.Now(), from, *std::move(answer));
       break;
   }
   ++malformed_frames_;  // of another version of this program, say: the rest of the link may be of use
@@ -205,7 +205,7 @@
 
 void ControlReplica::OnPeerDown(const ReplicaId& peer) { forwarder_.OnPeerDown(host_.Now(), peer); }
 
-void ControlReplica::OnTell(SidecarLink link, const push::Tell& tell) {
+void ControlReplica::OnSidecarMessage(SidecarLink link, const push::Tell& tell) {
   herald_.OnTell(host_.Now(), link, tell);
   service_.OnAcks(host_.Now());
 }
@@ -223,14 +223,14 @@
   forwarder_.OnTick(now);
 }
 
-bool ControlReplica::Busy() const {
-  return !replica_ || replica_->leader().empty() || replica_->replicating() || CallsUnderWay() ||
+bool ControlReplica::NeedsFrequentTicks() const {
+  return !replica_ || replica_->leader().empty() || replica_->replicating() || HasPendingCalls() ||
          herald_.Subscribers() > 0;
 }
 
 // ---- calls
 
-void ControlReplica::Submit(CallKind kind, std::string body, std::function<void(Answer)> reply) {
+void ControlReplica::Submit(CallKind kind, std::string body, std::function<void(Response)> reply) {
   forwarder_.Submit(host_.Now(), kind, std::move(body), std::move(reply));
 }
 
@@ -239,25 +239,25 @@
   return leader == settings_.self ? ReplicaId() : leader;
 }
 
-bool ControlReplica::OutOfContact() const {
+bool ControlReplica::IsPartitioned() const {
   return replica_ && !replica_->is_connected() && host_.Now() - contact_at_ >= kRedirectAfter;
 }
 
-std::optional<Answer> ControlReplica::Elsewhere(CallKind kind) {
+std::optional<Response> ControlReplica::RedirectToPeer(CallKind kind) {
   if (!replica_) return std::nullopt;
   std::vector<ReplicaId> others = replica_->known_replicas();
   std::erase(others, settings_.self);
   if (others.empty()) return std::nullopt;
   const std::string address = host_.ControlAddress(others[redirects_++ % others.size()]);
   if (address.empty()) return std::nullopt;
-  return Redirect(address, PathOf(kind));
+  return RedirectResponse(address, PathOf(kind));
 }
 
 bool ControlReplica::SendCall(const ReplicaId& to, const ForwardedCall& call) {
   return host_.SendToPeer(to, Frame(PeerFrame::kCall, call));
 }
 
-void ControlReplica::SendAnswer(const ReplicaId& to, const ForwardedAnswer& answer) {
+void ControlReplica::SendResponse(const ReplicaId& to, const ForwardedResponse& answer) {
   host_.SendToPeer(to, Frame(PeerFrame::kAnswer, answer));
 }
 
@@ -267,7 +267,7 @@
   const Micros deadline = call.deadline;
   const auto body = call.body;
   // Not leader any more: tried again in a later turn, as this may be called from inside the service.
-  auto done = [this, served = std::make_shared<Call>(std::move(call))](std::optional<Answer> answer) {
+  auto done = [this, served = std::make_shared<Call>(std::move(call))](std::optional<Response> answer) {
     if (answer || served->forwarded) return served->done(std::move(answer));
     host_.Post([this, served] { forwarder_.Retry(host_.Now(), std::move(*served)); });
   };
@@ -275,13 +275,14 @@
   service_.Submit(now, deadline, kind == CallKind::kModify, body, std::move(done));
 }
 
-std::string ControlReplica::NewestText() const {
+std::string ControlReplica::ConfigurationText() const {
   return ledger_->newest().version() > 0 ? ledger_->newest().text() : std::string();
 }
 
-bool ControlReplica::Decide(std::uint64_t call, bool modify, std::shared_ptr<const std::string> body) {
+bool ControlReplica::EvaluateChange(std::uint64_t call, bool modify,
+                                    std::shared_ptr<const std::string> body) {
   const auto verdict = std::make_shared<configuration::Verdict>();
-  return host_.RunAside(
+  return host_.RunInBackground(
       [ledger = ledger_, modify, body = std::move(body), verdict] {
         *verdict = ledger->Decide(modify, *body);
         const bool takes = verdict->kind == configuration::Verdict::Kind::kTake;
@@ -302,7 +303,7 @@
   DrainLater();
 }
 
-bool ControlReplica::InForce(std::uint64_t number) const {
+bool ControlReplica::IsActiveOnSidecars(std::uint64_t number) const {
   const Micros now = host_.Now();
   return herald_.Acknowledged(now, number) >= herald_.Heard(now);
 }
--- a/src/mesh/control/control_replica.hpp
+++ b/src/mesh/control/control_replica.hpp
@@ -38,7 +38,7 @@
   // Writes and syncs, then OnWritten(token, ok). One is out at a time.
   virtual void Write(const consensus::PersistentState& durable, std::uint64_t token) = 0;
   // Calls `work` beside the loop, then `done` in a turn of it. False, and neither is called: no room.
-  virtual bool RunAside(std::function<void()> work, std::function<void()> done) = 0;
+  virtual bool RunInBackground(std::function<void()> work, std::function<void()> done) = 0;
   // The address at which operators reach another core; empty: not known.
   virtual std::string ControlAddress(const ReplicaId& core) const = 0;
   // Calls `next` in a later turn, unless the control replica is gone by then.
@@ -70,27 +70,27 @@
   void OnPeerFrame(const ReplicaId& from, std::string_view frame);
   void OnPeerDown(const ReplicaId& peer);
   void OnWritten(std::uint64_t token, bool ok);
-  void OnTell(SidecarLink link, const push::Tell& tell);
+  void OnSidecarMessage(SidecarLink link, const push::Tell& tell);
   void OnSidecarDown(SidecarLink link);
   void OnTick();
   // An operator's call; `reply` is called once, within a second.
-  void Submit(CallKind kind, std::string body, std::function<void(Answer)> reply);
+  void Submit(CallKind kind, std::string body, std::function<void(Response)> reply);
   // The settings file names others now.
   void SetSeedPeers(std::vector<ReplicaId> contacts);
   // The machine of `peer` refuses connections: no process of a core runs there.
-  void OnPeerRefused(const ReplicaId& peer);
+  void OnPeerConnectionRefused(const ReplicaId& peer);
   // This process is about to end (SIGTERM): its leadership and its vote go to others; ReadyForShutdown once
   // they have, or nobody is there to take them.
-  void Leave();
+  void PrepareShutdown();
   bool ReadyForShutdown() const;
 
-  bool Leads() const override { return replica_ && replica_->is_leader(); }
-  bool CallsUnderWay() const { return !service_.empty() || !forwarder_.empty(); }
+  bool IsLeader() const override { return replica_ && replica_->is_leader(); }
+  bool HasPendingCalls() const { return !service_.empty() || !forwarder_.empty(); }
   // Something is due sooner than at rest.
-  bool Busy() const;
+  bool NeedsFrequentTicks() const;
 
   const consensus::Replica* replica() const { return replica_.get(); }  // null before Start
-  const consensus::Entry& entry() const { return entry_; }              // committed last; without its state
+  const consensus::Entry& committed_entry() const { return entry_; }    // committed last; without its state
   const configuration::Ledger& ledger() const { return *ledger_; }
   const push::Herald& herald() const { return herald_; }
   push::Events& events() { return events_; }
@@ -117,20 +117,20 @@
   void Close(SidecarLink link) override { host_.CloseSidecar(link); }
 
   // ConfigurationServiceHost
-  std::uint64_t NewestNumber() const override { return entry_.index; }
-  std::string NewestText() const override;
-  bool Decide(std::uint64_t call, bool modify, std::shared_ptr<const std::string> body) override;
+  std::uint64_t CommittedIndex() const override { return entry_.index; }
+  std::string ConfigurationText() const override;
+  bool EvaluateChange(std::uint64_t call, bool modify, std::shared_ptr<const std::string> body) override;
   void Propose(std::uint64_t call, std::uint64_t on_top_of, std::string state) override;
   void ConfirmLeadership(std::uint64_t call) override;
-  bool InForce(std::uint64_t number) const override;
+  bool IsActiveOnSidecars(std::uint64_t number) const override;
 
   // CallForwarderHost
   ReplicaId KnownLeader() const override;
   void Serve(Call call) override;
-  bool OutOfContact() const override;
-  std::optional<Answer> Elsewhere(CallKind kind) override;
+  bool IsPartitioned() const override;
+  std::optional<Response> RedirectToPeer(CallKind kind) override;
   bool SendCall(const ReplicaId& to, const ForwardedCall& call) override;
-  void SendAnswer(const ReplicaId& to, const ForwardedAnswer& answer) override;
+  void SendResponse(const ReplicaId& to, const ForwardedResponse& answer) override;
 
   // Every call into the replica goes through here, but for those that the configuration service makes: the
   // replica may be done with them before it returns, and the service isn't to hear of that before it has
--- a/src/mesh/node/control_listener.cpp
+++ b/src/mesh/node/control_listener.cpp
@@ -19,9 +19,9 @@
 namespace asio = merlinrun::net::asio;
 namespace beast = merlinrun::net::beast;
 namespace http = merlinrun::net::http;
-using control::Decode;
-using control::Refusal;
-using control::TryAgain;
+using control::ErrorResponse;
+using control::ParseCommand;
+using control::UnavailableResponse;
 using merlinrun::net::ErrorCode;
 using merlinrun::net::HttpResponse;
 using merlinrun::net::IncrementalBody;
@@ -151,7 +151,7 @@
     if (error) {
       if (!IsBadInput(error)) return Close();
       ++owner_->counters_.bad;
-      return Write(Refusal(StatusOf(error), error.message()), false);
+      return Write(ErrorResponse(StatusOf(error), error.message()), false);
     }
     if (parser_->is_header_done()) {
       Charge(parser_->get().body().size());
@@ -159,7 +159,7 @@
       if (owner_->bodies_ - charged_ + std::max<std::uint64_t>(charged_, whole) >
           owner_->limits_.bodies_bytes) {
         ++owner_->counters_.turned_away;
-        return Write(TryAgain("too many calls at once"), false);
+        return Write(UnavailableResponse("too many calls at once"), false);
       }
     }
     if (parser_->is_done()) return HandOn();
@@ -182,7 +182,7 @@
     const bool keep = request.keep_alive() && request.method() != http::verb::head;
     const std::string method(request.method_string());
     const std::string target(request.target());
-    Command command = Decode(method, target, std::move(request.body()));
+    Command command = ParseCommand(method, target, std::move(request.body()));
     parser_.reset();
     if (std::holds_alternative<control::ReadEvents>(command)) {
       if (owner_->limits_.event_wait_ms > 0)
@@ -191,7 +191,7 @@
         command = control::Unknown{};
     }
     ++owner_->counters_.calls;
-    owner_->handler_(std::move(command), [self = weak_from_this(), turn = ++turn_, keep](Answer answer) {
+    owner_->handler_(std::move(command), [self = weak_from_this(), turn = ++turn_, keep](Response answer) {
       const auto held = self.lock();
       if (!held || held->turn_ != turn || !held->socket_.is_open()) return;
       ++held->turn_;  // a second answer is nobody's
@@ -202,7 +202,7 @@
     });
   }
 
-  void Write(Answer answer, bool keep) {
+  void Write(Response answer, bool keep) {
     keep = keep && !owner_->stopping_;
     Charge(0);
     parser_.reset();
--- a/src/mesh/node/control_listener.hpp
+++ b/src/mesh/node/control_listener.hpp
@@ -12,8 +12,8 @@
 
 namespace fennelhollow::node {
 
-using control::Answer;
 using control::Command;
+using control::Response;
 
 // Threading: all of it on the thread of `io`.
 class ControlListener {
@@ -36,7 +36,7 @@
     std::uint64_t turned_away = 0;  // connections closed, or calls refused, for want of room
   };
   // Called once, from the loop's thread, inside the handler or later; nothing happens if the caller has gone.
-  using Reply = std::function<void(Answer)>;
+  using Reply = std::function<void(Response)>;
   using Handler = std::function<void(Command, Reply)>;
 
   // Throws boost::system::system_error if the address can't be listened on.
--- a/src/mesh/node/core.cpp
+++ b/src/mesh/node/core.cpp
@@ -126,7 +126,7 @@
                 .address = self_,
                 .life = incarnation},
                {[this](const ReplicaId& peer) { replica_.OnPeerDown(peer); },
-                [this](const ReplicaId& peer) { replica_.OnPeerRefused(peer); }}),
+                [this](const ReplicaId& peer) { replica_.OnPeerConnectionRefused(peer); }}),
         replica_(*this, ReplicaSettings(settings_, incarnation)),
         event_waiters_(replica_.events()) {}
 
@@ -165,7 +165,7 @@
   void SendToSidecars(const std::vector<SidecarLink>& links, const push::News& news) override;
   void CloseSidecar(SidecarLink link) override;
   void Write(const consensus::PersistentState& durable, std::uint64_t token) override;
-  bool RunAside(std::function<void()> work, std::function<void()> done) override {
+  bool RunInBackground(std::function<void()> work, std::function<void()> done) override {
     return checks_->Run(std::move(work), std::move(done));
   }
   std::string ControlAddress(const ReplicaId& core) const override;
@@ -232,7 +232,7 @@
       if (!endpoint) return absl::UnavailableError("controlPlane is no address");
       ControlListener::Limits limits;  // half of the descriptors are for links, the rest for all else
       limits.connections = std::min(limits.connections, static_cast<std::size_t>(settings_.descriptors / 3));
-      limits.event_wait_ms = control::kMostEventWaitMs;
+      limits.event_wait_ms = control::kMaxEventWaitMs;
       control_ = std::make_unique<ControlListener>(io_, *endpoint, limits,
                                                    [this](Command command, ControlListener::Reply reply) {
                                                      OnCommand(std::move(command), std::move(reply));
@@ -318,13 +318,13 @@
   event_waiters_.OnTick(loop_.Now());
   CloseSilent();
   CheckCommitted();
-  const bool busy = replica_.Busy() || stopping_;
+  const bool busy = replica_.NeedsFrequentTicks() || stopping_;
   tick_->Start(busy ? kTickBusy : kTickCalm, [this] { OnTick(); });
   if (stopping_) EndIfStopped();
 }
 
 void Core::Impl::CheckCommitted() {
-  const std::uint64_t committed = replica_.entry().index;
+  const std::uint64_t committed = replica_.committed_entry().index;
   invariants_.Check(metrics::Invariant::kCommittedEntryMonotonic, committed >= committed_,
                     [&] { return absl::StrCat("entry ", committed, " after entry ", committed_); });
   committed_ = std::max(committed_, committed);
@@ -332,9 +332,9 @@
 
 void Core::Impl::UpdateMetrics() {
   const consensus::Replica* replica = replica_.replica();
-  metrics_.leads.Set(replica_.Leads() ? 1 : 0);
+  metrics_.leads.Set(replica_.IsLeader() ? 1 : 0);
   metrics_.term.Set(replica ? static_cast<double>(replica->term()) : 0);
-  metrics_.entry.Set(static_cast<double>(replica_.entry().index));
+  metrics_.entry.Set(static_cast<double>(replica_.committed_entry().index));
   metrics_.version.Set(static_cast<double>(replica_.ledger().newest().version()));
   metrics_.sidecars.Set(static_cast<double>(replica_.herald().Heard(loop_.Now())));
 }
@@ -401,7 +401,7 @@
     ++counters_.malformed_frames;
     return CloseIncoming(from);
   }
-  replica_.OnTell(from, *tell);
+  replica_.OnSidecarMessage(from, *tell);
 }
 
 void Core::Impl::OnHello(std::uint64_t from, std::string_view frame) {
@@ -444,13 +444,14 @@
     return event_waiters_.OnCall(loop_.Now(), *events, std::move(reply));
   // Servers report beside their sidecars, which tell the cores. What is acknowledged has to be known, and a
   // core alone makes nothing of it: the caller goes on to the next.
-  if (std::holds_alternative<control::Beat>(command) || std::holds_alternative<control::Departure>(command)) {
+  if (std::holds_alternative<control::InstanceHeartbeat>(command) ||
+      std::holds_alternative<control::InstanceDeparture>(command)) {
     ++counters_.misdirected_reports;
-    return reply(control::TryAgain("servers report to the sidecar on their own machine"));
+    return reply(control::UnavailableResponse("servers report to the sidecar on their own machine"));
   }
-  const bool other_method = std::get<control::Unknown>(command).other_method;
-  reply(other_method ? control::Refusal(405, "not with this method")
-                     : control::Refusal(404, "there is no such path"));
+  const bool method_not_allowed = std::get<control::Unknown>(command).method_not_allowed;
+  reply(method_not_allowed ? control::ErrorResponse(405, "not with this method")
+                           : control::ErrorResponse(404, "there is no such path"));
 }
 
 // ---- settings, end, status
@@ -467,7 +468,7 @@
   stopped_ = std::move(done);
   stop_by_ = loop_.Now() + kStopWithin;
   leave_by_ = loop_.Now() + static_cast<Micros>(settings_.bounds.grace_period_s * 1e6 * kLeaveShare);
-  replica_.Leave();
+  replica_.PrepareShutdown();
   event_waiters_.Stop();
   control_stopped_ = !control_;
   if (control_) control_->Stop([this] { control_stopped_ = true; });
@@ -476,44 +477,40 @@
 void Core::Impl::EndIfStopped() {
   if (!stopped_) return;
   const Micros now = loop_.Now();
-  const bool calls = !control_stopped_ || replica_.CallsUnderWay();
+  const bool calls = !control_stopped_ || replica_.HasPendingCalls();
   if (calls && now < stop_by_) return;
   if (!replica_.ReadyForShutdown() && now < leave_by_) return;
   if (flush_by_ == 0) flush_by_ = now + kFlushWithin;
-  if ((replica_.Leads() || peers_.queued() > 0) && now < flush_by_) return;
+  if ((replica_.IsLeader() || peers_.queued() > 0) && now < flush_by_) return;
   asio::post(io_, std::exchange(stopped_, nullptr));
 }
 
 std::string Core::Impl::StatusText() const {
   const consensus::Replica* replica = replica_.replica();
   nlohmann::json out;
-  out["role"] = replica_.Leads() ? "holder" : replica ? "member" : "starting";
+  out["role"] = replica_.IsLeader() ? "holder" : replica ? "member" : "starting";
   out["self"] = self_;
   out["life"] = incarnation_;
   out["epoch"] = replica ? replica->term() : 0;
   out["holder"] = replica ? replica->leader() : "";
-  out["entry"] = replica_.entry().index;
+  out["entry"] = replica_.committed_entry().index;
   out["version"] = replica_.ledger().newest().version();
-  out["voters"] = replica_.entry().voters;
+  out["voters"] = replica_.committed_entry().voters;
   out["sidecarsHeard"] = replica_.herald().Heard(loop_.Now());
   out["diskBad"] = disk_bad_;
   out["stopping"] = stopping_;
   out["links"] = {{"incoming", incoming_.size()}, {"peers", peers_.size()}};
   const control::ConfigurationService::Counters& service = replica_.service_counters();
-  out["changes"] = {{"taken", service.taken},
-                    {"repeated", service.repeated},
-                    {"conflicts", service.conflicts},
-                    {"invalid", service.invalid},
-                    {"unclear", service.unclear},
-                    {"reads", service.reads},
-                    {"turnedAway", service.turned_away},
-                    {"acksMissing", service.acks_missing}};
+  out["changes"] = {{"taken", service.committed},         {"repeated", service.duplicates},
+                    {"conflicts", service.conflicts},     {"invalid", service.invalid},
+                    {"unclear", service.unknown_outcome}, {"reads", service.reads},
+                    {"turnedAway", service.overloaded},   {"acksMissing", service.missing_acks}};
   const control::CallForwarder::Counters& forwarder = replica_.forwarder_counters();
   out["core"] = {
       {"misdirectedReports", counters_.misdirected_reports},
       {"forwarded", forwarder.forwarded},
-      {"forwardedHere", forwarder.forwarded_here},
-      {"parked", forwarder.pending},
+      {"forwardedHere", forwarder.received},
+      {"parked", forwarder.queued},
       {"noHolder", forwarder.no_leader},
       {"redirected", forwarder.redirected},
       {"badFrames", counters_.malformed_frames + replica_.malformed_frames() + forwarder.malformed},
--- a/src/mesh/node/event_waiters.cpp
+++ b/src/mesh/node/event_waiters.cpp
@@ -10,7 +10,8 @@
 }  // namespace
 
 void EventWaiters::OnCall(Micros now, const control::ReadEvents& call, Reply reply) {
-  if (call.bad) return reply(control::Refusal(400, "epoch, since and waitMs are whole numbers from 0 up"));
+  if (call.malformed)
+    return reply(control::ErrorResponse(400, "epoch, since and waitMs are whole numbers from 0 up"));
   const bool waits = call.wait_ms > 0 && !stopped_ && !events_.HasNewer(call.epoch, call.since) &&
                      waiters_.size() < kMostWaiters;
   if (!waits) return reply({200, events_.Read(call.epoch, call.since), {}});
--- a/src/mesh/node/event_waiters.hpp
+++ b/src/mesh/node/event_waiters.hpp
@@ -15,7 +15,7 @@
 
 class EventWaiters {
  public:
-  using Reply = std::function<void(control::Answer)>;
+  using Reply = std::function<void(control::Response)>;
 
   // `events` must outlive it.
   explicit EventWaiters(const push::Events& events) : events_(events) {}
--- a/src/mesh/node/sidecar.cpp
+++ b/src/mesh/node/sidecar.cpp
@@ -34,14 +34,14 @@
 namespace {
 
 namespace asio = merlinrun::net::asio;
-using control::Beat;
 using control::Command;
-using control::Departure;
+using control::ErrorResponse;
+using control::InstanceDeparture;
+using control::InstanceHeartbeat;
 using control::Modify;
 using control::Read;
-using control::Refusal;
 using control::Status;
-using control::TryAgain;
+using control::UnavailableResponse;
 using control::Unknown;
 using egress::HttpServer;
 using merlinrun::Micros;
@@ -278,28 +278,28 @@
 
   void OnCommand(const Command& command, const ControlListener::Reply& reply) {
     const Micros now = loop_.Now();
-    if (const auto* beat = std::get_if<Beat>(&command)) {
-      const absl::Status taken = beats_.OnBeat(now, beat->id, beat->json, self_, settings_.zone);
-      if (!taken.ok()) return reply(Refusal(400, std::string(taken.message())));
+    if (const auto* beat = std::get_if<InstanceHeartbeat>(&command)) {
+      const absl::Status taken = beats_.OnBeat(now, beat->id, beat->body, self_, settings_.zone);
+      if (!taken.ok()) return reply(ErrorResponse(400, std::string(taken.message())));
       OnLives(now);
       return reply({});
     }
-    if (const auto* departure = std::get_if<Departure>(&command)) {
+    if (const auto* departure = std::get_if<InstanceDeparture>(&command)) {
       beats_.OnDeparture(now, departure->id);
       OnLives(now);
       return reply({});
     }
     if (std::holds_alternative<Status>(command)) return reply({200, StatusText(), {}});
     if (const auto* unknown = std::get_if<Unknown>(&command))
-      return reply(Refusal(unknown->other_method ? 405 : 404, "no such call"));
+      return reply(ErrorResponse(unknown->method_not_allowed ? 405 : 404, "no such call"));
     // What it can't settle it passes on: a core takes it.
     const auto core = client_.holder().empty() ? client_.subscribed() : client_.holder();
     const auto port = settings_.listen.find("controlPlane");
-    if (core.empty() || port == settings_.listen.end()) return reply(TryAgain("no core is known"));
+    if (core.empty() || port == settings_.listen.end()) return reply(UnavailableResponse("no core is known"));
     const std::string_view path = std::holds_alternative<Read>(command)     ? control::kReadPath
                                   : std::holds_alternative<Modify>(command) ? control::kModifyPath
                                                                             : control::kReplacePath;
-    reply(control::Redirect(Ip(core) + ":" + std::to_string(port->second.port), path));
+    reply(control::RedirectResponse(Ip(core) + ":" + std::to_string(port->second.port), path));
   }
 
   void OnLives(Micros now) {
--- a/tests/mesh/control_call_forwarder_test.cpp
+++ b/tests/mesh/control_call_forwarder_test.cpp
@@ -14,25 +14,25 @@
 constexpr Micros kMs = 1000;
 
 struct Bench : CallForwarderHost {
-  bool Leads() const override { return leads; }
+  bool IsLeader() const override { return leads; }
   ReplicaId KnownLeader() const override { return leader; }
   void Serve(Call call) override { served.push_back(std::move(call)); }
-  bool OutOfContact() const override { return out_of_contact; }
-  std::optional<Answer> Elsewhere(CallKind kind) override {
+  bool IsPartitioned() const override { return out_of_contact; }
+  std::optional<Response> RedirectToPeer(CallKind kind) override {
     if (another.empty()) return std::nullopt;
-    return Redirect(another, kind == CallKind::kRead ? kReadPath : kReplacePath);
+    return RedirectResponse(another, kind == CallKind::kRead ? kReadPath : kReplacePath);
   }
   bool SendCall(const ReplicaId& to, const ForwardedCall& call) override {
     if (!linked) return false;
     calls.emplace_back(to, call);
     return true;
   }
-  void SendAnswer(const ReplicaId& to, const ForwardedAnswer& answer) override {
+  void SendResponse(const ReplicaId& to, const ForwardedResponse& answer) override {
     answers_sent.emplace_back(to, answer);
   }
 
   void Submit(int id, const std::string& body = "{}") {
-    forwarder.Submit(now, CallKind::kReplace, body, [this, id](Answer answer) {
+    forwarder.Submit(now, CallKind::kReplace, body, [this, id](Response answer) {
       REQUIRE(answers.emplace(id, std::move(answer)).second);  // one answer
     });
   }
@@ -50,8 +50,8 @@
   Micros now = 1'000'000;
   std::vector<Call> served;
   std::vector<std::pair<ReplicaId, ForwardedCall>> calls;
-  std::vector<std::pair<ReplicaId, ForwardedAnswer>> answers_sent;
-  std::map<int, Answer> answers;
+  std::vector<std::pair<ReplicaId, ForwardedResponse>> answers_sent;
+  std::map<int, Response> answers;
   CallForwarder forwarder{*this, {}};
 };
 
@@ -63,9 +63,9 @@
   bench.leader = "b";
   bench.Run(100 * kMs);
   REQUIRE(bench.calls.size() == 1);
-  bench.forwarder.OnAnswer(bench.now, "c", {1, false, 200, "{}"});  // of another core: nobody's
+  bench.forwarder.OnResponse(bench.now, "c", {1, false, 200, "{}"});  // of another core: nobody's
   CHECK(bench.Status(1) == 0);
-  bench.forwarder.OnAnswer(bench.now, "b", {1, false, 200, "{}"});
+  bench.forwarder.OnResponse(bench.now, "b", {1, false, 200, "{}"});
   CHECK(bench.Status(1) == 200);
   bench.leader.clear();
   bench.Submit(2);
@@ -88,15 +88,15 @@
   }
   SECTION("it says that it does not lead") {
     bench.leader = "c";
-    bench.forwarder.OnAnswer(bench.now, "b", {1, true, 0, ""});
+    bench.forwarder.OnResponse(bench.now, "b", {1, true, 0, ""});
   }
   bench.Run(100 * kMs);
   REQUIRE(bench.calls.size() == 2);
   CHECK(bench.calls[1].first == "c");
   CHECK(bench.calls[1].second.body == bench.calls[0].second.body);
-  bench.forwarder.OnAnswer(bench.now, "b", {1, false, 412, "{}"});  // late, of the first sending
+  bench.forwarder.OnResponse(bench.now, "b", {1, false, 412, "{}"});  // late, of the first sending
   CHECK(bench.Status(1) == 0);
-  bench.forwarder.OnAnswer(bench.now, "c", {2, false, 200, "{}"});
+  bench.forwarder.OnResponse(bench.now, "c", {2, false, 200, "{}"});
   CHECK(bench.Status(1) == 200);
 }
 
@@ -117,7 +117,7 @@
   bench.Run(3000 * kMs);
   bench.Submit(4);
   CHECK(bench.Status(4) == 0);  // tried again after a while
-  bench.forwarder.OnAnswer(bench.now, "b", {2, false, 200, "{}"});
+  bench.forwarder.OnResponse(bench.now, "b", {2, false, 200, "{}"});
   CHECK(bench.Status(4) == 200);
   bench.another.clear();
   bench.out_of_contact = true;
@@ -131,7 +131,7 @@
   bench.leader = "c";
   bench.forwarder.OnCall(bench.now, "b", {7, 0, 500, "{}"});
   REQUIRE(bench.answers_sent.size() == 1);
-  CHECK((bench.answers_sent[0].second.not_leader && bench.answers_sent[0].second.count == 7));
+  CHECK((bench.answers_sent[0].second.not_leader && bench.answers_sent[0].second.id == 7));
   bench.leads = true;
   bench.forwarder.OnCall(bench.now, "b", {8, 1, 500, "{}"});
   REQUIRE(bench.served.size() == 1);
--- a/tests/mesh/control_configuration_service_test.cpp
+++ b/tests/mesh/control_configuration_service_test.cpp
@@ -17,26 +17,26 @@
 using consensus::Outcome;
 
 TEST_CASE("calls are decoded by method and path") {
-  const Command beat = Decode("POST", "/-/Instances.Heartbeat/i-7f?x=1", "{}");
-  REQUIRE(std::holds_alternative<Beat>(beat));
-  CHECK(std::get<Beat>(beat).id == "i-7f");
-  CHECK(std::get<Beat>(beat).json == "{}");
-  const Command departure = Decode("POST", "/-/Instances.Departure/i-7f", "");
-  REQUIRE(std::holds_alternative<Departure>(departure));
-  CHECK(std::get<Departure>(departure).id == "i-7f");
-  CHECK(std::holds_alternative<Replace>(Decode("POST", "/-/Configuration.Replace", "a")));
-  CHECK(std::get<Modify>(Decode("POST", "/-/Configuration.Modify", "b")).body == "b");
-  CHECK(std::holds_alternative<Read>(Decode("GET", "/-/Configuration.Read", "")));
-  CHECK(std::holds_alternative<Status>(Decode("GET", "/-/Status", "")));
-  CHECK(std::get<Unknown>(Decode("GET", "/-/Configuration.Replace", "")).other_method);
-  CHECK(std::get<Unknown>(Decode("GET", "/-/Instances.Heartbeat/i-7f", "")).other_method);
+  const Command beat = ParseCommand("POST", "/-/Instances.Heartbeat/i-7f?x=1", "{}");
+  REQUIRE(std::holds_alternative<InstanceHeartbeat>(beat));
+  CHECK(std::get<InstanceHeartbeat>(beat).id == "i-7f");
+  CHECK(std::get<InstanceHeartbeat>(beat).body == "{}");
+  const Command departure = ParseCommand("POST", "/-/Instances.Departure/i-7f", "");
+  REQUIRE(std::holds_alternative<InstanceDeparture>(departure));
+  CHECK(std::get<InstanceDeparture>(departure).id == "i-7f");
+  CHECK(std::holds_alternative<Replace>(ParseCommand("POST", "/-/Configuration.Replace", "a")));
+  CHECK(std::get<Modify>(ParseCommand("POST", "/-/Configuration.Modify", "b")).body == "b");
+  CHECK(std::holds_alternative<Read>(ParseCommand("GET", "/-/Configuration.Read", "")));
+  CHECK(std::holds_alternative<Status>(ParseCommand("GET", "/-/Status", "")));
+  CHECK(std::get<Unknown>(ParseCommand("GET", "/-/Configuration.Replace", "")).method_not_allowed);
+  CHECK(std::get<Unknown>(ParseCommand("GET", "/-/Instances.Heartbeat/i-7f", "")).method_not_allowed);
   for (const std::string path :
        {"/-/Instances.Heartbeat/", "/-/Instances.Heartbeat/a/b", "/", "", "/-/Configuration"}) {
-    CHECK_FALSE(std::get<Unknown>(Decode("POST", path, "")).other_method);
+    CHECK_FALSE(std::get<Unknown>(ParseCommand("POST", path, "")).method_not_allowed);
   }
   CHECK(std::holds_alternative<Unknown>(
-      Decode("POST", "/-/Instances.Departure/" + std::string(kMostId + 1, 'a'), "")));
-  CHECK(Refusal(400, "not \xff UTF-8").body.starts_with("{\"error\":"));
+      ParseCommand("POST", "/-/Instances.Departure/" + std::string(kMaxInstanceIdBytes + 1, 'a'), "")));
+  CHECK(ErrorResponse(400, "not \xff UTF-8").body.starts_with("{\"error\":"));
 }
 
 // An order and a ledger as plain as can be: a body is "base>version", the state is the versions taken.
@@ -55,16 +55,16 @@
   std::uint64_t in_force = 1000;
   Micros now = 0;
   ConfigurationService service{*this, {}};
-  std::map<int, std::optional<Answer>> answers;
+  std::map<int, std::optional<Response>> answers;
 
   int version() const {
     return taken.empty() ? 0 : std::stoi(taken.back().substr(taken.back().find('>') + 1));
   }
-  bool Leads() const override { return leads; }
-  std::uint64_t NewestNumber() const override { return number; }
-  std::string NewestText() const override { return taken.empty() ? "" : taken.back(); }
-  bool InForce(std::uint64_t n) const override { return in_force >= n; }
-  bool Decide(std::uint64_t call, bool, std::shared_ptr<const std::string> body) override {
+  bool IsLeader() const override { return leads; }
+  std::uint64_t CommittedIndex() const override { return number; }
+  std::string ConfigurationText() const override { return taken.empty() ? "" : taken.back(); }
+  bool IsActiveOnSidecars(std::uint64_t n) const override { return in_force >= n; }
+  bool EvaluateChange(std::uint64_t call, bool, std::shared_ptr<const std::string> body) override {
     const int base = std::stoi(*body), next = std::stoi(body->substr(body->find('>') + 1));
     Verdict verdict;
     if (std::find(taken.begin(), taken.end(), *body) != taken.end()) {
@@ -90,7 +90,7 @@
   }
   void Read(int id) { service.Read(now, now + 900'000, Take(id)); }
   ConfigurationService::Done Take(int id) {
-    return [this, id](std::optional<Answer> answer) {
+    return [this, id](std::optional<Response> answer) {
       REQUIRE(answers.count(id) == 0);
       answers[id] = std::move(answer);
     };
@@ -220,7 +220,7 @@
   CHECK(world.answers.size() == 1);
   world.Tick(1'000);
   CHECK(world.status(2) == 200);
-  CHECK(world.service.counters().acks_missing == 1);
+  CHECK(world.service.counters().missing_acks == 1);
 }
 
 TEST_CASE("what is not settled in time is answered 503, what had not begun never begins") {
--- a/tests/mesh/node_test.cpp
+++ b/tests/mesh/node_test.cpp
@@ -57,7 +57,7 @@
                                           [this](Command command, ControlListener::Reply reply) {
                                             commands.push_back(std::move(command));
                                             if (hold) return replies.push_back(std::move(reply));
-                                            reply(Answer{200, "{\"n\":1}", {{"Location", "here"}}});
+                                            reply(Response{200, "{\"n\":1}", {{"Location", "here"}}});
                                           });
   }
   Tcp::socket Dial() {
@@ -191,12 +191,12 @@
   // The end: calls under way are answered first, and a second answer is nobody's.
   bool stopped = false;
   server.listener->Stop([&] { stopped = true; });
-  server.replies[0](Answer{});
-  server.replies[0](Answer{500, "twice", {}});
+  server.replies[0](Response{});
+  server.replies[0](Response{500, "twice", {}});
   CHECK(server.Hear(busy, "never").find("Connection: close") != std::string::npos);
   CHECK_FALSE(stopped);
   next.close();  // a caller that has gone
-  server.replies[1](Answer{});
+  server.replies[1](Response{});
   busy.close();
   while (!stopped) server.io.run_one();
   CHECK(server.listener->connections() == 0);
