--- a/bench/mesh/control_scale.cpp
+++ b/bench/mesh/control_scale.cpp
@@ -221,7 +221,7 @@
     ledger_ = true;
     CountWhole();
   }
-  void OnListing(const registry::Listing& listing, std::size_t, std::size_t) override;
+  void OnListing(const registry::Snapshot& listing, std::size_t, std::size_t) override;
   void OnShares(const std::vector<quota::Share>& shares, Micros) override { held_ = shares; }
   void OnCores(const std::vector<std::string>&) override {}
 
@@ -286,7 +286,8 @@
     : all_(all), index_(index), timer_(all.loop.NewTimer()) {
   Client::Settings settings;
   const registry::Server server = ServerOf(index, slots_);
-  settings.me = {"machine-" + std::to_string(1000 + index), life, server.hop, server.zone, server.service};
+  settings.me = {"machine-" + std::to_string(1000 + index), life, server.sidecar_address, server.zone,
+                 server.service};
   settings.seeds = all.cores;
   settings.seed = life;
   settings.demand = [this](Micros) {
@@ -343,7 +344,7 @@
   if (listing_ && ledger_ && !std::exchange(counted_, true)) ++all_.shared.listed;
 }
 
-void Hollow::OnListing(const registry::Listing& listing, std::size_t, std::size_t) {
+void Hollow::OnListing(const registry::Snapshot& listing, std::size_t, std::size_t) {
   listing_ |= listing.servers.size() >= all_.count();
   CountWhole();
   const std::uint64_t at = all_.shared.times++;
@@ -400,10 +401,10 @@
     sidecars.push_back(Fork([&, k] { Sidecars(shared, n, k).Run(); }));
   ::usleep(1000);
   const bool up = core.Until(
-      [&] { return core.herald().listing().servers.size() >= n && core.herald().Subscribers() >= n; },
+      [&] { return core.herald().snapshot().servers.size() >= n && core.herald().Subscribers() >= n; },
       8'000'000);
   if (!up)
-    std::printf("N %zu: only %zu servers listed, %zu subscribe\n", n, core.herald().listing().servers.size(),
+    std::printf("N %zu: only %zu servers listed, %zu subscribe\n", n, core.herald().snapshot().servers.size(),
                 core.herald().Subscribers());
   core.RunFor(1500 * kMs);
   const double count = static_cast<double>(n);
--- a/bench/mesh/hop_cost.cpp
+++ b/bench/mesh/hop_cost.cpp
@@ -93,9 +93,9 @@
 
 // ---- The sidecars.
 
-registry::Listing ListingOf(std::uint16_t hop, std::uint16_t stub, std::size_t each = kServersEach) {
-  registry::Listing out;
-  out.epoch = out.number = 1;
+registry::Snapshot ListingOf(std::uint16_t hop, std::uint16_t stub, std::size_t each = kServersEach) {
+  registry::Snapshot out;
+  out.epoch = out.revision = 1;
   for (std::size_t s = 0; s < kServices; ++s)
     for (std::size_t i = 0; i < each; ++i) {
       const std::string n = std::to_string(100 + s) + "-" + std::to_string(100 + i);
@@ -180,13 +180,13 @@
     egress::InboundProxyClient hops(io, loop, {"machine-1", "127.0.0.1:1", 9, 300, 400});
     quota::Limiter gauge({});
     egress::OutboundProxy outbound(loop, OutboundSettings(), hops, gauge);
-    registry::Listing listing = ListingOf(1, 2, each);
+    registry::Snapshot listing = ListingOf(1, 2, each);
     outbound.OnEndpoints(listing, 3, listing.sidecars.size());
     const double memory = MemoryKb(::getpid(), "VmRSS");
     outbound.OnConfiguration(TablesOf());
     std::vector<double> us;
     for (int i = 0; i < kRounds * 10; ++i) {
-      ++listing.number;
+      ++listing.revision;
       listing.servers[5].slots = 64 + i % 2;
       const double before = ProcessorTime(::getpid());
       outbound.OnEndpoints(listing, 3, listing.sidecars.size());
--- a/rig/sim/sidecar_process.cpp
+++ b/rig/sim/sidecar_process.cpp
@@ -37,7 +37,7 @@
   server.id = "server-" + self_ + "-" + std::to_string(incarnation_);
   server.service = "service";
   server.address = self_;
-  server.hop = self_;
+  server.sidecar_address = self_;
   server.slots = 4;
   client_.SetLives(events_.now(), {server});
   Tick();
--- a/rig/sim/sidecar_process.hpp
+++ b/rig/sim/sidecar_process.hpp
@@ -34,7 +34,7 @@
   // push::Client::Sink
   void Send(const std::string& address, const push::Tell& tell) override;
   void OnLedger(std::uint64_t entry, const std::string& ledger) override { on_state_(entry, ledger); }
-  void OnListing(const registry::Listing&, std::size_t, std::size_t) override {}
+  void OnListing(const registry::Snapshot&, std::size_t, std::size_t) override {}
   void OnShares(const std::vector<quota::Share>&, Micros) override {}
   void OnCores(const std::vector<std::string>&) override {}
 
--- a/src/mesh/control/control_replica.cpp
+++ b/src/mesh/control/control_replica.cpp
@@ -218,7 +218,7 @@
   if (replica_ && replica_->is_connected()) contact_at_ = now;
   service_.OnTick(now);
   herald_.OnTick(now);
-  watch_.Look(now, herald_.listing(), events_);
+  watch_.Look(now, herald_.snapshot(), events_);
   if (replica_) herald_.SetCores(replica_->known_replicas(), replica_->leader(), replica_->is_connected());
   forwarder_.OnTick(now);
 }
--- a/src/mesh/egress/inbound_proxy_client.cpp
+++ b/src/mesh/egress/inbound_proxy_client.cpp
@@ -63,7 +63,7 @@
   line->link->Send(transport::Pack(transport::Hello{.purpose = transport::Purpose::kHop,
                                                     .from = settings_.name,
                                                     .address = settings_.address,
-                                                    .life = settings_.life}));
+                                                    .incarnation = settings_.life}));
   return line;
 }
 
@@ -136,8 +136,8 @@
   const Word word = ingress::WordOf(frame);
   if (word == Word::kHello) {
     const auto hello = ingress::Heard<transport::Hello>(frame);
-    if (!hello.ok() || hello->life == 0 || line->life != 0) return bad();
-    line->life = hello->life;
+    if (!hello.ok() || hello->incarnation == 0 || line->life != 0) return bad();
+    line->life = hello->incarnation;
     if (line->asks != 0) {
       const auto it = out_.find(line->asks);
       if (it == out_.end()) return line->link->Close();
--- a/src/mesh/egress/outbound_proxy.cpp
+++ b/src/mesh/egress/outbound_proxy.cpp
@@ -461,7 +461,7 @@
     for (const auto& target : route.targets) LaneOf(target.service);
 }
 
-void OutboundProxy::OnEndpoints(const registry::Listing& listing, std::size_t rank, std::size_t count) {
+void OutboundProxy::OnEndpoints(const registry::Snapshot& listing, std::size_t rank, std::size_t count) {
   listing_ = listing;
   rank_ = rank;
   count_ = std::max<std::size_t>(count, 1);
@@ -469,7 +469,7 @@
   std::map<std::string, Micros> started;
   const Micros now = loop_.Now();
   for (const registry::Server& server : listing_.servers) {
-    hop_of_[server.id] = server.hop;
+    hop_of_[server.id] = server.sidecar_address;
     const auto known = started_.find(server.id);
     // Told as how long it stays slow from here on; the module counts from its start.
     const Micros since =
@@ -497,7 +497,7 @@
   }
   merlinrun::ListUpdate update;
   update.kind = merlinrun::ListUpdate::Kind::kFull;
-  update.version = static_cast<std::int64_t>(listing_.number);
+  update.version = static_cast<std::int64_t>(listing_.revision);
   update.servers = servers;
   update.rank = static_cast<std::uint32_t>(rank_);
   update.siblings = static_cast<std::uint32_t>(std::max(count_, rank_ + 1));
--- a/src/mesh/egress/outbound_proxy.hpp
+++ b/src/mesh/egress/outbound_proxy.hpp
@@ -54,7 +54,7 @@
 
   // Never an older version than the one before (the caller sees to it).
   void OnConfiguration(std::shared_ptr<const configuration::Tables> tables);
-  void OnEndpoints(const registry::Listing& listing, std::size_t rank, std::size_t count);
+  void OnEndpoints(const registry::Snapshot& listing, std::size_t rank, std::size_t count);
   // Of the runs at this machine's server, the share that are repeats: their calls count as repeats where they
   // go.
   void SetRetryShare(std::function<double()> share) { retry_share_ = std::move(share); }
@@ -92,7 +92,7 @@
   merlinrun::Random random_;
   Counters counters_;
   std::shared_ptr<const configuration::Tables> tables_;
-  registry::Listing listing_;
+  registry::Snapshot listing_;
   std::size_t rank_ = 0, count_ = 1;
   std::unordered_map<std::string, std::string> hop_of_;  // server id -> last hop
   std::map<std::string, Micros> started_;                // server id -> when it started, as far as told
--- a/src/mesh/ingress/inbound_proxy.cpp
+++ b/src/mesh/ingress/inbound_proxy.cpp
@@ -57,10 +57,10 @@
   auto session = std::make_shared<Session>();
   session->link = std::move(link);
   sessions_.insert(session);
-  session->link->Send(
-      Say(Word::kHello,
-          transport::Hello{
-              .purpose = transport::Purpose::kHop, .from = {}, .address = {}, .life = settings_.life}));
+  session->link->Send(Say(
+      Word::kHello,
+      transport::Hello{
+          .purpose = transport::Purpose::kHop, .from = {}, .address = {}, .incarnation = settings_.life}));
   transport::Link::Events events;
   events.on_frame = [this, weak = std::weak_ptr<Session>(session)](std::string_view frame) {
     if (const auto mine = weak.lock()) OnFrame(mine, frame);
--- a/src/mesh/node/core.cpp
+++ b/src/mesh/node/core.cpp
@@ -124,7 +124,7 @@
                {.purpose = transport::Purpose::kCore,
                 .from = settings_.node_name,
                 .address = self_,
-                .life = incarnation},
+                .incarnation = incarnation},
                {[this](const ReplicaId& peer) { replica_.OnPeerDown(peer); },
                 [this](const ReplicaId& peer) { replica_.OnPeerConnectionRefused(peer); }}),
         replica_(*this, ReplicaSettings(settings_, incarnation)),
--- a/src/mesh/node/sidecar.cpp
+++ b/src/mesh/node/sidecar.cpp
@@ -87,7 +87,7 @@
         hops_(io, loop_, {settings.node_name, self_, life, 300, 400}),
         last_hop_(io, loop_, {life, {}},
                   {[this](const std::string& id) { return beats_.Find(id); },
-                   [this](const std::string& id) { OnDead(id); }, [this] { return !refuses_; },
+                   [this](const std::string& id) { OnUnreachable(id); }, [this] { return !refuses_; },
                    [this](const ingress::FlowInterval& span) { CheckLeastShare(span); }}),
         outbound_(loop_, OutboundSettings(), hops_, gauge_, request_metrics_),
         metrics_address_(options.metrics),
@@ -178,8 +178,8 @@
                           {"entry", client_.entry()},
                           {"core", client_.subscribed()},
                           {"holder", client_.holder()},
-                          {"servers", client_.listing().servers.size()},
-                          {"sidecars", client_.listing().sidecars.size()},
+                          {"servers", client_.snapshot().servers.size()},
+                          {"sidecars", client_.snapshot().sidecars.size()},
                           {"underWay", outbound_.in_flight()},
                           {"requests",
                            {{"taken", c.requests},
@@ -279,7 +279,7 @@
   void OnCommand(const Command& command, const ControlListener::Reply& reply) {
     const Micros now = loop_.Now();
     if (const auto* beat = std::get_if<InstanceHeartbeat>(&command)) {
-      const absl::Status taken = beats_.OnBeat(now, beat->id, beat->body, self_, settings_.zone);
+      const absl::Status taken = beats_.OnHeartbeat(now, beat->id, beat->body, self_, settings_.zone);
       if (!taken.ok()) return reply(ErrorResponse(400, std::string(taken.message())));
       OnLives(now);
       return reply({});
@@ -305,10 +305,10 @@
   void OnLives(Micros now) {
     if (beats_.changes() != lives_seen_) {
       lives_seen_ = beats_.changes();
-      for (const registry::Server& server : beats_.Lives(now))
+      for (const registry::Server& server : beats_.Instances(now))
         if (server.state != registry::State::kReady) last_hop_.OnServerNotReady(server.id);
     }
-    client_.SetLives(now, beats_.Lives(now));
+    client_.SetLives(now, beats_.Instances(now));
   }
 
   void CheckLeastShare(const ingress::FlowInterval& span) {
@@ -320,9 +320,9 @@
     });
   }
 
-  void OnDead(const std::string& id) {
+  void OnUnreachable(const std::string& id) {
     const Micros now = loop_.Now();
-    beats_.OnDead(now, id);
+    beats_.OnUnreachable(now, id);
     OnLives(now);
   }
 
@@ -356,12 +356,12 @@
     client_.OnTick(now);
     Relink(now);
     if (datagrams_) {
-      if (client_.listing().number != introduced_ && now - introduced_at_ >= kIntroduceEvery) {
-        introduced_ = client_.listing().number;
+      if (client_.snapshot().revision != introduced_ && now - introduced_at_ >= kIntroduceEvery) {
+        introduced_ = client_.snapshot().revision;
         introduced_at_ = now;
         std::vector<gossip::View::Introduction> sidecars;
-        for (const auto& sidecar : client_.listing().sidecars)
-          sidecars.push_back({sidecar.name, GossipAddress(sidecar.hop)});
+        for (const auto& sidecar : client_.snapshot().sidecars)
+          sidecars.push_back({sidecar.name, GossipAddress(sidecar.internal_address)});
         view_.SetIntroductions(sidecars);
       }
       view_.SetKnown(now, client_.entry(), client_.Speaking(now));
@@ -449,7 +449,7 @@
     link->Send(transport::Pack(transport::Hello{.purpose = transport::Purpose::kControl,
                                                 .from = settings_.node_name,
                                                 .address = self_,
-                                                .life = life_}));
+                                                .incarnation = life_}));
   }
 
   void Send(const std::string& address, const push::Tell& tell) override {
@@ -491,7 +491,7 @@
     outbound_.OnConfiguration(*tables);
   }
 
-  void OnListing(const registry::Listing& listing, std::size_t, std::size_t count) override {
+  void OnListing(const registry::Snapshot& listing, std::size_t, std::size_t count) override {
     gauge_.SetSidecarCount(loop_.Now(), count);
     // Not the place by name: those of a service are not to stand side by side.
     outbound_.OnEndpoints(listing, egress::InterleavedRank(listing.sidecars, settings_.node_name), count);
@@ -508,7 +508,7 @@
   settings::Settings settings_;
   const std::uint64_t life_;
   const std::string self_;
-  registry::Beats beats_;
+  registry::HeartbeatTracker beats_;
   std::uint64_t lives_seen_ = 0;
   quota::Limiter gauge_;
   push::Client client_;
--- a/src/mesh/push/client.cpp
+++ b/src/mesh/push/client.cpp
@@ -294,26 +294,26 @@
 bool Client::TakeListing(const std::string& address, const News& news) {
   if (address != subscribed_ || (!news.whole && news.changes.empty())) return false;
   const std::uint64_t epoch = listing_.epoch;
-  const std::uint64_t number = listing_.number;
+  const std::uint64_t number = listing_.revision;
   bool taken = false;
   if (news.whole) {
     // A core that has only just started may not have heard most of the servers: what it knows is better than
     // nothing only.
-    const bool same = news.listing.epoch == listing_.epoch;
+    const bool same = news.snapshot.epoch == listing_.epoch;
     const bool believed = listing_.epoch == 0 || same || !news.partial;
-    if (believed && (!same || need_whole_ || news.listing.number > listing_.number)) {
-      listing_ = news.listing;
+    if (believed && (!same || need_whole_ || news.snapshot.revision > listing_.revision)) {
+      listing_ = news.snapshot;
       taken = true;
     }
     if (believed) need_whole_ = false;
   }
   for (const auto& change : news.changes) {
-    if (!registry::Apply(listing_, change)) {
+    if (!registry::ApplyDelta(listing_, change)) {
       if (!need_whole_) LOG(INFO) << "push: a gap in the listing, asks for the whole";
       need_whole_ = true;
     }
   }
-  if (taken || listing_.epoch != epoch || listing_.number != number) {
+  if (taken || listing_.epoch != epoch || listing_.revision != number) {
     const auto& sidecars = listing_.sidecars;
     const auto at =
         std::lower_bound(sidecars.begin(), sidecars.end(), settings_.me.name,
@@ -398,7 +398,7 @@
     if (!core.up) continue;
     const bool often = address == subscribed_ || address == holder_;
     const bool with_lives = slept || now - core.lives_told >= kTellLivesEvery;
-    if (with_lives || now - core.told >= (often ? kTellEvery : kTellOthersEvery) - kEarly) {
+    if (with_lives || now - core.reported_at >= (often ? kTellEvery : kTellOthersEvery) - kEarly) {
       TellTo(now, address, core, with_lives, address == holder_);
     }
   }
@@ -432,7 +432,7 @@
   tell.subscribe = wants_ledger || address == subscribed_;
   tell.entry = entry_;
   tell.epoch = listing_.epoch;
-  tell.number = need_whole_ ? 0 : listing_.number;
+  tell.revision = need_whole_ ? 0 : listing_.revision;
   if (with_demand) {
     tell.asked = ++asked_;
     if (settings_.demand) tell.demand = settings_.demand(now);
@@ -441,7 +441,7 @@
     if (asks_.size() > kMostAsks) asks_.pop_front();
   }
   if (with_demand || address != holder_)
-    core.told = now;  // an acknowledgement does not put off the next demand
+    core.reported_at = now;  // an acknowledgement does not put off the next demand
   sink_.Send(address, tell);
 }
 
--- a/src/mesh/push/client.hpp
+++ b/src/mesh/push/client.hpp
@@ -51,7 +51,7 @@
     virtual void OnLedger(std::uint64_t entry, const std::string& ledger) = 0;
     // What is applied has changed. `rank`: the place of this sidecar's name in listing.sidecars; `count`
     // includes this one even if the listing does not have it yet. The reference lives as long as the client.
-    virtual void OnListing(const registry::Listing& listing, std::size_t rank, std::size_t count) = 0;
+    virtual void OnListing(const registry::Snapshot& listing, std::size_t rank, std::size_t count) = 0;
     // `until`: from when the Tell that asked for them was sent, plus the lease.
     virtual void OnShares(const std::vector<quota::Share>& shares, Micros until) = 0;
     virtual void OnCores(const std::vector<std::string>& cores) = 0;  // sorted
@@ -89,7 +89,7 @@
   // kNever if none did.
   Micros HeardAt() const { return heard_at_; }
   std::uint64_t entry() const { return entry_; }
-  const registry::Listing& listing() const { return listing_; }
+  const registry::Snapshot& snapshot() const { return listing_; }
   const std::vector<std::string>& cores() const { return cores_; }
   const std::string& subscribed() const { return subscribed_; }  // address; empty = none
   const std::string& holder() const { return holder_; }          // as most cores that are heard say
@@ -106,7 +106,7 @@
     Micros failing_since = kNever;
     Micros dial_at = kNever;
     Micros heard = kNever;  // on this link
-    Micros told = kNever;
+    Micros reported_at = kNever;
     Micros lives_told = kNever;
     std::uint64_t entry = 0;
     bool settled = false;
@@ -145,7 +145,7 @@
   Micros lives_at_ = 0;
   bool leaving_ = false;
   std::uint64_t entry_ = 0;
-  registry::Listing listing_;
+  registry::Snapshot listing_;
   bool need_whole_ = false;
   Micros heard_at_ = kNever;
   Micros unsettled_since_ = kNever;  // the first configuration was offered, by a core that may be behind
--- a/src/mesh/push/events.cpp
+++ b/src/mesh/push/events.cpp
@@ -92,21 +92,21 @@
   return out + "]}";
 }
 
-void ListingWatch::Look(Micros now, const registry::Listing& listing, Events& events) {
-  if (listing.number == number_) return;
-  number_ = listing.number;
+void ListingWatch::Look(Micros now, const registry::Snapshot& listing, Events& events) {
+  if (listing.revision == number_) return;
+  number_ = listing.revision;
 
   std::map<std::string, std::uint64_t> sidecars;
   for (const registry::Sidecar& sidecar : listing.sidecars) {
     const auto before = sidecars_.find(sidecar.name);
-    if (before == sidecars_.end() || before->second != sidecar.life)  // another life has joined anew
+    if (before == sidecars_.end() || before->second != sidecar.incarnation)  // another life has joined anew
       events.Add(now, SidecarEvent{sidecar.name, true});
-    sidecars.emplace(sidecar.name, sidecar.life);
+    sidecars.emplace(sidecar.name, sidecar.incarnation);
   }
 
   std::map<std::string, Seen> servers;
   for (const registry::Server& server : listing.servers) {
-    Seen seen{server.service, server.hop, server.state, {}};
+    Seen seen{server.service, server.sidecar_address, server.state, {}};
     const auto before = servers_.find(server.id);
     const bool known = before != servers_.end();
     const bool same = known && before->second.service == seen.service && before->second.hop == seen.hop &&
@@ -114,9 +114,10 @@
     if (same) {
       seen.sidecar = std::move(before->second.sidecar);
     } else {
-      const auto beside = std::find_if(listing.sidecars.begin(), listing.sidecars.end(),
-                                       [&](const registry::Sidecar& s) { return s.hop == server.hop; });
-      seen.sidecar = beside == listing.sidecars.end() ? server.hop : beside->name;
+      const auto beside = std::find_if(
+          listing.sidecars.begin(), listing.sidecars.end(),
+          [&](const registry::Sidecar& s) { return s.internal_address == server.sidecar_address; });
+      seen.sidecar = beside == listing.sidecars.end() ? server.sidecar_address : beside->name;
       if (known || seen.state != registry::State::kGone)
         events.Add(now, ServerEvent{server.id, seen.service, seen.state, seen.sidecar});
     }
--- a/src/mesh/push/events.hpp
+++ b/src/mesh/push/events.hpp
@@ -80,7 +80,7 @@
 class ListingWatch {
  public:
   // Costs a comparison of numbers if nothing has changed.
-  void Look(Micros now, const registry::Listing& listing, Events& events);
+  void Look(Micros now, const registry::Snapshot& listing, Events& events);
 
  private:
   struct Seen {
--- a/src/mesh/push/herald.cpp
+++ b/src/mesh/push/herald.cpp
@@ -47,7 +47,7 @@
 }
 
 void Herald::OnTell(Micros now, LinkId id, const Tell& tell) {
-  const auto key = std::pair(tell.me.name, tell.me.life);
+  const auto key = std::pair(tell.me.name, tell.me.incarnation);
   auto at = links_.find(id);
   if (at == links_.end()) {
     if (links_.size() >= kMostLinks || heard_.size() >= 2 * kMostLinks) {
@@ -61,9 +61,9 @@
     heard_[key].link = id;
     at = links_.emplace(id, Link{}).first;
     at->second.name = tell.me.name;
-    at->second.life = tell.me.life;
+    at->second.life = tell.me.incarnation;
     at->second.list.wait = at->second.ledger.wait = settings_.resend_after;
-  } else if (at->second.name != tell.me.name || at->second.life != tell.me.life) {
+  } else if (at->second.name != tell.me.name || at->second.life != tell.me.incarnation) {
     links_.erase(at);  // a link is one sidecar's
     sink_.Close(id);
     return;
@@ -74,11 +74,11 @@
   heard.entry = std::max(heard.entry, tell.entry);
 
   if (tell.leaving) {
-    registry_.OnLeaving(now, tell.me.name, tell.me.life);
+    registry_.OnLeaving(now, tell.me.name, tell.me.incarnation);
   } else if (tell.lives_too) {
-    registry_.OnTold(now, tell.me, tell.lives);
+    registry_.OnReport(now, tell.me, tell.lives);
   } else {
-    registry_.OnHeard(now, tell.me.name, tell.me.life);
+    registry_.OnKeepalive(now, tell.me.name, tell.me.incarnation);
   }
 
   if (tell.subscribe && !link.subscribed) {
@@ -89,8 +89,8 @@
   link.subscribed = tell.subscribe;
   link.has_list = tell.epoch != 0;
   // A number that was never given is of no listing of this core.
-  const bool ours = tell.epoch == settings_.epoch && tell.number <= registry_.listing().number;
-  Acknowledge(now, link.list, ours ? tell.number : 0, settings_.resend_after);
+  const bool ours = tell.epoch == settings_.epoch && tell.revision <= registry_.snapshot().revision;
+  Acknowledge(now, link.list, ours ? tell.revision : 0, settings_.resend_after);
   Acknowledge(now, link.ledger, tell.entry, settings_.resend_after);
 
   if (tell.asked != 0 && duty_) AnswerDemand(now, id, tell);
@@ -98,8 +98,8 @@
 }
 
 void Herald::AnswerDemand(Micros now, LinkId id, const Tell& tell) {
-  if (registry_.tellers() != counted_) {
-    counted_ = registry_.tellers();
+  if (registry_.sidecar_count() != counted_) {
+    counted_ = registry_.sidecar_count();
     cutter_.SetSidecarCount(now, counted_);
   }
   cutter_.OnHeldShares(now, tell.me.name, tell.held);
@@ -157,7 +157,7 @@
   duty_ = i_am_holder;
   if (!duty_) return;
   LOG(INFO) << "push: gives shares from now on";
-  counted_ = registry_.tellers();
+  counted_ = registry_.sidecar_count();
   cutter_.SetSidecarCount(now, counted_);
   cutter_.OnBecameLeader(now);
 }
@@ -175,7 +175,7 @@
 // Everyone who needs the same gets the same: one difference for all who have the same number.
 void Herald::Flush(Micros now) {
   flushed_ = now;
-  const std::uint64_t number = registry_.listing().number;
+  const std::uint64_t number = registry_.snapshot().revision;
   const bool list_settled = ListSettled(now);
   struct Needs {
     bool ledger = false;
@@ -212,13 +212,13 @@
       news.ledger_too = true;
       news.ledger = ledger_;
     }
-    std::optional<registry::Change> change;
-    if (!needs.whole && needs.from < number) change = registry_.Since(settings_.epoch, needs.from);
+    std::optional<registry::Delta> change;
+    if (!needs.whole && needs.from < number) change = registry_.DeltaSince(settings_.epoch, needs.from);
     if (change) {
       news.changes.push_back(std::move(*change));
     } else if (needs.whole || needs.from < number) {
       news.whole = true;
-      news.listing = registry_.listing();
+      news.snapshot = registry_.snapshot();
     }
     sink_.SendAll(links, news);
   }
--- a/src/mesh/push/herald.hpp
+++ b/src/mesh/push/herald.hpp
@@ -74,8 +74,8 @@
                            std::uint64_t entry) const;  // of these: that entry, or a newer one, is in force
   std::size_t Subscribers() const;
   std::uint64_t entry() const { return entry_; }
-  const registry::Listing& listing() const { return registry_.listing(); }
-  bool ListSettled(Micros now) const { return registry_.Settled(now, started_, settings_.settle); }
+  const registry::Snapshot& snapshot() const { return registry_.snapshot(); }
+  bool ListSettled(Micros now) const { return registry_.WarmedUp(now, started_, settings_.settle); }
 
  private:
   // What is owed of one kind: pushed, acknowledged, and when to send it again.
--- a/src/mesh/push/words.hpp
+++ b/src/mesh/push/words.hpp
@@ -31,17 +31,17 @@
 struct Tell {
   registry::Sidecar me;
   bool leaving = false;
-  bool lives_too = true;                // false: the lives are as told last on this link
-  std::vector<registry::Server> lives;  // of the server beside it
-  bool subscribe = false;               // this core is the one whose news it wants
-  std::uint64_t entry = 0;              // number of the ledger entry that is in force here
-  std::uint64_t epoch = 0, number = 0;  // of the listing it has; (0, 0): none; (n, 0): needs the whole
-  std::uint64_t asked = 0;              // its own count, in the answer's shares
+  bool lives_too = true;                  // false: the lives are as told last on this link
+  std::vector<registry::Server> lives;    // of the server beside it
+  bool subscribe = false;                 // this core is the one whose news it wants
+  std::uint64_t entry = 0;                // number of the ledger entry that is in force here
+  std::uint64_t epoch = 0, revision = 0;  // of the listing it has; (0, 0): none; (n, 0): needs the whole
+  std::uint64_t asked = 0;                // its own count, in the answer's shares
   std::vector<quota::Demand> demand;
   std::vector<quota::Share> held;
   template <class Archive>
   void serialize(Archive& a) {
-    a(me, leaving, lives_too, lives, subscribe, entry, epoch, number, asked, demand, held);
+    a(me, leaving, lives_too, lives, subscribe, entry, epoch, revision, asked, demand, held);
   }
 };
 
@@ -51,8 +51,8 @@
   bool ledger_too = false;
   std::string ledger;  // configuration::Ledger::Write, with ledger_too
   bool whole = false;
-  registry::Listing listing;  // with whole
-  std::vector<registry::Change> changes;
+  registry::Snapshot snapshot;  // with whole
+  std::vector<registry::Delta> changes;
   std::vector<std::string> cores;  // internal addresses of all cores
   std::string holder;              // of the order; empty = unknown
   bool settled = false;            // this core is the holder, or hears one
@@ -62,7 +62,7 @@
   std::int64_t lease_ms = 0;
   template <class Archive>
   void serialize(Archive& a) {
-    a(entry, ledger_too, ledger, whole, listing, changes, cores, holder, settled, partial, asked, shares,
+    a(entry, ledger_too, ledger, whole, snapshot, changes, cores, holder, settled, partial, asked, shares,
       lease_ms);
   }
 };
--- a/src/mesh/registry/beats.cpp
+++ b/src/mesh/registry/heartbeat_tracker.cpp
@@ -47,7 +47,7 @@
   return out >= least && out <= most;
 }
 
-absl::Status Read(std::string_view json, Server& server, bool& drains) {
+absl::Status Read(std::string_view json, Server& server, bool& draining) {
   if (json.size() > kMostBeatBytes) return Bad("too long");
   const Json beat = Json::parse(json.begin(), json.end(), nullptr, false);
   if (!beat.is_object()) return Bad("no JSON object");
@@ -64,7 +64,7 @@
   std::string state;
   if (!Text(Member(*report, "state"), state) || (state != "ready" && state != "draining"))
     return Bad("no state");
-  drains = state == "draining";
+  draining = state == "draining";
   if (!Whole(Member(*report, "callSequence"), 0, std::numeric_limits<std::int64_t>::max(), number)) {
     return Bad("no callSequence");
   }
@@ -77,103 +77,104 @@
 
 bool Differs(const Server& a, const Server& b) {
   return a.service != b.service || a.address != b.address || a.zone != b.zone || a.version != b.version ||
-         a.slots != b.slots || a.state != b.state || a.hop != b.hop;
+         a.slots != b.slots || a.state != b.state || a.sidecar_address != b.sidecar_address;
 }
 
 }  // namespace
 
-void Beats::End(Micros now, Life& life) {
+void HeartbeatTracker::End(Micros now, Instance& life) {
   if (life.server.state == State::kGone) return;
   life.server.state = State::kGone;
   life.gone_at = now;
   ++changes_;
 }
 
-void Beats::MakeRoom() {
-  while (lives_.size() >= kMostLives) {
+void HeartbeatTracker::EvictIfFull() {
+  while (instances_.size() >= kMaxInstances) {
     // The longest gone; if none is, the longest silent.
-    const auto key = [](const Life& l) {
-      return l.server.state == State::kGone ? std::pair(0, l.gone_at) : std::pair(1, l.beat_at);
+    const auto key = [](const Instance& l) {
+      return l.server.state == State::kGone ? std::pair(0, l.gone_at) : std::pair(1, l.heartbeat_at);
     };
-    lives_.erase(std::min_element(lives_.begin(), lives_.end(), [&](const auto& a, const auto& b) {
-      return key(a.second) < key(b.second);
-    }));
+    instances_.erase(
+        std::min_element(instances_.begin(), instances_.end(),
+                         [&](const auto& a, const auto& b) { return key(a.second) < key(b.second); }));
     ++changes_;
   }
 }
 
-absl::Status Beats::OnBeat(Micros now, std::string_view id, std::string_view json, const std::string& hop,
-                           const std::string& zone) {
+absl::Status HeartbeatTracker::OnHeartbeat(Micros now, std::string_view id, std::string_view json,
+                                           const std::string& hop, const std::string& zone) {
   if (id.empty() || id.size() > kMostName) return Bad("no id");
   Server server;
-  bool drains = false;
+  bool draining = false;
   server.zone = zone;
-  if (auto read = Read(json, server, drains); !read.ok()) return read;
+  if (auto read = Read(json, server, draining); !read.ok()) return read;
   server.id = id;
-  server.hop = hop;
-  auto at = lives_.find(id);
-  if (at != lives_.end()) {
+  server.sidecar_address = hop;
+  auto at = instances_.find(id);
+  if (at != instances_.end()) {
     if (at->second.ended || server.sequence <= at->second.server.sequence) return absl::OkStatus();
   } else {
-    MakeRoom();
-    for (auto& [other, life] : lives_) {  // an address is one life's
+    EvictIfFull();
+    for (auto& [other, life] : instances_) {  // an address is one life's
       if (life.server.address != server.address) continue;
       life.ended = true;
       End(now, life);
     }
-    at = lives_.emplace(server.id, Life{}).first;
+    at = instances_.emplace(server.id, Instance{}).first;
     ++changes_;
   }
-  Life& life = at->second;
-  life.drains |= drains;
-  server.state = life.drains ? State::kDraining : State::kReady;
+  Instance& life = at->second;
+  life.draining |= draining;
+  server.state = life.draining ? State::kDraining : State::kReady;
   if (Differs(life.server, server)) ++changes_;
   life.server = std::move(server);
-  life.beat_at = now;
+  life.heartbeat_at = now;
   return absl::OkStatus();
 }
 
-void Beats::OnDeparture(Micros now, std::string_view id) {
+void HeartbeatTracker::OnDeparture(Micros now, std::string_view id) {
   if (id.empty() || id.size() > kMostName) return;
-  auto at = lives_.find(id);
-  if (at == lives_.end()) {  // of a life that was known to a process before this one: remembered all the same
-    MakeRoom();
-    at = lives_.emplace(std::string(id), Life{}).first;
+  auto at = instances_.find(id);
+  if (at ==
+      instances_.end()) {  // of a life that was known to a process before this one: remembered all the same
+    EvictIfFull();
+    at = instances_.emplace(std::string(id), Instance{}).first;
     at->second.server.id = id;
   }
   at->second.ended = true;
   End(now, at->second);
 }
 
-void Beats::OnDead(Micros now, std::string_view id) {
-  if (const auto at = lives_.find(id); at != lives_.end()) End(now, at->second);
+void HeartbeatTracker::OnUnreachable(Micros now, std::string_view id) {
+  if (const auto at = instances_.find(id); at != instances_.end()) End(now, at->second);
 }
 
-void Beats::OnTick(Micros now, Micros beat_interval) {
+void HeartbeatTracker::OnTick(Micros now, Micros beat_interval) {
   // What this process slept through says nothing of the server: its beats may wait in a socket.
-  const Micros slept = ticked_ >= 0 && now - ticked_ > beat_interval ? now - ticked_ : 0;
-  ticked_ = now;
-  for (auto& [id, life] : lives_) {
-    life.beat_at = std::min(now, life.beat_at + slept);
-    if (now - life.beat_at >= 3 * beat_interval) End(now, life);
+  const Micros slept = last_tick_ >= 0 && now - last_tick_ > beat_interval ? now - last_tick_ : 0;
+  last_tick_ = now;
+  for (auto& [id, life] : instances_) {
+    life.heartbeat_at = std::min(now, life.heartbeat_at + slept);
+    if (now - life.heartbeat_at >= 3 * beat_interval) End(now, life);
   }
 }
 
-std::vector<Server> Beats::Lives(Micros now) const {
+std::vector<Server> HeartbeatTracker::Instances(Micros now) const {
   std::vector<Server> lives;
-  for (const auto& [id, life] : lives_) {
+  for (const auto& [id, life] : instances_) {
     if (life.server.state == State::kGone && now - life.gone_at > kTellGone) continue;
     if (life.server.address.empty()) continue;  // departed before its first beat here: nothing to tell
     lives.push_back(life.server);
     auto& cold = lives.back().cold_remaining_ms;
-    cold = std::max<std::int64_t>(0, cold - (now - life.beat_at) / 1000);
+    cold = std::max<std::int64_t>(0, cold - (now - life.heartbeat_at) / 1000);
   }
   return lives;
 }
 
-const Server* Beats::Find(std::string_view id) const {
-  const auto at = lives_.find(id);
-  return at == lives_.end() ? nullptr : &at->second.server;
+const Server* HeartbeatTracker::Find(std::string_view id) const {
+  const auto at = instances_.find(id);
+  return at == instances_.end() ? nullptr : &at->second.server;
 }
 
 }  // namespace fennelhollow::registry
--- a/src/mesh/transport/codec.hpp
+++ b/src/mesh/transport/codec.hpp
@@ -28,12 +28,12 @@
   std::uint32_t magic = 0x464e4831;  // "FNH1"
   std::uint32_t version = kVersion;
   Purpose purpose = Purpose::kHop;
-  std::string from;        // node name
-  std::string address;     // its internal address, ip:port
-  std::uint64_t life = 0;  // drawn at its start
+  std::string from;               // node name
+  std::string address;            // its internal address, ip:port
+  std::uint64_t incarnation = 0;  // drawn at its start
   template <class Archive>
   void serialize(Archive& a) {
-    a(magic, version, purpose, from, address, life);
+    a(magic, version, purpose, from, address, incarnation);
   }
 };
 // Whether it is from a program that speaks as this one does.
--- a/tests/mesh/egress_outbound_test.cpp
+++ b/tests/mesh/egress_outbound_test.cpp
@@ -33,7 +33,7 @@
                          if (std::exchange(*hello, true)) return script(*raw, ingress::WordOf(frame), frame);
                          if (!greets) return;
                          transport::Hello mine;
-                         mine.life = life;
+                         mine.incarnation = life;
                          raw->Send(Say(Word::kHello, mine));
                        },
                        [] {},
@@ -197,7 +197,7 @@
     told.service = "a";
     told.address = server.address();
     told.slots = 4;
-    told.hop = "127.0.0.1:" + std::to_string(port);
+    told.sidecar_address = "127.0.0.1:" + std::to_string(port);
   }
   ScriptedHttpServer server;
   std::uint16_t port;
@@ -238,7 +238,7 @@
     end->link->Start({[raw = end.get()](std::string_view f) { raw->frames.emplace_back(f); }, [] {}, {}});
     end->link->Send(transport::Pack(transport::Hello{}));
     Next(end, Word::kHello);
-    REQUIRE(Heard<transport::Hello>(end->frames[0])->life == machine.port);
+    REQUIRE(Heard<transport::Hello>(end->frames[0])->incarnation == machine.port);
     end->frames.clear();
     return end;
   }
@@ -332,8 +332,8 @@
   // `nth`: of all that have arrived at servers, from 1.
   using Script = std::function<void(std::size_t nth, RawConnection&, const std::string& request)>;
   World(int servers, Script script, int attempts = 2) : port(loopback::FreePort(io)) {
-    registry::Listing listing;
-    listing.number = 1;
+    registry::Snapshot listing;
+    listing.revision = 1;
     for (int i = 0; i < servers; ++i) {
       machines.push_back(
           std::make_unique<Machine>(io, loop, "s" + std::to_string(i),
--- a/tests/mesh/push_events_test.cpp
+++ b/tests/mesh/push_events_test.cpp
@@ -71,10 +71,10 @@
 TEST_CASE("a listing is told as what changes in it") {
   Events events(1, 0);
   ListingWatch watch;
-  registry::Listing listing;
+  registry::Snapshot listing;
   std::uint64_t since = 1;
   const auto look = [&] {
-    ++listing.number;
+    ++listing.revision;
     watch.Look(0, listing, events);
     std::string out;
     const json read = ReadOf(events, 1, since);
@@ -92,7 +92,7 @@
     out.id = id;
     out.service = "shop";
     out.state = state;
-    out.hop = hop;
+    out.sidecar_address = hop;
     return out;
   };
   CHECK(look().empty());
@@ -105,7 +105,7 @@
   listing.servers[0].state = State::kDraining;
   CHECK(look() == "a/shop@n1=draining ");
   listing.servers = {server("a", State::kGone, "h1")};  // c was gone already
-  listing.sidecars[0].life = 2;
+  listing.sidecars[0].incarnation = 2;
   CHECK(look().find("b/shop@") != std::string::npos);
   listing.servers.clear();
   listing.sidecars.clear();
--- a/tests/mesh/push_test.cpp
+++ b/tests/mesh/push_test.cpp
@@ -16,7 +16,7 @@
 struct SilentSink : Client::Sink {
   void Send(const std::string&, const Tell&) override {}
   void OnLedger(std::uint64_t, const std::string&) override {}
-  void OnListing(const registry::Listing&, std::size_t, std::size_t) override {}
+  void OnListing(const registry::Snapshot&, std::size_t, std::size_t) override {}
   void OnShares(const std::vector<quota::Share>&, Micros) override {}
   void OnCores(const std::vector<std::string>&) override {}
 };
@@ -120,7 +120,7 @@
       CHECK(ledger == "ledger " + std::to_string(number));
       entry = number;
     }
-    void OnListing(const registry::Listing& listing, std::size_t at, std::size_t of) override {
+    void OnListing(const registry::Snapshot& listing, std::size_t at, std::size_t of) override {
       rank = at;
       count = of;
       ++listings;
@@ -185,7 +185,7 @@
   // All sidecars have the newest entry and the servers of exactly these.
   bool Agree(std::optional<std::size_t> servers = std::nullopt) const {
     for (const auto& [name, sidecar] : sidecars_) {
-      const auto& listing = sidecar->client->listing();
+      const auto& listing = sidecar->client->snapshot();
       if (sidecar->entry != entry_ || listing.servers.size() != servers.value_or(sidecars_.size()))
         return false;
       if (sidecar->count != sidecars_.size()) return false;
@@ -279,13 +279,13 @@
   client.SetLives(world.now_, {World::Life("side-102", registry::State::kDraining)});
   world.RunFor(120 * kMs);
   for (const auto& [name, sidecar] : world.sidecars_) {
-    CHECK(sidecar->client->listing().servers.at(2).state == registry::State::kDraining);
+    CHECK(sidecar->client->snapshot().servers.at(2).state == registry::State::kDraining);
   }
   client.Leave(world.now_);
   world.RunFor(120 * kMs);
   CHECK(world.Agree(5));  // it keeps its number
   world.RunFor(20 * kS);
-  CHECK(world.sidecars_.at("side-100")->client->listing().sidecars.size() == 5);
+  CHECK(world.sidecars_.at("side-100")->client->snapshot().sidecars.size() == 5);
 }
 
 TEST_CASE("a silent core is left within a second, a lost link at once") {
