--- a/bench/mesh/hop_cost.cpp
+++ b/bench/mesh/hop_cost.cpp
@@ -107,7 +107,7 @@
   return out;
 }
 
-std::shared_ptr<const configuration::Tables> TablesOf() {
+std::shared_ptr<const configuration::RoutingTables> TablesOf() {
   using nlohmann::json;
   json items = json::array();
   for (std::size_t s = 0; s < kServices; ++s) {
@@ -131,12 +131,12 @@
     items.push_back({{"resourceKind", "tenants"},
                      {"metadata", {{"name", "tenant-" + std::to_string(t)}}},
                      {"specification", {{"accessKeys", {"key-" + std::to_string(t)}}}}});
-  const auto verdict =
-      configuration::Ledger().Decide(false, json({{"version", 1}, {"resourceList", items}}).dump());
-  CHECK(verdict.kind == configuration::Verdict::Kind::kTake) << verdict.error;
-  const auto ledger = configuration::Ledger::Read(verdict.next);
+  const auto verdict = configuration::ReplicatedState().Evaluate(
+      false, json({{"version", 1}, {"resourceList", items}}).dump());
+  CHECK(verdict.kind == configuration::ChangeResult::Kind::kAccepted) << verdict.error;
+  const auto ledger = configuration::ReplicatedState::Parse(verdict.next_state);
   CHECK(ledger.ok());
-  const auto tables = configuration::Tables::Of(ledger->newest());
+  const auto tables = configuration::RoutingTables::Build(ledger->newest());
   CHECK(tables.ok()) << tables.status();
   return *tables;
 }
--- a/bench/mesh/order_cost.cpp
+++ b/bench/mesh/order_cost.cpp
@@ -261,13 +261,13 @@
                        {"metadata", {{"name", "tenant-" + std::to_string(t)}}},
                        {"specification", {{"accessKeys", {"key-" + std::to_string(t)}}}}});
     for (std::size_t i = 0; i < routes; ++i) items.push_back(Route(i, 2500));
-    const auto first =
-        configuration::Ledger().Decide(false, json({{"version", 1}, {"resourceList", items}}).dump());
-    if (first.kind != configuration::Verdict::Kind::kTake) {
+    const auto first = configuration::ReplicatedState().Evaluate(
+        false, json({{"version", 1}, {"resourceList", items}}).dump());
+    if (first.kind != configuration::ChangeResult::Kind::kAccepted) {
       std::printf("  %4zu | not taken: %s\n", routes, first.error.c_str());
       continue;
     }
-    const auto ledger = configuration::Ledger::Read(first.next);
+    const auto ledger = configuration::ReplicatedState::Parse(first.next_state);
     CHECK(ledger.ok());
     const std::string change =
         json({{"version", 2}, {"baseVersion", 1}, {"upsert", {{"resourceList", {Route(routes / 2, 2600)}}}}})
@@ -284,13 +284,13 @@
     };
     std::string next;
     const Spread decide = time([&] {
-      const auto verdict = ledger->Decide(true, change);
-      CHECK(verdict.kind == configuration::Verdict::Kind::kTake) << verdict.error;
-      next = verdict.next;
+      const auto verdict = ledger->Evaluate(true, change);
+      CHECK(verdict.kind == configuration::ChangeResult::Kind::kAccepted) << verdict.error;
+      next = verdict.next_state;
     });
-    const Spread read = time([&] { CHECK(configuration::Ledger::Read(next).ok()); });
-    std::shared_ptr<const configuration::Tables> tables;
-    const Spread make = time([&] { tables = *configuration::Tables::Of(ledger->newest()); });
+    const Spread read = time([&] { CHECK(configuration::ReplicatedState::Parse(next).ok()); });
+    std::shared_ptr<const configuration::RoutingTables> tables;
+    const Spread make = time([&] { tables = *configuration::RoutingTables::Build(ledger->newest()); });
     const Spread compare = time([&] { configuration::Compare(*tables, *tables); });
     std::size_t found = 0;
     const Spread lookup = time([&] {
--- a/rig/sim/world.cpp
+++ b/rig/sim/world.cpp
@@ -37,7 +37,7 @@
   return location.substr(0, location.find('/'));
 }
 
-std::string TextOf(const configuration::Ledger& ledger) {
+std::string TextOf(const configuration::ReplicatedState& ledger) {
   return ledger.newest().version() > 0 ? ledger.newest().text() : std::string();
 }
 
@@ -409,7 +409,7 @@
 
 void World::OnInForce(const Address& sidecar, std::uint64_t incarnation, std::uint64_t entry,
                       const std::string& state) {
-  const auto ledger = configuration::Ledger::Read(state);
+  const auto ledger = configuration::ReplicatedState::Parse(state);
   if (!ledger.ok()) throw Violation("CONFIG: a sidecar is told what can't be read");
   judge_.OnInForce(sidecar, incarnation, entry, TextOf(*ledger));
   Mark(entry);
--- a/src/mesh/configuration/configuration.hpp
+++ b/src/mesh/configuration/configuration.hpp
@@ -20,7 +20,7 @@
 
 namespace fennelhollow::configuration {
 
-enum class Kind { kSafe, kUnsafe, kDownload };
+enum class RouteKind { kSafe, kUnsafe, kDownload };
 
 struct Target {
   std::string service;
@@ -32,12 +32,12 @@
   std::string name;
   std::string host;         // lower case
   std::string path_prefix;  // begins and ends with a slash
-  Kind kind = Kind::kUnsafe;
+  RouteKind kind = RouteKind::kUnsafe;
   std::int64_t timeout_ms = 0;         // 0 = none told
   std::int64_t target_latency_ms = 0;  // 0 = none told
   int priority = 0;                    // 0 is highest
-  int attempts = 2;                    // servers that one try may be sent to, at most; 1 or more
-  bool open = false;                   // `public`: needs no key
+  int max_attempts = 2;                // servers that one try may be sent to, at most; 1 or more
+  bool is_public = false;              // `public`: needs no key
   std::vector<Target> targets;
   bool operator==(const Route&) const = default;
 };
@@ -80,7 +80,7 @@
   static absl::StatusOr<Configuration> FromText(std::string text);
 
  private:
-  friend class Ledger;
+  friend class ReplicatedState;
   std::int64_t version_ = 0;
   std::string text_;
 };
@@ -100,18 +100,18 @@
 };
 
 // What requests are looked up in; immutable after it is made, cheap to share.
-class Tables {
+class RoutingTables {
  public:
-  Tables() = default;  // of no configuration: nothing matches
+  RoutingTables() = default;  // of no configuration: nothing matches
   // kDataLoss if it can't be read.
-  static absl::StatusOr<std::shared_ptr<const Tables>> Of(const Configuration& configuration);
+  static absl::StatusOr<std::shared_ptr<const RoutingTables>> Build(const Configuration& configuration);
 
   std::int64_t version() const { return version_; }
   // The route of `host` (any case, a port is ignored) whose prefix begins `path` (query ignored) and is
   // longest; null if none.
   const Route* FindRoute(std::string_view host, std::string_view path) const;
   // Null if nobody holds it.
-  const Tenant* FindKey(std::string_view key) const;
+  const Tenant* FindTenantByKey(std::string_view key) const;
   bool has_tenants() const { return has_tenants_; }
   const Service* FindService(std::string_view name) const;
   const Limits& limits() const { return limits_; }
@@ -140,23 +140,23 @@
   // loses attempts, a lower limit.
   bool tightens = false;
 };
-Difference Compare(const Tables& before, const Tables& after);
+Difference Compare(const RoutingTables& before, const RoutingTables& after);
 
 // What an operator's change comes to.
-struct Verdict {
+struct ChangeResult {
   enum class Kind {
-    kTake,      // `next` is to be put in order; once it is, 200
-    kAlready,   // exactly this call was taken before: 200
-    kConflict,  // another version is in place: 412
-    kInvalid,   // 400, with `error`
-    kUnknown,   // 503: older than the calls that are remembered, so perhaps taken, perhaps not
+    kAccepted,        // `next` is to be put in order; once it is, 200
+    kAlreadyApplied,  // exactly this call was taken before: 200
+    kConflict,        // another version is in place: 412
+    kInvalid,         // 400, with `error`
+    kUnknown,         // 503: older than the calls that are remembered, so perhaps taken, perhaps not
   } kind = Kind::kInvalid;
-  std::string next;   // the ledger after it, as Ledger::Write gives it
-  std::string error;  // one plain line
+  std::string next_state;  // the ledger after it, as Ledger::Write gives it
+  std::string error;       // one plain line
 };
 
 // Which call led to a version: enough to know its exact repeat.
-struct TakenCall {
+struct AppliedCall {
   std::int64_t version = 0;
   std::uint64_t digest_high = 0, digest_low = 0;
   template <class Archive>
@@ -167,26 +167,26 @@
 
 // How many of them are remembered: more than half of a day's changes at the size that is planned for (1,700 a
 // day), 24 bytes each. A repeat that is older is left without a clear answer.
-inline constexpr std::size_t kMostTaken = 1024;
+inline constexpr std::size_t kMaxAppliedCalls = 1024;
 
 // The replicated state: the newest configuration, and the calls that were taken lately, so that the exact
 // repeat of a call is known for one at any replica and after any restart.
-class Ledger {
+class ReplicatedState {
  public:
-  Ledger() = default;
-  static absl::StatusOr<Ledger> Read(std::string_view written);  // kDataLoss
-  std::string Write() const;
+  ReplicatedState() = default;
+  static absl::StatusOr<ReplicatedState> Parse(std::string_view written);  // kDataLoss
+  std::string Serialize() const;
   // The newest configuration alone: what sidecars need of it.
-  Ledger WithoutCalls() const;
+  ReplicatedState WithoutAppliedCalls() const;
 
   // Pure: what a call would come to on top of this. `modify`: Configuration.Modify, else Replace.
-  Verdict Decide(bool modify, std::string_view body) const;
+  ChangeResult Evaluate(bool modify, std::string_view body) const;
   const Configuration& newest() const { return newest_; }
 
  private:
   Configuration newest_;
-  std::vector<TakenCall> taken_;        // by rising version, at most kMostTaken
-  std::int64_t forgotten_through_ = 0;  // calls of versions up to this one are remembered no more
+  std::vector<AppliedCall> applied_calls_;  // by rising version, at most kMostTaken
+  std::int64_t forgotten_through_ = 0;      // calls of versions up to this one are remembered no more
 };
 
 }  // namespace fennelhollow::configuration
--- a/src/mesh/configuration/form.cpp
+++ b/src/mesh/configuration/document.cpp
@@ -1,4 +1,4 @@
-#include "mesh/configuration/form.hpp"
+#include "mesh/configuration/document.hpp"
 
 #include <absl/strings/ascii.h>
 #include <absl/strings/str_cat.h>
@@ -201,7 +201,7 @@
     auto route = CheckRoute(item["specification"], path + ".specification");
     if (!route.ok()) return route;
   }
-  std::string id = ItemId(item);
+  std::string id = ResourceId(item);
   if (ids.contains(id)) return Invalid(path, "a second " + settings::Line(id, 80), "each once");
   ids.insert(std::move(id));
   return absl::OkStatus();
@@ -235,16 +235,19 @@
 Route RouteOf(const std::string& name, const json& from) {
   Route route;
   route.name = name;
-  route.host = absl::AsciiStrToLower(std::string(HostName(from.at("host").get_ref<const std::string&>())));
+  route.host =
+      absl::AsciiStrToLower(std::string(HostWithoutPort(from.at("host").get_ref<const std::string&>())));
   route.path_prefix = from.at("pathPrefix").get<std::string>();
   if (const std::string kind = Text(from, "kind"); !kind.empty()) {
-    route.kind = kind == "safe" ? Kind::kSafe : kind == "download" ? Kind::kDownload : Kind::kUnsafe;
+    route.kind = kind == "safe"       ? RouteKind::kSafe
+                 : kind == "download" ? RouteKind::kDownload
+                                      : RouteKind::kUnsafe;
   }
   route.timeout_ms = static_cast<std::int64_t>(std::ceil(Number(from, "timeoutMs", 0)));
   route.target_latency_ms = static_cast<std::int64_t>(std::ceil(Number(from, "targetLatencyMs", 0)));
   route.priority = static_cast<int>(Number(from, "priority", route.priority));
-  route.attempts = std::max(1, static_cast<int>(Number(from, "attempts", route.attempts)));
-  if (const json* open = Member(from, "public")) route.open = open->get<bool>();
+  route.max_attempts = std::max(1, static_cast<int>(Number(from, "attempts", route.max_attempts)));
+  if (const json* open = Member(from, "public")) route.is_public = open->get<bool>();
   if (const json* split = Member(from, "trafficSplit")) {
     for (const json& target : *split) {
       route.targets.push_back({target.at("service").get<std::string>(), Number(target, "weight", 1)});
@@ -271,7 +274,7 @@
 
 }  // namespace
 
-absl::StatusOr<json> ReadObject(std::string_view text) {
+absl::StatusOr<json> ParseObject(std::string_view text) {
   if (IsTooDeep(text)) return absl::InvalidArgumentError("the body is nested too deeply");
   json value = json::parse(text, nullptr, /*allow_exceptions=*/false);
   if (value.is_discarded()) return absl::InvalidArgumentError("the body is no JSON, or is cut short");
@@ -314,8 +317,8 @@
   return absl::OkStatus();
 }
 
-Items ItemsOf(const json& configuration) {
-  Items items;
+Resources ParseResources(const json& configuration) {
+  Resources items;
   for (const json& item : configuration.at("resourceList")) {
     const std::string kind = item.at("resourceKind").get<std::string>();
     const json& from = item.at("specification");
@@ -337,7 +340,7 @@
   return items;
 }
 
-absl::Status CheckJoined(const Items& items) {
+absl::Status CheckReferences(const Resources& items) {
   std::unordered_set<std::string_view> services;
   for (const Service& service : items.services) services.insert(service.name);
   std::map<std::pair<std::string_view, std::string_view>, const Route*> places;
@@ -366,7 +369,7 @@
   return absl::OkStatus();
 }
 
-std::string_view HostName(std::string_view host) {
+std::string_view HostWithoutPort(std::string_view host) {
   const std::size_t bracket =
       host.starts_with('[') ? host.find(']') : 0;  // an IPv6 address has colons of its own
   return host.substr(0, host.find(':', bracket == std::string_view::npos ? 0 : bracket));
--- a/src/mesh/configuration/form.hpp
+++ b/src/mesh/configuration/document.hpp
@@ -1,6 +1,6 @@
 // The operators' form, inside configuration only: read, checked, and its items as values. Free of I/O.
-#ifndef FENNELHOLLOW_MESH_CONFIGURATION_FORM_HPP_
-#define FENNELHOLLOW_MESH_CONFIGURATION_FORM_HPP_
+#ifndef FENNELHOLLOW_MESH_CONFIGURATION_DOCUMENT_HPP_
+#define FENNELHOLLOW_MESH_CONFIGURATION_DOCUMENT_HPP_
 
 #include <absl/status/status.h>
 #include <absl/status/statusor.h>
@@ -15,7 +15,7 @@
 namespace fennelhollow::configuration {
 
 // All items of one configuration; targets of weight 0 are still in.
-struct Items {
+struct Resources {
   std::vector<Route> routes;
   std::vector<Service> services;
   std::vector<Tenant> tenants;
@@ -24,7 +24,7 @@
 
 // A JSON object, its members sorted. kInvalidArgument if it is none, is cut short, or is nested or filled
 // beyond what any configuration is (dumping and copying recurse).
-absl::StatusOr<nlohmann::json> ReadObject(std::string_view text);
+absl::StatusOr<nlohmann::json> ParseObject(std::string_view text);
 
 // All that can be said of a call by itself; kInvalidArgument with one plain line. `call` has been through
 // settings::Normalize.
@@ -32,23 +32,23 @@
 
 // The items of a configuration whose form was checked (and normalized); throws nlohmann::json::exception if
 // it was not.
-Items ItemsOf(const nlohmann::json& configuration);
+Resources ParseResources(const nlohmann::json& configuration);
 
 // What joins items: services that routes name, keys, hosts and prefixes. kInvalidArgument with one plain
 // line.
-absl::Status CheckJoined(const Items& items);
+absl::Status CheckReferences(const Resources& items);
 
 // The name of an item in one list with all others; "limits" has one item whatever its name. `Json` may be
 // ordered.
 template <class Json>
-std::string ItemId(const Json& item) {
+std::string ResourceId(const Json& item) {
   const std::string kind = item.at("resourceKind").template get<std::string>();
   return kind == "limits" ? kind : kind + "/" + item.at("metadata").at("name").template get<std::string>();
 }
 
 // Without its port.
-std::string_view HostName(std::string_view host);
+std::string_view HostWithoutPort(std::string_view host);
 
 }  // namespace fennelhollow::configuration
 
-#endif  // FENNELHOLLOW_MESH_CONFIGURATION_FORM_HPP_
+#endif  // FENNELHOLLOW_MESH_CONFIGURATION_DOCUMENT_HPP_
--- a/src/mesh/configuration/ledger.cpp
+++ b/src/mesh/configuration/replicated_state.cpp
@@ -7,7 +7,7 @@
 
 #include "base/random.hpp"
 #include "mesh/configuration/configuration.hpp"
-#include "mesh/configuration/form.hpp"
+#include "mesh/configuration/document.hpp"
 #include "mesh/settings/schema.hpp"
 #include "mesh/transport/codec.hpp"
 
@@ -23,7 +23,7 @@
   std::uint32_t magic = kMagic;
   std::int64_t version = 0;
   std::string text;
-  std::vector<TakenCall> taken;
+  std::vector<AppliedCall> taken;
   std::int64_t forgotten_through = 0;
   template <class Archive>
   void serialize(Archive& a) {
@@ -51,7 +51,7 @@
   state.version = first.version;
   state.text = first.text;
   for (const auto& [version, digest] : first.taken) {
-    TakenCall& call = state.taken.emplace_back(TakenCall{version, 0, 0});
+    AppliedCall& call = state.taken.emplace_back(AppliedCall{version, 0, 0});
     if (digest.size() != 2 * kHexDigits ||
         !absl::SimpleHexAtoi(digest.substr(0, kHexDigits), &call.digest_high) ||
         !absl::SimpleHexAtoi(digest.substr(kHexDigits), &call.digest_low)) {
@@ -86,12 +86,12 @@
 }
 
 // Of a call whatever the order of its members and the space between them.
-TakenCall Digest(bool modify, const json& call) {
+AppliedCall Digest(bool modify, const json& call) {
   const std::string text = (modify ? "modify " : "replace ") + call.dump();
   return {0, HashByXor(text), HashByMix(text)};
 }
 
-bool SameCall(const TakenCall& a, const TakenCall& b) {
+bool SameCall(const AppliedCall& a, const AppliedCall& b) {
   return a.digest_high == b.digest_high && a.digest_low == b.digest_low;
 }
 
@@ -112,7 +112,7 @@
   ordered_json kept = ordered_json::array();
   std::unordered_map<std::string, std::size_t> places;
   for (ordered_json& item : list) {
-    std::string id = ItemId(item);
+    std::string id = ResourceId(item);
     if (removed.contains(id)) continue;
     places.emplace(std::move(id), kept.size());
     kept.push_back(std::move(item));
@@ -120,7 +120,7 @@
   const auto upsert = call.find("upsert");
   if (upsert != call.end() && upsert->is_object() && upsert->contains("resourceList")) {
     for (const ordered_json& item : upsert->at("resourceList")) {
-      const auto [at, is_new] = places.emplace(ItemId(item), kept.size());
+      const auto [at, is_new] = places.emplace(ResourceId(item), kept.size());
       if (is_new) {
         kept.push_back(item);
       } else {
@@ -132,22 +132,22 @@
   return newest;
 }
 
-Verdict Refuse(Verdict::Kind kind, std::string error) {
-  Verdict verdict;
+ChangeResult Refuse(ChangeResult::Kind kind, std::string error) {
+  ChangeResult verdict;
   verdict.kind = kind;
   verdict.error = std::move(error);
   return verdict;
 }
 
-Verdict Refuse(const absl::Status& status) {
-  return Refuse(Verdict::Kind::kInvalid, std::string(status.message()));
+ChangeResult Refuse(const absl::Status& status) {
+  return Refuse(ChangeResult::Kind::kInvalid, std::string(status.message()));
 }
 
 }  // namespace
 
 absl::StatusOr<Configuration> Configuration::FromText(std::string text) {
   try {
-    const auto object = ReadObject(text);
+    const auto object = ParseObject(text);
     if (!object.ok()) return absl::DataLossError(object.status().message());
     Configuration configuration;
     configuration.version_ = object->at("version").get<std::int64_t>();
@@ -161,13 +161,13 @@
   }
 }
 
-std::string Ledger::Write() const {
+std::string ReplicatedState::Serialize() const {
   std::string bytes =
-      transport::Pack(State{kMagic, newest_.version_, newest_.text_, taken_, forgotten_through_});
+      transport::Pack(State{kMagic, newest_.version_, newest_.text_, applied_calls_, forgotten_through_});
   return bytes + transport::Pack(HashByXor(bytes));
 }
 
-absl::StatusOr<Ledger> Ledger::Read(std::string_view written) {
+absl::StatusOr<ReplicatedState> ReplicatedState::Parse(std::string_view written) {
   // The sum comes first: of other bytes the archive would believe the lengths, and ask for as much memory.
   static const std::size_t sum_bytes = transport::Pack(std::uint64_t{0}).size();
   if (written.size() < sum_bytes) return absl::DataLossError("a ledger is cut short");
@@ -176,29 +176,29 @@
   if (!sum.ok() || *sum != HashByXor(bytes)) return absl::DataLossError("a ledger's sum is wrong");
   auto state = ReadState(bytes);
   if (!state.ok()) return state.status();
-  if (state->version < 0 || state->taken.size() > kMostTaken)
+  if (state->version < 0 || state->taken.size() > kMaxAppliedCalls)
     return absl::DataLossError("a ledger can't be read");
-  Ledger ledger;
+  ReplicatedState ledger;
   ledger.newest_.version_ = state->version;
   ledger.newest_.text_ = std::move(state->text);
-  ledger.taken_ = std::move(state->taken);
+  ledger.applied_calls_ = std::move(state->taken);
   ledger.forgotten_through_ = state->forgotten_through;
   return ledger;
 }
 
-Ledger Ledger::WithoutCalls() const {
-  Ledger ledger;
+ReplicatedState ReplicatedState::WithoutAppliedCalls() const {
+  ReplicatedState ledger;
   ledger.newest_ = newest_;
   return ledger;
 }
 
-Verdict Ledger::Decide(bool modify, std::string_view body) const {
+ChangeResult ReplicatedState::Evaluate(bool modify, std::string_view body) const {
   try {
-    auto call = ReadObject(body);
+    auto call = ParseObject(body);
     if (!call.ok()) return Refuse(call.status());
-    TakenCall digest = Digest(modify, *call);
-    for (const TakenCall& taken : taken_) {
-      if (SameCall(taken, digest)) return Refuse(Verdict::Kind::kAlready, "");
+    AppliedCall digest = Digest(modify, *call);
+    for (const AppliedCall& taken : applied_calls_) {
+      if (SameCall(taken, digest)) return Refuse(ChangeResult::Kind::kAlreadyApplied, "");
     }
     settings::Normalize(*call);
     const auto checked = CheckCall(modify, *call);
@@ -207,14 +207,15 @@
     const std::int64_t version = (*call)["version"].get<std::int64_t>();
     const std::int64_t base = call->value("baseVersion", std::int64_t{0});
     if (version <= forgotten_through_) {
-      return Refuse(Verdict::Kind::kUnknown, "version: older than what is remembered; read the newest one");
+      return Refuse(ChangeResult::Kind::kUnknown,
+                    "version: older than what is remembered; read the newest one");
     }
     if (base != newest_.version_) {
-      return Refuse(Verdict::Kind::kConflict, absl::StrCat("baseVersion: found ", base, ", wanted ",
-                                                           newest_.version_, ", which is in place"));
+      return Refuse(ChangeResult::Kind::kConflict, absl::StrCat("baseVersion: found ", base, ", wanted ",
+                                                                newest_.version_, ", which is in place"));
     }
     if (version <= newest_.version_) {
-      return Refuse(Verdict::Kind::kInvalid,
+      return Refuse(ChangeResult::Kind::kInvalid,
                     absl::StrCat("version: found ", version, ", wanted one above ", newest_.version_));
     }
     ordered_json next = ordered_json::parse(body);
@@ -223,25 +224,25 @@
       *call = next;
       settings::Normalize(*call);
     }
-    const auto joined = CheckJoined(ItemsOf(*call));
+    const auto joined = CheckReferences(ParseResources(*call));
     if (!joined.ok()) return Refuse(joined);
 
-    Ledger ledger = *this;
+    ReplicatedState ledger = *this;
     ledger.newest_.version_ = version;
     ledger.newest_.text_ = next.dump();
     digest.version = version;
-    ledger.taken_.push_back(digest);
-    if (ledger.taken_.size() > kMostTaken) {
-      ledger.forgotten_through_ = ledger.taken_.front().version;
-      ledger.taken_.erase(ledger.taken_.begin());
+    ledger.applied_calls_.push_back(digest);
+    if (ledger.applied_calls_.size() > kMaxAppliedCalls) {
+      ledger.forgotten_through_ = ledger.applied_calls_.front().version;
+      ledger.applied_calls_.erase(ledger.applied_calls_.begin());
     }
-    Verdict verdict;
-    verdict.kind = Verdict::Kind::kTake;
-    verdict.next = ledger.Write();
+    ChangeResult verdict;
+    verdict.kind = ChangeResult::Kind::kAccepted;
+    verdict.next_state = ledger.Serialize();
     return verdict;
   } catch (const std::exception&
                e) {  // a form that was checked is read without; guard against what that overlooks
-    return Refuse(Verdict::Kind::kInvalid, "the body can't be read: " + settings::Line(e.what(), 120));
+    return Refuse(ChangeResult::Kind::kInvalid, "the body can't be read: " + settings::Line(e.what(), 120));
   }
 }
 
--- a/src/mesh/configuration/tables.cpp
+++ b/src/mesh/configuration/routing_tables.cpp
@@ -4,7 +4,7 @@
 #include <set>
 
 #include "mesh/configuration/configuration.hpp"
-#include "mesh/configuration/form.hpp"
+#include "mesh/configuration/document.hpp"
 #include "mesh/settings/schema.hpp"
 
 namespace fennelhollow::configuration {
@@ -32,9 +32,9 @@
 bool Tightens(const Route& before, const Route& after) {
   if (before.host != after.host || before.path_prefix != after.path_prefix)
     return true;  // a route lost, one new
-  if (after.kind == Kind::kUnsafe && before.kind != Kind::kUnsafe) return true;
-  if (before.open && !after.open) return true;
-  if (after.attempts < before.attempts) return true;
+  if (after.kind == RouteKind::kUnsafe && before.kind != RouteKind::kUnsafe) return true;
+  if (before.is_public && !after.is_public) return true;
+  if (after.max_attempts < before.max_attempts) return true;
   return std::any_of(before.targets.begin(), before.targets.end(), [&](const Target& target) {
     return std::none_of(after.targets.begin(), after.targets.end(),
                         [&](const Target& other) { return other.service == target.service; });
@@ -86,14 +86,15 @@
                     [](char x, char y) { return Lower(x) == Lower(y); });
 }
 
-absl::StatusOr<std::shared_ptr<const Tables>> Tables::Of(const Configuration& configuration) {
-  auto tables = std::make_shared<Tables>();
+absl::StatusOr<std::shared_ptr<const RoutingTables>> RoutingTables::Build(
+    const Configuration& configuration) {
+  auto tables = std::make_shared<RoutingTables>();
   if (configuration.version() == 0) return tables;
   try {
-    auto object = ReadObject(configuration.text());
+    auto object = ParseObject(configuration.text());
     if (!object.ok()) return absl::DataLossError(object.status().message());
     settings::Normalize(*object);
-    Items items = ItemsOf(*object);
+    Resources items = ParseResources(*object);
     tables->version_ = configuration.version();
     tables->limits_ = items.limits;
     tables->has_tenants_ = !items.tenants.empty();
@@ -122,8 +123,8 @@
   return tables;
 }
 
-const Route* Tables::FindRoute(std::string_view host, std::string_view path) const {
-  const auto routes = by_host_.find(HostName(host));
+const Route* RoutingTables::FindRoute(std::string_view host, std::string_view path) const {
+  const auto routes = by_host_.find(HostWithoutPort(host));
   if (routes == by_host_.end()) return nullptr;
   path = path.substr(0, path.find('?'));
   for (const std::size_t i : routes->second) {
@@ -132,17 +133,17 @@
   return nullptr;
 }
 
-const Tenant* Tables::FindKey(std::string_view key) const {
+const Tenant* RoutingTables::FindTenantByKey(std::string_view key) const {
   const auto at = by_key_.find(key);
   return at == by_key_.end() ? nullptr : &tenants_[at->second];
 }
 
-const Service* Tables::FindService(std::string_view name) const {
+const Service* RoutingTables::FindService(std::string_view name) const {
   const auto at = services_.find(name);
   return at == services_.end() ? nullptr : &at->second;
 }
 
-Difference Compare(const Tables& before, const Tables& after) {
+Difference Compare(const RoutingTables& before, const RoutingTables& after) {
   Difference difference;
   CompareItems(ByName(before.routes()), ByName(after.routes()), "routes/", true, difference);
   CompareItems(ByName(before.services()), ByName(after.services()), "services/", false, difference);
--- a/src/mesh/control/configuration_service.cpp
+++ b/src/mesh/control/configuration_service.cpp
@@ -5,7 +5,7 @@
 
 namespace fennelhollow::control {
 
-using configuration::Verdict;
+using configuration::ChangeResult;
 using consensus::Outcome;
 
 void ConfigurationService::Submit(Micros now, Micros deadline, bool modify,
@@ -51,16 +51,16 @@
   Change& first = changes_.front();
   first.call = ++calls_;
   first.stage_until = now + limits_.outcome;
-  if (first.verdict->kind == Verdict::Kind::kTake) {
+  if (first.verdict->kind == ChangeResult::Kind::kAccepted) {
     first.stage = Stage::kProposing;
-    host_.Propose(first.call, first.on_top_of, first.verdict->next);
+    host_.Propose(first.call, first.on_top_of, first.verdict->next_state);
   } else {
     first.stage = Stage::kConfirming;
     host_.ConfirmLeadership(first.call);
   }
 }
 
-void ConfigurationService::OnVerdict(Micros now, std::uint64_t call, Verdict verdict) {
+void ConfigurationService::OnVerdict(Micros now, std::uint64_t call, ChangeResult verdict) {
   if (changes_.empty()) return;
   Change& first = changes_.front();
   if (first.stage != Stage::kDeciding || first.call != call) return;  // its caller has been answered
@@ -108,21 +108,21 @@
     return;
   }
   switch (first.verdict->kind) {
-    case Verdict::Kind::kAlready:
+    case ChangeResult::Kind::kAlreadyApplied:
       ++counters_.duplicates;
       Await(now, first.on_top_of);
       break;
-    case Verdict::Kind::kConflict:
+    case ChangeResult::Kind::kConflict:
       ++counters_.conflicts;
       AnswerFirst(ErrorResponse(
           412, first.verdict->error.empty() ? "another version is in place" : first.verdict->error));
       break;
-    case Verdict::Kind::kUnknown:
+    case ChangeResult::Kind::kUnknown:
       ++counters_.unknown_outcome;
       AnswerFirst(UnavailableResponse(first.verdict->error));
       break;
-    case Verdict::Kind::kInvalid:
-    case Verdict::Kind::kTake:  // is proposed, not confirmed
+    case ChangeResult::Kind::kInvalid:
+    case ChangeResult::Kind::kAccepted:  // is proposed, not confirmed
       ++counters_.invalid;
       AnswerFirst(ErrorResponse(400, first.verdict->error));
       break;
--- a/src/mesh/control/configuration_service.hpp
+++ b/src/mesh/control/configuration_service.hpp
@@ -64,7 +64,7 @@
   void Submit(Micros now, Micros deadline, bool modify, std::shared_ptr<const std::string> body, Done done);
   void Read(Micros now, Micros deadline, Done done);
 
-  void OnVerdict(Micros now, std::uint64_t call, configuration::Verdict verdict);
+  void OnVerdict(Micros now, std::uint64_t call, configuration::ChangeResult verdict);
   void OnOutcome(Micros now, std::uint64_t call, consensus::Outcome outcome);
   void OnLeadership(Micros now);  // it leads now, or no longer
   void OnAcks(Micros now);        // a sidecar has a newer entry in force
@@ -83,7 +83,7 @@
     Stage stage = Stage::kWaiting;
     std::uint64_t call = 0;  // what it waits for
     std::uint64_t on_top_of = 0;
-    std::optional<configuration::Verdict> verdict;
+    std::optional<configuration::ChangeResult> verdict;
     Micros stage_until = 0;
   };
   struct Awaiting {
--- a/src/mesh/control/control_replica.cpp
+++ b/src/mesh/control/control_replica.cpp
@@ -48,7 +48,7 @@
   return out;
 }
 
-std::map<std::string, quota::TenantLimit> LimitsOf(const configuration::Tables& tables) {
+std::map<std::string, quota::TenantLimit> LimitsOf(const configuration::RoutingTables& tables) {
   std::map<std::string, quota::TenantLimit> out;
   for (const configuration::Tenant& tenant : tables.tenants())
     out[tenant.name] = {tenant.rate_per_s, tenant.burst};
@@ -147,17 +147,17 @@
 }
 
 void ControlReplica::TakeState(const Entry& entry) {
-  auto ledger = configuration::Ledger::Read(entry.state);
+  auto ledger = configuration::ReplicatedState::Parse(entry.state);
   if (!ledger.ok()) {  // what this core keeps is as good as it gets
     LOG(ERROR) << "entry " << entry.index << " can't be read: " << ledger.status();
     return;
   }
-  ledger_ = std::make_shared<const configuration::Ledger>(*std::move(ledger));
+  ledger_ = std::make_shared<const configuration::ReplicatedState>(*std::move(ledger));
   state_ = entry.state;
-  pushed_ = ledger_->WithoutCalls().Write();
+  pushed_ = ledger_->WithoutAppliedCalls().Serialize();
   LOG(INFO) << "entry " << entry.index << " committed, version " << ledger_->newest().version();
   events_.Add(host_.Now(), push::ConfigurationEvent{ledger_->newest().version(), entry.index});
-  const auto tables = configuration::Tables::Of(ledger_->newest());
+  const auto tables = configuration::RoutingTables::Build(ledger_->newest());
   if (tables.ok()) herald_.SetLimits(host_.Now(), LimitsOf(**tables));
 }
 
@@ -281,13 +281,13 @@
 
 bool ControlReplica::EvaluateChange(std::uint64_t call, bool modify,
                                     std::shared_ptr<const std::string> body) {
-  const auto verdict = std::make_shared<configuration::Verdict>();
+  const auto verdict = std::make_shared<configuration::ChangeResult>();
   return host_.RunInBackground(
       [ledger = ledger_, modify, body = std::move(body), verdict] {
-        *verdict = ledger->Decide(modify, *body);
-        const bool takes = verdict->kind == configuration::Verdict::Kind::kTake;
-        if (!takes || verdict->next.size() <= CallForwarder::Limits{}.call_bytes) return;
-        verdict->kind = configuration::Verdict::Kind::kInvalid;  // would not fit into a frame
+        *verdict = ledger->Evaluate(modify, *body);
+        const bool takes = verdict->kind == configuration::ChangeResult::Kind::kAccepted;
+        if (!takes || verdict->next_state.size() <= CallForwarder::Limits{}.call_bytes) return;
+        verdict->kind = configuration::ChangeResult::Kind::kInvalid;  // would not fit into a frame
         verdict->error = "the configuration would be too large";
       },
       [this, call, verdict] { service_.OnVerdict(host_.Now(), call, std::move(*verdict)); });
--- a/src/mesh/control/control_replica.hpp
+++ b/src/mesh/control/control_replica.hpp
@@ -91,7 +91,7 @@
 
   const consensus::Replica* replica() const { return replica_.get(); }  // null before Start
   const consensus::Entry& committed_entry() const { return entry_; }    // committed last; without its state
-  const configuration::Ledger& ledger() const { return *ledger_; }
+  const configuration::ReplicatedState& ledger() const { return *ledger_; }
   const push::Herald& herald() const { return herald_; }
   push::Events& events() { return events_; }
   const ConfigurationService::Counters& service_counters() const { return service_.counters(); }
@@ -155,7 +155,8 @@
   consensus::Entry entry_;
   std::string state_;   // of the entry
   std::string pushed_;  // of it, what sidecars need
-  std::shared_ptr<const configuration::Ledger> ledger_ = std::make_shared<const configuration::Ledger>();
+  std::shared_ptr<const configuration::ReplicatedState> ledger_ =
+      std::make_shared<const configuration::ReplicatedState>();
   bool told_leads_ = false;
   Micros contact_at_ = 0;  // when it was last in contact with a leader, or led; or began
   std::size_t redirects_ = 0;
--- a/src/mesh/egress/lookup.cpp
+++ b/src/mesh/egress/lookup.cpp
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-Found Find(const configuration::Tables& tables, std::string_view host, std::string_view target,
+Found Find(const configuration::RoutingTables& tables, std::string_view host, std::string_view target,
            const Headers& headers) {
   Found out;
   bool twice = false;
@@ -70,14 +70,14 @@
   if (out.route == nullptr || out.route->targets.empty()) return out;
   if (tables.has_tenants()) {
     const std::string_view said = key == nullptr ? std::string_view() : KeyOf(*key);
-    if (!said.empty()) out.tenant = tables.FindKey(said);
-    if (!out.route->open && out.tenant == nullptr) {
+    if (!said.empty()) out.tenant = tables.FindTenantByKey(said);
+    if (!out.route->is_public && out.tenant == nullptr) {
       out.kind = Found::Kind::kNoKey;
       return out;
     }
   }
   out.kind = Found::Kind::kGo;
-  out.safe = out.route->kind != configuration::Kind::kUnsafe;
+  out.safe = out.route->kind != configuration::RouteKind::kUnsafe;
   out.priority =
       out.tenant != nullptr && out.tenant->priority >= 0 ? out.tenant->priority : out.route->priority;
   return out;
--- a/src/mesh/egress/lookup.hpp
+++ b/src/mesh/egress/lookup.hpp
@@ -34,7 +34,7 @@
 };
 
 // Looks a request up.
-Found Find(const configuration::Tables& tables, std::string_view host, std::string_view target,
+Found Find(const configuration::RoutingTables& tables, std::string_view host, std::string_view target,
            const Headers& headers);
 
 // The headers as they go to a server: what the system sets is taken out and set anew.
--- a/src/mesh/egress/outbound_proxy.cpp
+++ b/src/mesh/egress/outbound_proxy.cpp
@@ -455,7 +455,7 @@
   for (auto& [service, lane] : lanes_) lane->exchanges->EnforceShutdownDeadline();
 }
 
-void OutboundProxy::OnConfiguration(std::shared_ptr<const configuration::Tables> tables) {
+void OutboundProxy::OnConfiguration(std::shared_ptr<const configuration::RoutingTables> tables) {
   tables_ = std::move(tables);
   for (const auto& route : tables_->routes())
     for (const auto& target : route.targets) LaneOf(target.service);
@@ -566,7 +566,7 @@
   flight->labels = labels;
   flight->priority = static_cast<std::uint8_t>(std::clamp(found.priority, 0, kLowestPriority));
   flight->safe = found.safe;
-  flight->most_arrivals = std::max(1, found.route->attempts);
+  flight->most_arrivals = std::max(1, found.route->max_attempts);
   flight->aim = (found.route->target_latency_ms > 0 ? found.route->target_latency_ms : 1000) * kMs;
   flight->due =
       now + static_cast<Micros>(static_cast<double>(flight->aim) * (1 + kLaterAPriority * found.priority));
--- a/src/mesh/egress/outbound_proxy.hpp
+++ b/src/mesh/egress/outbound_proxy.hpp
@@ -53,7 +53,7 @@
   void OnClientDisconnect(const HttpServer::SessionPtr& session);
 
   // Never an older version than the one before (the caller sees to it).
-  void OnConfiguration(std::shared_ptr<const configuration::Tables> tables);
+  void OnConfiguration(std::shared_ptr<const configuration::RoutingTables> tables);
   void OnEndpoints(const registry::Snapshot& listing, std::size_t rank, std::size_t count);
   // Of the runs at this machine's server, the share that are repeats: their calls count as repeats where they
   // go.
@@ -91,7 +91,7 @@
   metrics::RequestMetrics& request_metrics_;
   merlinrun::Random random_;
   Counters counters_;
-  std::shared_ptr<const configuration::Tables> tables_;
+  std::shared_ptr<const configuration::RoutingTables> tables_;
   registry::Snapshot listing_;
   std::size_t rank_ = 0, count_ = 1;
   std::unordered_map<std::string, std::string> hop_of_;  // server id -> last hop
--- a/src/mesh/gossip/message.cpp
+++ b/src/mesh/gossip/message.cpp
@@ -52,14 +52,14 @@
   return IsNumber(rest, 255);
 }
 
-std::string Write(const Message& message) {
+std::string Serialize(const Message& message) {
   Envelope envelope;
   envelope.body = transport::Pack(message);
   envelope.checksum = merlinrun::HashOf(envelope.body);
   return transport::Pack(envelope);
 }
 
-absl::StatusOr<Message> Read(std::string_view bytes) {
+absl::StatusOr<Message> Parse(std::string_view bytes) {
   if (bytes.size() > kMostDatagram) return absl::DataLossError("too long a datagram");
   const auto envelope = transport::Unpack<Envelope>(bytes);
   if (!envelope.ok()) return envelope.status();
--- a/src/mesh/gossip/message.hpp
+++ b/src/mesh/gossip/message.hpp
@@ -39,9 +39,9 @@
   }
 };
 
-std::string Write(const Message& message);
+std::string Serialize(const Message& message);
 // kDataLoss: not a whole datagram of this version, or more, longer or other values than there may be.
-absl::StatusOr<Message> Read(std::string_view bytes);
+absl::StatusOr<Message> Parse(std::string_view bytes);
 // Whether it is an IPv4 ip:port as datagrams carry it.
 bool IsAddress(std::string_view text);
 
--- a/src/mesh/gossip/view.cpp
+++ b/src/mesh/gossip/view.cpp
@@ -155,7 +155,7 @@
   Message message = Base(now, Kind::kAsk, asked_->number);
   message.sidecars = Some(now, asked_->address, kExchanged - 1);
   for (const Sighting& told : message.sidecars) asked_->told.push_back(told.address);
-  if (MaySend(now, kMostSent)) sink_.Send(asked_->address, Write(message));
+  if (MaySend(now, kMostSent)) sink_.Send(asked_->address, Serialize(message));
 }
 
 void View::GiveUp(Micros now) {
@@ -181,7 +181,7 @@
     ++counters_.over_rate;
     return;
   }
-  const auto message = Read(bytes);
+  const auto message = Parse(bytes);
   if (!message.ok() || from == settings_.address || !IsAddress(from)) {
     ++counters_.malformed;
     return;
@@ -208,13 +208,13 @@
   if (!MaySend(now, kMostAnswered)) return {};
   Message message = Base(now, Kind::kAnswer, number);
   message.sidecars = Some(now, to, kExchanged);
-  std::string bytes = Write(message);
+  std::string bytes = Serialize(message);
   // Guards against use as an amplifier.
   while (bytes.size() > std::min(kMostDatagram, kMostGain * size)) {
     auto& longer = message.sidecars.size() > message.cores.size() ? message.sidecars : message.cores;
     if (longer.empty()) return {};
     longer.pop_back();
-    bytes = Write(message);
+    bytes = Serialize(message);
   }
   sink_.Send(to, bytes);
   std::vector<std::string> told;
--- a/src/mesh/node/sidecar.cpp
+++ b/src/mesh/node/sidecar.cpp
@@ -458,7 +458,7 @@
   }
 
   void OnLedger(std::uint64_t entry, const std::string& bytes) override {
-    const auto ledger = configuration::Ledger::Read(bytes);
+    const auto ledger = configuration::ReplicatedState::Parse(bytes);
     if (!ledger.ok()) {
       LOG(ERROR) << "entry " << entry << " can't be read: " << ledger.status().message();
       return;
@@ -470,7 +470,7 @@
                           entry);
     });
     if (!newer) return;
-    const auto tables = configuration::Tables::Of(ledger->newest());
+    const auto tables = configuration::RoutingTables::Build(ledger->newest());
     if (!tables.ok()) {
       LOG(ERROR) << "version " << ledger->newest().version()
                  << " can't be used: " << tables.status().message();
--- a/src/mesh/transport/link.cpp
+++ b/src/mesh/transport/link.cpp
@@ -56,7 +56,7 @@
 Link::Link(std::unique_ptr<Impl> impl) : impl_(std::move(impl)) {}
 Link::~Link() = default;
 
-std::shared_ptr<Link> Link::Of(Tcp::socket socket, Limits limits) {
+std::shared_ptr<Link> Link::Build(Tcp::socket socket, Limits limits) {
   auto impl = std::make_unique<Impl>(std::move(socket), limits);
   impl->SetOptions();
   impl->up = true;
@@ -261,7 +261,7 @@
     acceptor.async_accept([self = shared_from_this()](ErrorCode error, Tcp::socket socket) {
       if (!self->acceptor.is_open()) return;
       if (!error) {
-        if (const auto call = self->accepted) call(Link::Of(std::move(socket), self->limits));
+        if (const auto call = self->accepted) call(Link::Build(std::move(socket), self->limits));
         return self->Accept();
       }
       // Guards against a loop that spins while descriptors are short.
--- a/src/mesh/transport/link.hpp
+++ b/src/mesh/transport/link.hpp
@@ -35,7 +35,7 @@
   };
 
   // Of a socket that is connected.
-  static std::shared_ptr<Link> Of(Tcp::socket socket, Limits limits);
+  static std::shared_ptr<Link> Build(Tcp::socket socket, Limits limits);
   // Connects first; frames sent before it is up wait. on_closed if it is not up within `timeout_ms`.
   static std::shared_ptr<Link> Dial(asio::io_context& io, const Tcp::endpoint& to, int timeout_ms,
                                     Limits limits);
--- a/tests/mesh/configuration_test.cpp
+++ b/tests/mesh/configuration_test.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 using nlohmann::ordered_json;
-using Outcome = Verdict::Kind;
+using Outcome = ChangeResult::Kind;
 
 // The two calls of the operators' page.
 const std::string kReplace =
@@ -34,24 +34,24 @@
       .dump();
 }
 
-Ledger Taken(const Ledger& ledger, bool modify, const std::string& body) {
-  const Verdict verdict = ledger.Decide(modify, body);
+ReplicatedState Taken(const ReplicatedState& ledger, bool modify, const std::string& body) {
+  const ChangeResult verdict = ledger.Evaluate(modify, body);
   INFO(verdict.error);
-  REQUIRE(verdict.kind == Outcome::kTake);
-  auto next = Ledger::Read(verdict.next);
+  REQUIRE(verdict.kind == Outcome::kAccepted);
+  auto next = ReplicatedState::Parse(verdict.next_state);
   REQUIRE(next.ok());
-  REQUIRE(next->Write() == verdict.next);
+  REQUIRE(next->Serialize() == verdict.next_state);
   return *next;
 }
 
-std::shared_ptr<const Tables> TablesOf(const Ledger& ledger) {
-  const auto tables = Tables::Of(ledger.newest());
+std::shared_ptr<const RoutingTables> TablesOf(const ReplicatedState& ledger) {
+  const auto tables = RoutingTables::Build(ledger.newest());
   REQUIRE(tables.ok());
   return *tables;
 }
 
-std::shared_ptr<const Tables> TablesOf(const std::vector<ordered_json>& items) {
-  return TablesOf(Taken(Ledger(), false, Call(1, 0, items)));
+std::shared_ptr<const RoutingTables> TablesOf(const std::vector<ordered_json>& items) {
+  return TablesOf(Taken(ReplicatedState(), false, Call(1, 0, items)));
 }
 
 const ordered_json kService = Item("services", "a", ordered_json::object());
@@ -69,14 +69,14 @@
 const ordered_json kGone(ordered_json::value_t::discarded);
 
 TEST_CASE("the calls of the page are taken, and read back as they were sent") {
-  const Ledger five = Taken(Ledger(), false, R"({"version":5,"resourceList":[]})");
-  const Ledger seven = Taken(five, false, kReplace);
+  const ReplicatedState five = Taken(ReplicatedState(), false, R"({"version":5,"resourceList":[]})");
+  const ReplicatedState seven = Taken(five, false, kReplace);
   CHECK(seven.newest().version() == 7);
   CHECK(seven.newest().text() == kReplace);
   const auto tables = TablesOf(seven);
   const Route* route = tables->FindRoute("JEPU9.example:80", "/lepu270/2f?x=/");
   REQUIRE(route != nullptr);
-  CHECK(route->kind == Kind::kSafe);
+  CHECK(route->kind == RouteKind::kSafe);
   CHECK(route->timeout_ms == 2500);
   CHECK(route->priority == 2);
   CHECK(route->targets == std::vector<Target>{{"huvo11a", 90}, {"kafi81c", 10}});
@@ -84,7 +84,7 @@
   CHECK(tables->FindService("kafi81c")->connection_limit == 110);
   CHECK_FALSE(tables->has_tenants());
 
-  const Ledger nine = Taken(seven, true, kModify);
+  const ReplicatedState nine = Taken(seven, true, kModify);
   ordered_json expected = ordered_json::parse(kReplace);
   expected["version"] = 9;
   expected["baseVersion"] = 7;
@@ -95,38 +95,38 @@
 }
 
 TEST_CASE("the exact repeat of a call is known, a race has one winner") {
-  const Ledger five = Taken(Ledger(), false, R"({"version":5,"resourceList":[]})");
-  Ledger ledger = Taken(five, false, kReplace);
-  CHECK(ledger.Decide(false, kReplace).kind == Outcome::kAlready);
+  const ReplicatedState five = Taken(ReplicatedState(), false, R"({"version":5,"resourceList":[]})");
+  ReplicatedState ledger = Taken(five, false, kReplace);
+  CHECK(ledger.Evaluate(false, kReplace).kind == Outcome::kAlreadyApplied);
   // The same members in another order, and space, are the same configuration.
-  CHECK(ledger.Decide(false, nlohmann::json::parse(kReplace).dump(1)).kind == Outcome::kAlready);
-  CHECK(ledger.Decide(true, kReplace).kind != Outcome::kAlready);
-  CHECK(ledger.Decide(false, Call(8, 5, {})).kind == Outcome::kConflict);  // lost its race
-  CHECK(ledger.Decide(false, Call(7, 5, {})).kind ==
+  CHECK(ledger.Evaluate(false, nlohmann::json::parse(kReplace).dump(1)).kind == Outcome::kAlreadyApplied);
+  CHECK(ledger.Evaluate(true, kReplace).kind != Outcome::kAlreadyApplied);
+  CHECK(ledger.Evaluate(false, Call(8, 5, {})).kind == Outcome::kConflict);  // lost its race
+  CHECK(ledger.Evaluate(false, Call(7, 5, {})).kind ==
         Outcome::kConflict);  // as does another one of that number
-  CHECK(ledger.Decide(false, Call(8, 0, {})).kind == Outcome::kConflict);
-  CHECK(ledger.Decide(false, R"({"version":8,"resourceList":[]})").kind == Outcome::kConflict);
-  CHECK(ledger.Decide(true, R"({"version":8,"baseVersion":9})").kind == Outcome::kConflict);
-  CHECK(ledger.Decide(false, Call(7, 7, {})).kind == Outcome::kInvalid);  // not above
+  CHECK(ledger.Evaluate(false, Call(8, 0, {})).kind == Outcome::kConflict);
+  CHECK(ledger.Evaluate(false, R"({"version":8,"resourceList":[]})").kind == Outcome::kConflict);
+  CHECK(ledger.Evaluate(true, R"({"version":8,"baseVersion":9})").kind == Outcome::kConflict);
+  CHECK(ledger.Evaluate(false, Call(7, 7, {})).kind == Outcome::kInvalid);  // not above
   ledger = Taken(ledger, true, kModify);
-  CHECK(ledger.Decide(true, kModify).kind == Outcome::kAlready);
-  CHECK(ledger.Decide(false, kReplace).kind == Outcome::kAlready);
+  CHECK(ledger.Evaluate(true, kModify).kind == Outcome::kAlreadyApplied);
+  CHECK(ledger.Evaluate(false, kReplace).kind == Outcome::kAlreadyApplied);
   std::int64_t version = 9;
-  for (std::size_t i = 0; i + 3 < kMostTaken; ++i, ++version) {
+  for (std::size_t i = 0; i + 3 < kMaxAppliedCalls; ++i, ++version) {
     ledger = Taken(ledger, false, Call(version + 1, version, {}));
   }
-  CHECK(ledger.Decide(false, kReplace).kind == Outcome::kAlready);
-  const std::size_t size = ledger.Write().size();
-  for (std::size_t i = 0; i < kMostTaken; ++i, ++version) {
+  CHECK(ledger.Evaluate(false, kReplace).kind == Outcome::kAlreadyApplied);
+  const std::size_t size = ledger.Serialize().size();
+  for (std::size_t i = 0; i < kMaxAppliedCalls; ++i, ++version) {
     ledger = Taken(ledger, false, Call(version + 1, version, {}));
   }
   // The memory has a bound, and what is beyond it is not refused: it may have been taken.
-  CHECK(ledger.Decide(false, kReplace).kind == Outcome::kUnknown);
-  CHECK(ledger.Decide(false, Call(9, 7, {})).kind == Outcome::kUnknown);
-  CHECK(ledger.Decide(false, Call(version - 1, version - 3, {})).kind == Outcome::kConflict);
-  CHECK(ledger.Write().size() < size + 100);
+  CHECK(ledger.Evaluate(false, kReplace).kind == Outcome::kUnknown);
+  CHECK(ledger.Evaluate(false, Call(9, 7, {})).kind == Outcome::kUnknown);
+  CHECK(ledger.Evaluate(false, Call(version - 1, version - 3, {})).kind == Outcome::kConflict);
+  CHECK(ledger.Serialize().size() < size + 100);
   CHECK(size < 32768);
-  CHECK(ledger.WithoutCalls().Write().size() < 200);
+  CHECK(ledger.WithoutAppliedCalls().Serialize().size() < 200);
 }
 
 // Bytes as the first release wrote them, of version 5 and of one call.
@@ -141,21 +141,21 @@
   std::string bytes = fennelhollow::transport::Pack(First{});
   std::uint64_t sum = 0xcbf29ce484222325;
   for (const char c : bytes) sum = (sum ^ static_cast<unsigned char>(c)) * 0x100000001b3;
-  const auto ledger = Ledger::Read(bytes + fennelhollow::transport::Pack(sum));
+  const auto ledger = ReplicatedState::Parse(bytes + fennelhollow::transport::Pack(sum));
   REQUIRE(ledger.ok());
   CHECK(ledger->newest().version() == 5);
-  CHECK(Ledger::Read(ledger->Write())->newest().text() == First{}.text);
-  CHECK(ledger->Decide(false, Call(5, 0, {})).kind == Outcome::kConflict);
+  CHECK(ReplicatedState::Parse(ledger->Serialize())->newest().text() == First{}.text);
+  CHECK(ledger->Evaluate(false, Call(5, 0, {})).kind == Outcome::kConflict);
 }
 
 TEST_CASE("what is no ledger or no configuration is refused") {
-  const std::string written = Taken(Ledger(), false, Call(1, 0, {kService})).Write();
-  REQUIRE(Ledger::Read(Ledger().Write()).ok());
+  const std::string written = Taken(ReplicatedState(), false, Call(1, 0, {kService})).Serialize();
+  REQUIRE(ReplicatedState::Parse(ReplicatedState().Serialize()).ok());
   for (std::size_t i = 0; i < written.size(); ++i) {
     std::string other = written;
     other[i] = static_cast<char>(other[i] ^ 0x41);
-    CHECK(Ledger::Read(other).status().code() == absl::StatusCode::kDataLoss);
-    CHECK(Ledger::Read(written.substr(0, i)).status().code() == absl::StatusCode::kDataLoss);
+    CHECK(ReplicatedState::Parse(other).status().code() == absl::StatusCode::kDataLoss);
+    CHECK(ReplicatedState::Parse(written.substr(0, i)).status().code() == absl::StatusCode::kDataLoss);
   }
   for (const char* text : {"", "{}", "[]", R"({"version":0,"resourceList":[]})",
                            R"({"version":"1","resourceList":[]})", R"({"version":1})"}) {
@@ -163,7 +163,7 @@
   }
   const auto odd = Configuration::FromText(R"({"version":1,"resourceList":[{"resourceKind":"routes"}]})");
   REQUIRE(odd.ok());
-  CHECK(Tables::Of(*odd).status().code() == absl::StatusCode::kDataLoss);
+  CHECK(RoutingTables::Build(*odd).status().code() == absl::StatusCode::kDataLoss);
 }
 
 TEST_CASE("an invalid configuration is refused with one line") {
@@ -235,9 +235,9 @@
              Item("routes", "s", RouteWith("host", "h")["specification"])}),
        "routes/s: found the host and pathPrefix of \"r\""},
   };
-  const Ledger one = Taken(Ledger(), false, Call(1, 0, {}));
+  const ReplicatedState one = Taken(ReplicatedState(), false, Call(1, 0, {}));
   for (const auto& [body, line] : cases) {
-    const Verdict verdict = one.Decide(false, body);
+    const ChangeResult verdict = one.Evaluate(false, body);
     INFO(line << "\n" << verdict.error);
     CHECK(verdict.kind == Outcome::kInvalid);
     CHECK(verdict.error.substr(0, line.size()) == line);
@@ -245,7 +245,7 @@
     CHECK(verdict.error.find("SECRET") == std::string::npos);
     CHECK(verdict.error.size() < 300);
   }
-  const Ledger two = Taken(one, false, Call(2, 1, {kService, RouteWith("host", "h")}));
+  const ReplicatedState two = Taken(one, false, Call(2, 1, {kService, RouteWith("host", "h")}));
   for (const char* body :
        {R"({"version":3,"baseVersion":2,"remove":{"services":["a"]}})",
         R"({"version":3,"baseVersion":2,"remove":{"gadgets":["a"]}})",
@@ -253,7 +253,7 @@
         R"({"version":3,"baseVersion":2,"resourceList":[]})",
         R"({"version":2,"baseVersion":2,"remove":{"routes":["r"]}})",
         R"({"version":3,"baseVersion":2,"upsert":{"resourceList":[{"resourceKind":"services"}]}})"}) {
-    CHECK(two.Decide(true, body).kind == Outcome::kInvalid);
+    CHECK(two.Evaluate(true, body).kind == Outcome::kInvalid);
   }
 }
 
@@ -280,9 +280,10 @@
   for (const auto& items : cases) {
     const std::string body = Call(1000000007, 0, items);
     INFO(body);
-    CHECK(Taken(Ledger(), false, body).newest().text() == body);
+    CHECK(Taken(ReplicatedState(), false, body).newest().text() == body);
   }
-  const Ledger odd = Taken(Ledger(), false, R"({"note":[1.50,"ü"],"version":3,"resourceList":[],"a":null})");
+  const ReplicatedState odd =
+      Taken(ReplicatedState(), false, R"({"note":[1.50,"ü"],"version":3,"resourceList":[],"a":null})");
   CHECK(odd.newest().text() == R"({"note":[1.5,"ü"],"version":3,"resourceList":[],"a":null})");
   CHECK(odd.newest().version() == 3);
 }
@@ -291,8 +292,8 @@
   ordered_json service = kService;
   service["specification"]["unknown"] = {{"deep", 1}};
   const ordered_json limits = {{"resourceKind", "limits"}, {"specification", {{"idleTimeoutMs", 7}}}};
-  const Ledger one =
-      Taken(Ledger(), false,
+  const ReplicatedState one =
+      Taken(ReplicatedState(), false,
             Call(1, 0, {service, RouteWith("host", "h"), Item("tenants", "t", {{"burst", 1}}), limits}));
   const ordered_json other = {
       {"resourceKind", "limits"}, {"metadata", {}}, {"specification", {{"idleTimeoutMs", 8}}}};
@@ -302,13 +303,14 @@
       {"baseVersion", 1},
       {"upsert", {{"resourceList", {moved, other, Item("services", "r", ordered_json::object())}}}},
       {"remove", {{"routes", {"r", "none"}}, {"tenants", {"t"}}, {"services", ordered_json::array()}}}};
-  const Ledger two = Taken(one, true, call.dump());
+  const ReplicatedState two = Taken(one, true, call.dump());
   CHECK(two.newest().text() ==
         Call(12, 1, {service, other, moved, Item("services", "r", ordered_json::object())}));
   CHECK(TablesOf(two)->limits().idle_timeout_ms == 8);
   CHECK(TablesOf(two)->limits().header_timeout_ms == 3000);
-  CHECK(two.Decide(true, call.dump()).kind == Outcome::kAlready);
-  const Ledger first = Taken(Ledger(), true, R"({"version":4,"upsert":{"resourceList":[]}})");
+  CHECK(two.Evaluate(true, call.dump()).kind == Outcome::kAlreadyApplied);
+  const ReplicatedState first =
+      Taken(ReplicatedState(), true, R"({"version":4,"upsert":{"resourceList":[]}})");
   CHECK(first.newest().text() == Call(4, 0, {}));
 }
 
@@ -349,14 +351,14 @@
       REQUIRE((route == nullptr) == (best == nullptr));
       if (best != nullptr) REQUIRE(route->name == best->first + best->second);
     }
-    CHECK(tables->FindKey("k2")->name == "t");
-    CHECK(tables->FindKey("k3")->priority == 0);
-    CHECK(tables->FindKey("k2")->priority == -1);
-    CHECK(tables->FindKey("") == nullptr);
-    CHECK(tables->FindKey("K2") == nullptr);
+    CHECK(tables->FindTenantByKey("k2")->name == "t");
+    CHECK(tables->FindTenantByKey("k3")->priority == 0);
+    CHECK(tables->FindTenantByKey("k2")->priority == -1);
+    CHECK(tables->FindTenantByKey("") == nullptr);
+    CHECK(tables->FindTenantByKey("K2") == nullptr);
   }
-  CHECK(Tables().FindRoute("x", "/") == nullptr);
-  CHECK(Tables().FindKey("k") == nullptr);
+  CHECK(RoutingTables().FindRoute("x", "/") == nullptr);
+  CHECK(RoutingTables().FindTenantByKey("k") == nullptr);
 }
 
 TEST_CASE("a change is summed up, and whether it tightens") {
@@ -394,10 +396,10 @@
                              with("ratePerS", 9), with("burst", 4)}) {
     CHECK(compare(plain, tenant).tightens);
   }
-  const auto gone = Compare(*before, Tables());
+  const auto gone = Compare(*before, RoutingTables());
   CHECK(gone.removed == std::vector<std::string>{"routes/r", "services/a", "services/b", "tenants/t"});
   CHECK(gone.tightens);
-  const auto come = Compare(Tables(), *before);
+  const auto come = Compare(RoutingTables(), *before);
   CHECK(come.added == gone.removed);
   CHECK(come.tightens);
 }
--- a/tests/mesh/control_configuration_service_test.cpp
+++ b/tests/mesh/control_configuration_service_test.cpp
@@ -13,7 +13,7 @@
 namespace fennelhollow::control {
 namespace {
 
-using configuration::Verdict;
+using configuration::ChangeResult;
 using consensus::Outcome;
 
 TEST_CASE("calls are decoded by method and path") {
@@ -50,7 +50,7 @@
   bool leads = true;
   std::uint64_t number = 1;
   std::vector<std::string> taken;  // bodies; the state in the order
-  std::deque<std::pair<std::uint64_t, Verdict>> verdicts;
+  std::deque<std::pair<std::uint64_t, ChangeResult>> verdicts;
   std::deque<Out> outs;
   std::uint64_t in_force = 1000;
   Micros now = 0;
@@ -66,16 +66,16 @@
   bool IsActiveOnSidecars(std::uint64_t n) const override { return in_force >= n; }
   bool EvaluateChange(std::uint64_t call, bool, std::shared_ptr<const std::string> body) override {
     const int base = std::stoi(*body), next = std::stoi(body->substr(body->find('>') + 1));
-    Verdict verdict;
+    ChangeResult verdict;
     if (std::find(taken.begin(), taken.end(), *body) != taken.end()) {
-      verdict.kind = Verdict::Kind::kAlready;
+      verdict.kind = ChangeResult::Kind::kAlreadyApplied;
     } else if (base != version()) {
-      verdict.kind = Verdict::Kind::kConflict;
+      verdict.kind = ChangeResult::Kind::kConflict;
     } else if (next <= version()) {
-      verdict.kind = Verdict::Kind::kInvalid;
+      verdict.kind = ChangeResult::Kind::kInvalid;
     } else {
-      verdict.kind = Verdict::Kind::kTake;
-      verdict.next = *body;
+      verdict.kind = ChangeResult::Kind::kAccepted;
+      verdict.next_state = *body;
     }
     verdicts.emplace_back(call, verdict);
     return true;
--- a/tests/mesh/egress_lookup_test.cpp
+++ b/tests/mesh/egress_lookup_test.cpp
@@ -13,12 +13,13 @@
 
 using Kind = Found::Kind;
 
-std::shared_ptr<const configuration::Tables> TablesOf(const std::string& resources) {
+std::shared_ptr<const configuration::RoutingTables> TablesOf(const std::string& resources) {
   const auto verdict =
-      configuration::Ledger().Decide(false, R"({"version":1,"resourceList":[)" + resources + "]}");
+      configuration::ReplicatedState().Evaluate(false, R"({"version":1,"resourceList":[)" + resources + "]}");
   INFO(verdict.error);
-  REQUIRE(verdict.kind == configuration::Verdict::Kind::kTake);
-  auto tables = configuration::Tables::Of(configuration::Ledger::Read(verdict.next)->newest());
+  REQUIRE(verdict.kind == configuration::ChangeResult::Kind::kAccepted);
+  auto tables = configuration::RoutingTables::Build(
+      configuration::ReplicatedState::Parse(verdict.next_state)->newest());
   REQUIRE(tables.ok());
   return *tables;
 }
--- a/tests/mesh/egress_outbound_test.cpp
+++ b/tests/mesh/egress_outbound_test.cpp
@@ -362,11 +362,11 @@
         one.replace(at, 4, name);
       text += "," + one;
     }
-    const auto verdict = configuration::Ledger().Decide(false, text + "]}");
+    const auto verdict = configuration::ReplicatedState().Evaluate(false, text + "]}");
     INFO(verdict.error);
-    REQUIRE(verdict.kind == configuration::Verdict::Kind::kTake);
-    outbound->OnConfiguration(
-        *configuration::Tables::Of(configuration::Ledger::Read(verdict.next)->newest()));
+    REQUIRE(verdict.kind == configuration::ChangeResult::Kind::kAccepted);
+    outbound->OnConfiguration(*configuration::RoutingTables::Build(
+        configuration::ReplicatedState::Parse(verdict.next_state)->newest()));
     outbound->OnEndpoints(listing, 0, 1);
   }
   RawConnectionPtr Send(const std::string& kind, int deadline_ms = 4000) {
--- a/tests/mesh/gossip_test.cpp
+++ b/tests/mesh/gossip_test.cpp
@@ -226,7 +226,7 @@
   Kept sink;
   View view({"me", AddressOf(0), 1}, sink);
   std::mt19937 random(7);
-  const std::string good = Write(FullAsk());
+  const std::string good = Serialize(FullAsk());
   CHECK(good.size() <= kMostDatagram);
   std::vector<std::string> bad = {"", std::string(kMostDatagram + 1, 'x'), good + "x", good.substr(1)};
   for (std::size_t n = 0; n < good.size(); n += 7) bad.push_back(good.substr(0, n));
@@ -241,7 +241,7 @@
   const auto with = [&](const std::function<void(Message&)>& change) {
     Message message = FullAsk();
     change(message);
-    bad.push_back(Write(message));
+    bad.push_back(Serialize(message));
   };
   with([](Message& m) { m.kind = static_cast<Kind>(3); });
   with([](Message& m) { m.name.clear(), m.name.resize(kMostName + 1); });
@@ -257,7 +257,7 @@
   CHECK(view.counters().malformed == bad.size() + 1);
   Message answer = FullAsk();
   answer.kind = Kind::kAnswer;
-  view.OnDatagram(now += 10 * kMs, AddressOf(1), Write(answer));
+  view.OnDatagram(now += 10 * kMs, AddressOf(1), Serialize(answer));
   CHECK(view.counters().unexpected == 1);
   CHECK(sink.sent.empty());
   CHECK(sink.told == 0);
@@ -270,7 +270,7 @@
 TEST_CASE("no amplification: one answer for each ask, of twice its size at most, so many a second") {
   Kept sink;
   View view({std::string(500, 'm'), AddressOf(0), 1}, sink);
-  view.OnDatagram(0, AddressOf(1), Write(FullAsk()));
+  view.OnDatagram(0, AddressOf(1), Serialize(FullAsk()));
   REQUIRE(sink.sent.size() == 1);
   Message small;
   Micros now = 0;
@@ -279,7 +279,7 @@
     now += 3 * kMs;
     Message ask = i % 3 == 0 ? FullAsk() : small;
     ask.number = static_cast<std::uint64_t>(i);
-    const std::string bytes = Write(ask);
+    const std::string bytes = Serialize(ask);
     const std::string from = AddressOf(20 + i % 100);
     sink.sent.clear();
     view.OnDatagram(now, from, bytes);
--- a/tests/mesh/registry_test.cpp
+++ b/tests/mesh/registry_test.cpp
@@ -16,7 +16,7 @@
          R"(,"coldRemainingMs":)" + std::to_string(cold) + "}}";
 }
 
-State Of(const HeartbeatTracker& beats, const std::string& id) { return beats.Find(id)->state; }
+State Build(const HeartbeatTracker& beats, const std::string& id) { return beats.Find(id)->state; }
 
 TEST_CASE("a beat is read, an older one changes nothing") {
   HeartbeatTracker beats;
@@ -31,7 +31,7 @@
   CHECK(beats.changes() > changes);
   REQUIRE(beats.OnHeartbeat(kS, "a", Beat("h:1", 3), "hop", "mine").ok());
   REQUIRE(beats.OnHeartbeat(kS, "a", Beat("h:1", 7), "hop", "mine").ok());
-  CHECK(Of(beats, "a") == State::kDraining);  // never ready again
+  CHECK(Build(beats, "a") == State::kDraining);  // never ready again
 }
 
 TEST_CASE("what can't be read is an error and changes nothing") {
@@ -59,23 +59,23 @@
   SECTION("the dead come back with a newer beat, but not ready again") {
     beats.OnUnreachable(0, "a");
     REQUIRE(beats.OnHeartbeat(kS, "a", Beat("h:1", 1), "hop", "z").ok());
-    CHECK(Of(beats, "a") == State::kGone);
+    CHECK(Build(beats, "a") == State::kGone);
     REQUIRE(beats.OnHeartbeat(kS, "a", Beat("h:1", 2), "hop", "z").ok());
-    CHECK(Of(beats, "a") == State::kDraining);
+    CHECK(Build(beats, "a") == State::kDraining);
   }
   SECTION("another life on its address ends it, late beats too") {
     REQUIRE(beats.OnHeartbeat(kS, "b", Beat("h:1", 1), "hop", "z").ok());
     REQUIRE(beats.OnHeartbeat(kS, "a", Beat("h:1", 9), "hop", "z").ok());
-    CHECK(Of(beats, "a") == State::kGone);
-    CHECK(Of(beats, "b") == State::kReady);
+    CHECK(Build(beats, "a") == State::kGone);
+    CHECK(Build(beats, "b") == State::kReady);
   }
   SECTION("three intervals of silence end it, one's own sleep does not") {
     for (Micros t = 0; t < 4 * kS; t += kS / 2) beats.OnTick(t, 1500 * kMs);
-    CHECK(Of(beats, "a") == State::kDraining);
+    CHECK(Build(beats, "a") == State::kDraining);
     beats.OnTick(60 * kS, 1500 * kMs);
-    CHECK(Of(beats, "a") == State::kDraining);
+    CHECK(Build(beats, "a") == State::kDraining);
     beats.OnTick(61 * kS, 1500 * kMs);
-    CHECK(Of(beats, "a") == State::kGone);
+    CHECK(Build(beats, "a") == State::kGone);
   }
   SECTION("bounded, the ended ones go first") {
     beats.OnDeparture(0, "a");
--- a/tests/mesh/transport_link_test.cpp
+++ b/tests/mesh/transport_link_test.cpp
@@ -42,7 +42,7 @@
 // A link and the raw end that it is connected to.
 struct Pair {
   Pair()
-      : acceptor(io, [this](Tcp::socket socket) { link = Link::Of(std::move(socket), {}); }),
+      : acceptor(io, [this](Tcp::socket socket) { link = Link::Build(std::move(socket), {}); }),
         raw(RawConnection::Connect(io, acceptor.port())) {
     REQUIRE(RunUntil(io, [&] { return link != nullptr; }));
   }
--- a/tools/mesh/configuration_files.cpp
+++ b/tools/mesh/configuration_files.cpp
@@ -14,10 +14,10 @@
 namespace fennelhollow::tools {
 namespace {
 
+using configuration::ChangeResult;
 using configuration::Configuration;
-using configuration::Ledger;
-using configuration::Tables;
-using configuration::Verdict;
+using configuration::ReplicatedState;
+using configuration::RoutingTables;
 using nlohmann::ordered_json;
 
 constexpr std::size_t kMostFile = std::size_t{8} * 1024 * 1024;
@@ -32,7 +32,7 @@
   const auto read = Configuration::FromText(std::string(text));
   if (!read.ok()) {
     // The judge knows better what is wrong.
-    const Verdict verdict = Ledger().Decide(false, text);
+    const ChangeResult verdict = ReplicatedState().Evaluate(false, text);
     return Bad(what, verdict.error.empty() ? std::string(read.status().message()) : verdict.error);
   }
   try {
@@ -44,12 +44,12 @@
   }
 }
 
-absl::StatusOr<Ledger> LedgerOf(const std::string& what, std::string_view text) {
+absl::StatusOr<ReplicatedState> LedgerOf(const std::string& what, std::string_view text) {
   const auto first = AsFirst(what, text);
   if (!first.ok()) return first.status();
-  const Verdict verdict = Ledger().Decide(false, *first);
-  if (verdict.kind != Verdict::Kind::kTake) return Bad(what, verdict.error);
-  return Ledger::Read(verdict.next);
+  const ChangeResult verdict = ReplicatedState().Evaluate(false, *first);
+  if (verdict.kind != ChangeResult::Kind::kAccepted) return Bad(what, verdict.error);
+  return ReplicatedState::Parse(verdict.next_state);
 }
 
 // The members that only a change has. A text that can't be read is no change: the judge will say why.
@@ -65,10 +65,10 @@
   return kind == "limits" ? kind : kind + "/" + item.at("metadata").at("name").get<std::string>();
 }
 
-absl::StatusOr<std::shared_ptr<const Tables>> TablesOf(const std::string& text) {
+absl::StatusOr<std::shared_ptr<const RoutingTables>> TablesOf(const std::string& text) {
   const auto configuration = Configuration::FromText(text);
   if (!configuration.ok()) return configuration.status();
-  return Tables::Of(*configuration);
+  return RoutingTables::Build(*configuration);
 }
 
 // `old` with this one item as `next` has it, or without it; what that alone does. One that can't stand alone
@@ -114,7 +114,7 @@
   if (change && !current) {
     return {Exit::kBadInput, "invalid: a change is checked on the current configuration: --on FILE\n"};
   }
-  Ledger ledger;
+  ReplicatedState ledger;
   std::string alone;
   if (current) {
     auto read = LedgerOf("the current configuration", *current);
@@ -126,15 +126,15 @@
     alone = *std::move(first);
     call = alone;
   }
-  const Verdict verdict = ledger.Decide(change, call);
+  const ChangeResult verdict = ledger.Evaluate(change, call);
   switch (verdict.kind) {
-    case Verdict::Kind::kTake:
-    case Verdict::Kind::kAlready:
+    case ChangeResult::Kind::kAccepted:
+    case ChangeResult::Kind::kAlreadyApplied:
       return {Exit::kTaken, current ? "would be taken\n" : "valid by itself\n"};
-    case Verdict::Kind::kConflict:
+    case ChangeResult::Kind::kConflict:
       return {Exit::kConflict, absl::StrCat("conflict: ", verdict.error, "\n")};
-    case Verdict::Kind::kInvalid:
-    case Verdict::Kind::kUnknown:
+    case ChangeResult::Kind::kInvalid:
+    case ChangeResult::Kind::kUnknown:
       break;
   }
   return {Exit::kBadInput, absl::StrCat("invalid: ", verdict.error, "\n")};
@@ -143,13 +143,13 @@
 Report Diff(std::string_view old, std::string_view next) {
   const auto before = LedgerOf("the old configuration", old);
   if (!before.ok()) return Refused(before.status());
-  absl::StatusOr<Ledger> after = Ledger();
+  absl::StatusOr<ReplicatedState> after = ReplicatedState();
   if (IsChange(next)) {
-    const Verdict verdict = before->Decide(true, next);
-    if (verdict.kind == Verdict::Kind::kConflict)
+    const ChangeResult verdict = before->Evaluate(true, next);
+    if (verdict.kind == ChangeResult::Kind::kConflict)
       return {Exit::kConflict, absl::StrCat("conflict: ", verdict.error, "\n")};
-    if (verdict.kind != Verdict::Kind::kTake) return Refused(Bad("the change", verdict.error));
-    after = Ledger::Read(verdict.next);
+    if (verdict.kind != ChangeResult::Kind::kAccepted) return Refused(Bad("the change", verdict.error));
+    after = ReplicatedState::Parse(verdict.next_state);
   } else {
     after = LedgerOf("the new configuration", next);
   }
