--- a/bench/mesh/control_scale.cpp
+++ b/bench/mesh/control_scale.cpp
@@ -17,7 +17,7 @@
 
 #include "measure.hpp"
 #include "mesh/push/client.hpp"
-#include "mesh/push/herald.hpp"
+#include "mesh/push/publisher.hpp"
 #include "mesh/transport/codec.hpp"
 #include "mesh/transport/link.hpp"
 #include "net/asio_loop.hpp"
@@ -27,9 +27,9 @@
 
 namespace asio = merlinrun::net::asio;
 using push::Client;
-using push::Herald;
-using push::News;
-using push::Tell;
+using push::CoreUpdate;
+using push::Publisher;
+using push::SidecarReport;
 using transport::Link;
 
 constexpr Micros kMs = 1000;
@@ -81,7 +81,7 @@
 
 // A core as node runs its herald: one thread, one link a sidecar, packed once for all that need the
 // same.
-class Core : public Herald::Sink {
+class Core : public Publisher::Sink {
  public:
   Core(Shared& shared, int index)
       : shared_(shared),
@@ -106,7 +106,7 @@
 
   void Know(const std::vector<std::string>& cores) {
     herald_.SetCores(cores, cores.front(), index_ == 0);
-    if (index_ == 0) herald_.SetDuty(loop_.Now(), true);
+    if (index_ == 0) herald_.SetIsLeader(loop_.Now(), true);
   }
   void Put(std::uint64_t entry) {
     acked_.clear();
@@ -114,21 +114,21 @@
     put_at_ = Now();
     in_force_ms = 0;
     pending_ = entry;
-    herald_.SetLedger(loop_.Now(), entry, std::string(kLedgerBytes, 'c'));
+    herald_.SetState(loop_.Now(), entry, std::string(kLedgerBytes, 'c'));
   }
 
-  void Send(Herald::LinkId link, const News& news) override { SendAll({link}, news); }
-  void SendAll(const std::vector<Herald::LinkId>& links, const News& news) override {
+  void Send(Publisher::LinkId link, const CoreUpdate& news) override { SendAll({link}, news); }
+  void SendAll(const std::vector<Publisher::LinkId>& links, const CoreUpdate& news) override {
     const std::string frame = transport::Pack(news);
     for (const auto id : links)
       if (const auto it = links_.find(id); it != links_.end()) it->second->Send(frame);
     counts_.frames_out += links.size();
     counts_.bytes_out += links.size() * (frame.size() + 4);
-    if (news.changes.empty()) return;
+    if (news.deltas.empty()) return;
     shared_.changes_frames += links.size();
     shared_.changes_bytes += links.size() * (frame.size() + 4);
   }
-  void Close(Herald::LinkId link) override {
+  void Close(Publisher::LinkId link) override {
     const auto it = links_.find(link);
     if (it == links_.end()) return;
     const auto gone = it->second;
@@ -139,7 +139,7 @@
   asio::io_context io;
   std::vector<double> ack_ms;  // of each sidecar, from SetLedger
   double in_force_ms = 0;      // of the last one; 0: not yet
-  const Herald& herald() const { return herald_; }
+  const Publisher& herald() const { return herald_; }
   bool Until(const std::function<bool()>& done, Micros most) {
     const Micros end = Now() + most;
     while (!done() && Now() < end) io.run_for(std::chrono::milliseconds(2));
@@ -149,8 +149,8 @@
   Micros LoopNow() const { return loop_.Now(); }
 
  private:
-  static Herald::Settings HeraldSettings(int index) {
-    Herald::Settings out;
+  static Publisher::Settings HeraldSettings(int index) {
+    Publisher::Settings out;
     out.address = "core-" + std::to_string(index);
     out.epoch = 77 + static_cast<std::uint64_t>(index);
     return out;
@@ -168,17 +168,17 @@
     };
     link->Start(std::move(events));
   }
-  void OnFrame(Herald::LinkId id, std::string_view frame) {
+  void OnFrame(Publisher::LinkId id, std::string_view frame) {
     ++counts_.frames_in;
     counts_.bytes_in += frame.size() + 4;
-    const auto tell = transport::Unpack<Tell>(frame);
+    const auto tell = transport::Unpack<SidecarReport>(frame);
     CHECK(tell.ok());
-    herald_.OnTell(loop_.Now(), id, *tell);
+    herald_.OnReport(loop_.Now(), id, *tell);
     if (pending_ == 0) return;
-    if (tell->entry >= pending_ && acked_.insert(tell->me.name).second)
+    if (tell->applied_entry >= pending_ && acked_.insert(tell->sidecar.name).second)
       ack_ms.push_back(static_cast<double>(Now() - put_at_) / 1000);
     // As the core asks it with each Tell while an operator waits.
-    if (herald_.Acknowledged(loop_.Now(), pending_) < herald_.Heard(loop_.Now())) return;
+    if (herald_.ActiveSidecarsWith(loop_.Now(), pending_) < herald_.ActiveSidecars(loop_.Now())) return;
     in_force_ms = static_cast<double>(Now() - put_at_) / 1000;
     pending_ = 0;
   }
@@ -191,11 +191,11 @@
   Counts& counts_;
   merlinrun::net::AsioLoop loop_;
   const int index_;
-  Herald herald_;
+  Publisher herald_;
   std::unique_ptr<merlinrun::core::Timer> tick_;
   std::unique_ptr<transport::Listener> listener_;
-  Herald::LinkId last_ = 0;
-  std::map<Herald::LinkId, std::shared_ptr<Link>> links_;
+  Publisher::LinkId last_ = 0;
+  std::map<Publisher::LinkId, std::shared_ptr<Link>> links_;
   std::uint64_t pending_ = 0;
   Micros put_at_ = 0;
   std::set<std::string> acked_;
@@ -214,14 +214,14 @@
     slots_ = slots_ == 8 ? 9 : 8;
     Tick();
   }
-  void Send(const std::string& address, const Tell& tell) override {
+  void Send(const std::string& address, const SidecarReport& tell) override {
     if (const auto it = links_.find(address); it != links_.end()) it->second->Send(transport::Pack(tell));
   }
-  void OnLedger(std::uint64_t, const std::string&) override {
+  void OnState(std::uint64_t, const std::string&) override {
     ledger_ = true;
     CountWhole();
   }
-  void OnListing(const registry::Snapshot& listing, std::size_t, std::size_t) override;
+  void OnSnapshot(const registry::Snapshot& listing, std::size_t, std::size_t) override;
   void OnShares(const std::vector<quota::Share>& shares, Micros) override { held_ = shares; }
   void OnCores(const std::vector<std::string>&) override {}
 
@@ -286,8 +286,8 @@
     : all_(all), index_(index), timer_(all.loop.NewTimer()) {
   Client::Settings settings;
   const registry::Server server = ServerOf(index, slots_);
-  settings.me = {"machine-" + std::to_string(1000 + index), life, server.sidecar_address, server.zone,
-                 server.service};
+  settings.sidecar = {"machine-" + std::to_string(1000 + index), life, server.sidecar_address, server.zone,
+                      server.service};
   settings.seeds = all.cores;
   settings.seed = life;
   settings.demand = [this](Micros) {
@@ -298,7 +298,7 @@
                      20, 90});
     return out;
   };
-  settings.held = [this](Micros) { return held_; };
+  settings.held_shares = [this](Micros) { return held_; };
   client_ = std::make_unique<Client>(settings, *this);
   // Staggered over a tick, as their clocks are; the first Tick dials at once.
   timer_->Start(static_cast<Micros>(index % 50) * kMs, [this] { Tick(); });
@@ -306,9 +306,9 @@
 
 void Hollow::Tick() {
   const Micros now = all_.loop.Now();
-  client_->SetLives(now, {ServerOf(index_, slots_)});
+  client_->SetServers(now, {ServerOf(index_, slots_)});
   client_->OnTick(now);
-  const auto wanted = client_->Wanted(now);
+  const auto wanted = client_->DesiredLinks(now);
   for (const auto& address : wanted)
     if (links_.count(address) == 0) Dial(address);
   timer_->Start(kSidecarTick, [this] { Tick(); });
@@ -321,9 +321,9 @@
   links_[address] = link;
   Link::Events events;
   events.on_frame = [this, address](std::string_view frame) {
-    const auto news = transport::Unpack<News>(frame);
+    const auto news = transport::Unpack<CoreUpdate>(frame);
     CHECK(news.ok());
-    client_->OnNews(all_.loop.Now(), address, *news);
+    client_->OnUpdate(all_.loop.Now(), address, *news);
   };
   events.on_closed = [this, address, raw = link.get()] {
     up_.erase(raw);
@@ -344,7 +344,7 @@
   if (listing_ && ledger_ && !std::exchange(counted_, true)) ++all_.shared.listed;
 }
 
-void Hollow::OnListing(const registry::Snapshot& listing, std::size_t, std::size_t) {
+void Hollow::OnSnapshot(const registry::Snapshot& listing, std::size_t, std::size_t) {
   listing_ |= listing.servers.size() >= all_.count();
   CountWhole();
   const std::uint64_t at = all_.shared.times++;
--- a/rig/sim/core_process.cpp
+++ b/rig/sim/core_process.cpp
@@ -130,7 +130,7 @@
   peer.up = false;
 }
 
-void CoreProcess::SendToSidecars(const std::vector<SidecarLink>& links, const push::News& news) {
+void CoreProcess::SendToSidecars(const std::vector<SidecarLink>& links, const push::CoreUpdate& news) {
   const std::string frame = transport::Pack(news);
   for (const SidecarLink link : links) network_.Send(link, settings_.self, frame);
 }
@@ -165,8 +165,8 @@
   const auto it = incoming_.find(link);
   if (it == incoming_.end()) return;
   const Address from = it->second;
-  if (auto tell = from.starts_with("side") ? transport::Unpack<push::Tell>(frame)
-                                           : absl::StatusOr<push::Tell>(absl::NotFoundError(""));
+  if (auto tell = from.starts_with("side") ? transport::Unpack<push::SidecarReport>(frame)
+                                           : absl::StatusOr<push::SidecarReport>(absl::NotFoundError(""));
       tell.ok()) {
     replica_.OnSidecarMessage(link, *tell);
   } else {
--- a/rig/sim/core_process.hpp
+++ b/rig/sim/core_process.hpp
@@ -58,7 +58,7 @@
   // control::ControlReplicaHost
   Micros Now() const override { return events_.now(); }
   bool SendToPeer(const consensus::ReplicaId& to, std::string_view frame) override;
-  void SendToSidecars(const std::vector<SidecarLink>& links, const push::News& news) override;
+  void SendToSidecars(const std::vector<SidecarLink>& links, const push::CoreUpdate& news) override;
   void CloseSidecar(SidecarLink link) override;
   void Write(const consensus::PersistentState& durable, std::uint64_t token) override;
   bool RunInBackground(std::function<void()> work, std::function<void()> done) override;
--- a/rig/sim/sidecar_process.cpp
+++ b/rig/sim/sidecar_process.cpp
@@ -15,7 +15,7 @@
 push::Client::Settings ClientSettings(const Address& self, std::uint64_t incarnation,
                                       std::vector<Address> seeds) {
   push::Client::Settings out;
-  out.me = {self, incarnation, self, "zone", "service"};
+  out.sidecar = {self, incarnation, self, "zone", "service"};
   out.seeds = std::move(seeds);
   out.seed = incarnation * 17 + 3;
   return out;
@@ -39,13 +39,13 @@
   server.address = self_;
   server.sidecar_address = self_;
   server.slots = 4;
-  client_.SetLives(events_.now(), {server});
+  client_.SetServers(events_.now(), {server});
   Tick();
 }
 
 std::string SidecarProcess::Text() const {
-  std::string text = "subscribed to " + client_.subscribed() + ", hears";
-  for (const std::string& core : client_.Speaking(events_.now())) text += " " + core;
+  std::string text = "subscribed to " + client_.subscribed_core() + ", hears";
+  for (const std::string& core : client_.ResponsiveCores(events_.now())) text += " " + core;
   text += ", knows";
   for (const std::string& core : client_.cores()) text += " " + core;
   return text;
@@ -58,7 +58,7 @@
 }
 
 void SidecarProcess::Relink() {
-  const std::vector<std::string> wanted = client_.Wanted(events_.now());
+  const std::vector<std::string> wanted = client_.DesiredLinks(events_.now());
   for (auto it = links_.begin(); it != links_.end();) {
     if (std::find(wanted.begin(), wanted.end(), it->first) != wanted.end()) {
       ++it;
@@ -84,8 +84,8 @@
 
 void SidecarProcess::OnFrame(Network::LinkId link, const std::string& frame) {
   const Address* core = CoreOf(link);
-  const auto news = transport::Unpack<push::News>(frame);
-  if (core != nullptr && news.ok()) client_.OnNews(events_.now(), Address(*core), *news);
+  const auto news = transport::Unpack<push::CoreUpdate>(frame);
+  if (core != nullptr && news.ok()) client_.OnUpdate(events_.now(), Address(*core), *news);
 }
 
 void SidecarProcess::OnDown(Network::LinkId link, bool) {
@@ -96,7 +96,7 @@
   client_.OnLinkDown(events_.now(), address);
 }
 
-void SidecarProcess::Send(const std::string& address, const push::Tell& tell) {
+void SidecarProcess::Send(const std::string& address, const push::SidecarReport& tell) {
   if (const auto it = links_.find(address); it != links_.end())
     network_.Send(it->second, self_, transport::Pack(tell));
 }
--- a/rig/sim/sidecar_process.hpp
+++ b/rig/sim/sidecar_process.hpp
@@ -32,9 +32,9 @@
 
  private:
   // push::Client::Sink
-  void Send(const std::string& address, const push::Tell& tell) override;
-  void OnLedger(std::uint64_t entry, const std::string& ledger) override { on_state_(entry, ledger); }
-  void OnListing(const registry::Snapshot&, std::size_t, std::size_t) override {}
+  void Send(const std::string& address, const push::SidecarReport& tell) override;
+  void OnState(std::uint64_t entry, const std::string& ledger) override { on_state_(entry, ledger); }
+  void OnSnapshot(const registry::Snapshot&, std::size_t, std::size_t) override {}
   void OnShares(const std::vector<quota::Share>&, Micros) override {}
   void OnCores(const std::vector<std::string>&) override {}
 
--- a/src/mesh/control/control_replica.cpp
+++ b/src/mesh/control/control_replica.cpp
@@ -40,8 +40,8 @@
   return static_cast<char>(kind) + transport::Pack(value);
 }
 
-push::Herald::Settings HeraldSettings(const ControlReplica::Settings& settings) {
-  push::Herald::Settings out;
+push::Publisher::Settings HeraldSettings(const ControlReplica::Settings& settings) {
+  push::Publisher::Settings out;
   out.address = settings.self;
   out.epoch = std::max<std::uint64_t>(settings.incarnation, 1);
   out.quota = settings.quota;
@@ -96,7 +96,7 @@
 }
 
 void ControlReplica::OnLeaderChange(const ReplicaId& leader, std::uint64_t term) {
-  events_.Add(host_.Now(), push::HolderEvent{leader, term});
+  events_.Add(host_.Now(), push::LeaderEvent{leader, term});
   if (!leader.empty())
     deferred_.emplace_back([this, leader] { forwarder_.OnLeaderChange(host_.Now(), leader); });
 }
@@ -128,7 +128,7 @@
 void ControlReplica::TellLeadership() {
   if (IsLeader() == told_leads_) return;
   told_leads_ = !told_leads_;
-  herald_.SetDuty(host_.Now(), told_leads_);
+  herald_.SetIsLeader(host_.Now(), told_leads_);
   service_.OnLeadership(host_.Now());
 }
 
@@ -143,7 +143,7 @@
   entry_.term = entry.term;
   entry_.index = entry.index;
   entry_.voters = entry.voters;
-  if (!state_.empty()) herald_.SetLedger(host_.Now(), entry.index, pushed_);
+  if (!state_.empty()) herald_.SetState(host_.Now(), entry.index, pushed_);
 }
 
 void ControlReplica::TakeState(const Entry& entry) {
@@ -205,8 +205,8 @@
 
 void ControlReplica::OnPeerDown(const ReplicaId& peer) { forwarder_.OnPeerDown(host_.Now(), peer); }
 
-void ControlReplica::OnSidecarMessage(SidecarLink link, const push::Tell& tell) {
-  herald_.OnTell(host_.Now(), link, tell);
+void ControlReplica::OnSidecarMessage(SidecarLink link, const push::SidecarReport& tell) {
+  herald_.OnReport(host_.Now(), link, tell);
   service_.OnAcks(host_.Now());
 }
 
@@ -218,7 +218,7 @@
   if (replica_ && replica_->is_connected()) contact_at_ = now;
   service_.OnTick(now);
   herald_.OnTick(now);
-  watch_.Look(now, herald_.snapshot(), events_);
+  watch_.OnSnapshot(now, herald_.snapshot(), events_);
   if (replica_) herald_.SetCores(replica_->known_replicas(), replica_->leader(), replica_->is_connected());
   forwarder_.OnTick(now);
 }
@@ -305,7 +305,7 @@
 
 bool ControlReplica::IsActiveOnSidecars(std::uint64_t number) const {
   const Micros now = host_.Now();
-  return herald_.Acknowledged(now, number) >= herald_.Heard(now);
+  return herald_.ActiveSidecarsWith(now, number) >= herald_.ActiveSidecars(now);
 }
 
 }  // namespace fennelhollow::control
--- a/src/mesh/control/control_replica.hpp
+++ b/src/mesh/control/control_replica.hpp
@@ -20,20 +20,20 @@
 #include "mesh/control/call_forwarder.hpp"
 #include "mesh/control/configuration_service.hpp"
 #include "mesh/push/events.hpp"
-#include "mesh/push/herald.hpp"
+#include "mesh/push/publisher.hpp"
 
 namespace fennelhollow::control {
 
 // What the control replica needs of its process. None of these may call back into it before it returns.
 class ControlReplicaHost {
  public:
-  using SidecarLink = push::Herald::LinkId;
+  using SidecarLink = push::Publisher::LinkId;
 
   virtual ~ControlReplicaHost() = default;
   virtual Micros Now() const = 0;
   // To another core's OnPeerFrame; false: there is no way now. May be lost all the same.
   virtual bool SendToPeer(const ReplicaId& to, std::string_view frame) = 0;
-  virtual void SendToSidecars(const std::vector<SidecarLink>& links, const push::News& news) = 0;
+  virtual void SendToSidecars(const std::vector<SidecarLink>& links, const push::CoreUpdate& news) = 0;
   virtual void CloseSidecar(SidecarLink link) = 0;
   // Writes and syncs, then OnWritten(token, ok). One is out at a time.
   virtual void Write(const consensus::PersistentState& durable, std::uint64_t token) = 0;
@@ -46,11 +46,11 @@
 };
 
 class ControlReplica : private consensus::Sink,
-                       private push::Herald::Sink,
+                       private push::Publisher::Sink,
                        private ConfigurationServiceHost,
                        private CallForwarderHost {
  public:
-  using SidecarLink = push::Herald::LinkId;
+  using SidecarLink = push::Publisher::LinkId;
 
   struct Settings {
     ReplicaId self;
@@ -70,7 +70,7 @@
   void OnPeerFrame(const ReplicaId& from, std::string_view frame);
   void OnPeerDown(const ReplicaId& peer);
   void OnWritten(std::uint64_t token, bool ok);
-  void OnSidecarMessage(SidecarLink link, const push::Tell& tell);
+  void OnSidecarMessage(SidecarLink link, const push::SidecarReport& tell);
   void OnSidecarDown(SidecarLink link);
   void OnTick();
   // An operator's call; `reply` is called once, within a second.
@@ -92,8 +92,8 @@
   const consensus::Replica* replica() const { return replica_.get(); }  // null before Start
   const consensus::Entry& committed_entry() const { return entry_; }    // committed last; without its state
   const configuration::ReplicatedState& ledger() const { return *ledger_; }
-  const push::Herald& herald() const { return herald_; }
-  push::Events& events() { return events_; }
+  const push::Publisher& herald() const { return herald_; }
+  push::EventLog& events() { return events_; }
   const ConfigurationService::Counters& service_counters() const { return service_.counters(); }
   const CallForwarder::Counters& forwarder_counters() const { return forwarder_.counters(); }
   std::uint64_t malformed_frames() const { return malformed_frames_; }
@@ -110,8 +110,8 @@
   void OnLeaderChange(const ReplicaId& leader, std::uint64_t term) override;
 
   // push::Herald::Sink
-  void Send(SidecarLink link, const push::News& news) override { host_.SendToSidecars({link}, news); }
-  void SendAll(const std::vector<SidecarLink>& links, const push::News& news) override {
+  void Send(SidecarLink link, const push::CoreUpdate& news) override { host_.SendToSidecars({link}, news); }
+  void SendAll(const std::vector<SidecarLink>& links, const push::CoreUpdate& news) override {
     host_.SendToSidecars(links, news);
   }
   void Close(SidecarLink link) override { host_.CloseSidecar(link); }
@@ -147,11 +147,11 @@
   std::unique_ptr<consensus::Replica> replica_;
   std::deque<std::function<void()>> deferred_;  // of the replica; drained after each call into it
   bool draining_ = false;
-  push::Herald herald_;
+  push::Publisher herald_;
   ConfigurationService service_;
   CallForwarder forwarder_;
-  push::Events events_;
-  push::ListingWatch watch_;
+  push::EventLog events_;
+  push::SnapshotWatcher watch_;
   consensus::Entry entry_;
   std::string state_;   // of the entry
   std::string pushed_;  // of it, what sidecars need
--- a/src/mesh/node/core.cpp
+++ b/src/mesh/node/core.cpp
@@ -21,7 +21,7 @@
 #include "mesh/node/event_waiters.hpp"
 #include "mesh/node/peer_links.hpp"
 #include "mesh/node/worker.hpp"
-#include "mesh/push/words.hpp"
+#include "mesh/push/messages.hpp"
 #include "mesh/storage/store.hpp"
 #include "mesh/transport/codec.hpp"
 #include "mesh/transport/link.hpp"
@@ -162,7 +162,7 @@
   // control::ControlReplicaHost
   Micros Now() const override { return loop_.Now(); }
   bool SendToPeer(const ReplicaId& to, std::string_view frame) override { return peers_.Send(to, frame); }
-  void SendToSidecars(const std::vector<SidecarLink>& links, const push::News& news) override;
+  void SendToSidecars(const std::vector<SidecarLink>& links, const push::CoreUpdate& news) override;
   void CloseSidecar(SidecarLink link) override;
   void Write(const consensus::PersistentState& durable, std::uint64_t token) override;
   bool RunInBackground(std::function<void()> work, std::function<void()> done) override {
@@ -334,9 +334,9 @@
   const consensus::Replica* replica = replica_.replica();
   metrics_.leads.Set(replica_.IsLeader() ? 1 : 0);
   metrics_.term.Set(replica ? static_cast<double>(replica->term()) : 0);
-  metrics_.entry.Set(static_cast<double>(replica_.committed_entry().index));
+  metrics_.committed_entry.Set(static_cast<double>(replica_.committed_entry().index));
   metrics_.version.Set(static_cast<double>(replica_.ledger().newest().version()));
-  metrics_.sidecars.Set(static_cast<double>(replica_.herald().Heard(loop_.Now())));
+  metrics_.sidecars.Set(static_cast<double>(replica_.herald().ActiveSidecars(loop_.Now())));
 }
 
 // ---- links from other cores and from sidecars
@@ -353,7 +353,7 @@
                [this, count] { CloseIncoming(count); }, nullptr});
 }
 
-void Core::Impl::SendToSidecars(const std::vector<SidecarLink>& links, const push::News& news) {
+void Core::Impl::SendToSidecars(const std::vector<SidecarLink>& links, const push::CoreUpdate& news) {
   const std::string frame = transport::Pack(news);
   for (const SidecarLink link : links) {
     const auto it = incoming_.find(link);
@@ -396,7 +396,7 @@
     const ReplicaId peer = it->second.hello->address;
     return replica_.OnPeerFrame(peer, frame);
   }
-  auto tell = transport::Unpack<push::Tell>(frame);
+  auto tell = transport::Unpack<push::SidecarReport>(frame);
   if (!tell.ok()) {
     ++counters_.malformed_frames;
     return CloseIncoming(from);
@@ -496,7 +496,7 @@
   out["entry"] = replica_.committed_entry().index;
   out["version"] = replica_.ledger().newest().version();
   out["voters"] = replica_.committed_entry().voters;
-  out["sidecarsHeard"] = replica_.herald().Heard(loop_.Now());
+  out["sidecarsHeard"] = replica_.herald().ActiveSidecars(loop_.Now());
   out["diskBad"] = disk_bad_;
   out["stopping"] = stopping_;
   out["links"] = {{"incoming", incoming_.size()}, {"peers", peers_.size()}};
--- a/src/mesh/node/event_waiters.hpp
+++ b/src/mesh/node/event_waiters.hpp
@@ -18,7 +18,7 @@
   using Reply = std::function<void(control::Response)>;
 
   // `events` must outlive it.
-  explicit EventWaiters(const push::Events& events) : events_(events) {}
+  explicit EventWaiters(const push::EventLog& events) : events_(events) {}
 
   // Answered at once if there is an event, the call doesn't wait, or too many wait.
   void OnCall(Micros now, const control::ReadEvents& call, Reply reply);
@@ -32,7 +32,7 @@
     Micros until = 0;
     Reply reply;
   };
-  const push::Events& events_;
+  const push::EventLog& events_;
   std::list<Waiter> waiters_;
   bool stopped_ = false;
 };
--- a/src/mesh/node/sidecar.cpp
+++ b/src/mesh/node/sidecar.cpp
@@ -140,7 +140,7 @@
         gossip::Datagrams::Open(io_, settings_.ip, static_cast<std::uint16_t>(settings_.first_port + 1),
                                 [this](const std::string& from, std::string_view bytes) {
                                   const Micros now = loop_.Now();
-                                  view_.SetKnown(now, client_.entry(), client_.Speaking(now));
+                                  view_.SetKnown(now, client_.entry(), client_.ResponsiveCores(now));
                                   view_.OnDatagram(now, from, bytes);
                                 });
     if (datagrams.ok())
@@ -176,8 +176,8 @@
                           {"ready", Ready()},
                           {"version", outbound_.version()},
                           {"entry", client_.entry()},
-                          {"core", client_.subscribed()},
-                          {"holder", client_.holder()},
+                          {"core", client_.subscribed_core()},
+                          {"holder", client_.leader()},
                           {"servers", client_.snapshot().servers.size()},
                           {"sidecars", client_.snapshot().sidecars.size()},
                           {"underWay", outbound_.in_flight()},
@@ -230,11 +230,11 @@
  private:
   push::Client::Settings ClientSettings() {
     push::Client::Settings out;
-    out.me = {settings_.node_name, life_, self_, settings_.zone, settings_.service};
+    out.sidecar = {settings_.node_name, life_, self_, settings_.zone, settings_.service};
     out.seeds = settings_.SeedInternals();
     out.seed = life_ ^ 0x5eed;
     out.demand = [this](Micros now) { return gauge_.TakeDemand(now); };
-    out.held = [this](Micros now) { return gauge_.HeldShares(now); };
+    out.held_shares = [this](Micros now) { return gauge_.HeldShares(now); };
     return out;
   }
 
@@ -266,9 +266,9 @@
       if (mine.datagrams_) mine.datagrams_->Send(address, bytes);
     }
     void OnCores(const std::vector<std::string>& cores) override {
-      for (const std::string& core : cores) mine.client_.Hint(core);
+      for (const std::string& core : cores) mine.client_.AddCoreHint(core);
     }
-    void OnNewer(std::uint64_t) override { mine.client_.Nudge(mine.loop_.Now()); }
+    void OnNewer(std::uint64_t) override { mine.client_.RequestNewerState(mine.loop_.Now()); }
     Impl& mine;
   };
 
@@ -293,7 +293,7 @@
     if (const auto* unknown = std::get_if<Unknown>(&command))
       return reply(ErrorResponse(unknown->method_not_allowed ? 405 : 404, "no such call"));
     // What it can't settle it passes on: a core takes it.
-    const auto core = client_.holder().empty() ? client_.subscribed() : client_.holder();
+    const auto core = client_.leader().empty() ? client_.subscribed_core() : client_.leader();
     const auto port = settings_.listen.find("controlPlane");
     if (core.empty() || port == settings_.listen.end()) return reply(UnavailableResponse("no core is known"));
     const std::string_view path = std::holds_alternative<Read>(command)     ? control::kReadPath
@@ -308,7 +308,7 @@
       for (const registry::Server& server : beats_.Instances(now))
         if (server.state != registry::State::kReady) last_hop_.OnServerNotReady(server.id);
     }
-    client_.SetLives(now, beats_.Instances(now));
+    client_.SetServers(now, beats_.Instances(now));
   }
 
   void CheckLeastShare(const ingress::FlowInterval& span) {
@@ -364,7 +364,7 @@
           sidecars.push_back({sidecar.name, GossipAddress(sidecar.internal_address)});
         view_.SetIntroductions(sidecars);
       }
-      view_.SetKnown(now, client_.entry(), client_.Speaking(now));
+      view_.SetKnown(now, client_.entry(), client_.ResponsiveCores(now));
       view_.OnTick(now);
     }
     if (now - hops_ticked_ > 1000 * kMs) {
@@ -401,7 +401,7 @@
   }
 
   void Relink(Micros now) {
-    const std::vector<std::string> wanted = client_.Wanted(now);
+    const std::vector<std::string> wanted = client_.DesiredLinks(now);
     for (auto it = links_.begin(); it != links_.end();) {
       if (std::find(wanted.begin(), wanted.end(), it->first) != wanted.end()) {
         ++it;
@@ -422,12 +422,12 @@
     links_[address] = link;
     transport::Link::Events events;
     events.on_frame = [this, address](std::string_view frame) {
-      const auto news = transport::Unpack<push::News>(frame);
+      const auto news = transport::Unpack<push::CoreUpdate>(frame);
       if (!news.ok()) {
         ++bad_news_;
         return;
       }
-      client_.OnNews(loop_.Now(), address, *news);
+      client_.OnUpdate(loop_.Now(), address, *news);
     };
     events.on_closed = [this, address, weak = std::weak_ptr<transport::Link>(link)] {
       const auto it = links_.find(address);
@@ -452,12 +452,12 @@
                                                 .incarnation = life_}));
   }
 
-  void Send(const std::string& address, const push::Tell& tell) override {
+  void Send(const std::string& address, const push::SidecarReport& tell) override {
     const auto it = links_.find(address);
     if (it != links_.end()) it->second->Send(transport::Pack(tell));
   }
 
-  void OnLedger(std::uint64_t entry, const std::string& bytes) override {
+  void OnState(std::uint64_t entry, const std::string& bytes) override {
     const auto ledger = configuration::ReplicatedState::Parse(bytes);
     if (!ledger.ok()) {
       LOG(ERROR) << "entry " << entry << " can't be read: " << ledger.status().message();
@@ -491,7 +491,7 @@
     outbound_.OnConfiguration(*tables);
   }
 
-  void OnListing(const registry::Snapshot& listing, std::size_t, std::size_t count) override {
+  void OnSnapshot(const registry::Snapshot& listing, std::size_t, std::size_t count) override {
     gauge_.SetSidecarCount(loop_.Now(), count);
     // Not the place by name: those of a service are not to stand side by side.
     outbound_.OnEndpoints(listing, egress::InterleavedRank(listing.sidecars, settings_.node_name), count);
--- a/src/mesh/push/events.cpp
+++ b/src/mesh/push/events.cpp
@@ -29,7 +29,7 @@
   out["version"] = event.version;
   out["entry"] = event.entry;
 }
-void Fill(ordered_json& out, const HolderEvent& event) {
+void Fill(ordered_json& out, const LeaderEvent& event) {
   out["kind"] = "holder";
   out["address"] = event.address;
   out["epoch"] = event.epoch;
@@ -54,23 +54,23 @@
 
 }  // namespace
 
-Events::Events(std::uint64_t epoch, Micros started)
+EventLog::EventLog(std::uint64_t epoch, Micros started)
     : epoch_(std::max<std::uint64_t>(epoch & kEpochBits, 1)), started_(started) {}
 
-void Events::Add(Micros now, EventDetail detail) {
-  held_.push_back({now, std::move(detail)});
-  if (held_.size() <= kMostHeld) return;
-  held_.pop_front();
+void EventLog::Add(Micros now, EventDetail detail) {
+  events_.push_back({now, std::move(detail)});
+  if (events_.size() <= kMaxRetained) return;
+  events_.pop_front();
   ++first_;
 }
 
-std::uint64_t Events::From(std::uint64_t epoch, std::uint64_t since) const {
+std::uint64_t EventLog::From(std::uint64_t epoch, std::uint64_t since) const {
   const bool ours = (epoch == 0 || epoch == epoch_) && since <= next();
   return ours ? std::max<std::uint64_t>(since, 1) : 1;
 }
 
-std::string Events::Text(std::uint64_t number) const {
-  const Event& event = held_[static_cast<std::size_t>(number - first_)];
+std::string EventLog::Text(std::uint64_t number) const {
+  const Event& event = events_[static_cast<std::size_t>(number - first_)];
   ordered_json out;
   out["number"] = number;
   out["atMs"] = (event.at - started_) / 1000;
@@ -79,10 +79,10 @@
   return out.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
-std::string Events::Read(std::uint64_t epoch, std::uint64_t since) const {
+std::string EventLog::Read(std::uint64_t epoch, std::uint64_t since) const {
   const std::uint64_t asked = From(epoch, since);
   const std::uint64_t from = std::max(asked, first_);
-  const std::uint64_t to = std::min(next(), from + kMostRead);
+  const std::uint64_t to = std::min(next(), from + kMaxPerRead);
   std::string out = "{\"epoch\":" + std::to_string(epoch_) + ",\"next\":" + std::to_string(to) +
                     ",\"lost\":" + std::to_string(from - asked) + ",\"events\":[";
   for (std::uint64_t number = from; number < to; ++number) {
@@ -92,9 +92,9 @@
   return out + "]}";
 }
 
-void ListingWatch::Look(Micros now, const registry::Snapshot& listing, Events& events) {
-  if (listing.revision == number_) return;
-  number_ = listing.revision;
+void SnapshotWatcher::OnSnapshot(Micros now, const registry::Snapshot& listing, EventLog& events) {
+  if (listing.revision == revision_) return;
+  revision_ = listing.revision;
 
   std::map<std::string, std::uint64_t> sidecars;
   for (const registry::Sidecar& sidecar : listing.sidecars) {
@@ -104,9 +104,9 @@
     sidecars.emplace(sidecar.name, sidecar.incarnation);
   }
 
-  std::map<std::string, Seen> servers;
+  std::map<std::string, SeenServer> servers;
   for (const registry::Server& server : listing.servers) {
-    Seen seen{server.service, server.sidecar_address, server.state, {}};
+    SeenServer seen{server.service, server.sidecar_address, server.state, {}};
     const auto before = servers_.find(server.id);
     const bool known = before != servers_.end();
     const bool same = known && before->second.service == seen.service && before->second.hop == seen.hop &&
--- a/src/mesh/push/events.hpp
+++ b/src/mesh/push/events.hpp
@@ -21,7 +21,7 @@
   std::int64_t version = 0;
   std::uint64_t entry = 0;
 };
-struct HolderEvent {
+struct LeaderEvent {
   std::string address;  // internal; empty: nobody that this core knows of
   std::uint64_t epoch = 0;
 };
@@ -38,22 +38,22 @@
   std::string name;
   bool joined = true;  // else left
 };
-using EventDetail = std::variant<ConfigurationEvent, HolderEvent, VotersEvent, ServerEvent, SidecarEvent>;
+using EventDetail = std::variant<ConfigurationEvent, LeaderEvent, VotersEvent, ServerEvent, SidecarEvent>;
 
 // A ring: the newest events by number, which begin at 1. Nothing is written as text before it is read.
-class Events {
+class EventLog {
  public:
-  static constexpr std::size_t kMostHeld = 1024;
-  static constexpr std::size_t kMostRead = 256;  // in one reading; the rest is in the next
+  static constexpr std::size_t kMaxRetained = 1024;
+  static constexpr std::size_t kMaxPerRead = 256;  // in one reading; the rest is in the next
 
   // `epoch`: drawn at random at each start of the process, as numbers of another process do not compare. 53
   // bits of it are used, so that readers which keep numbers as doubles have it exact; never 0.
-  Events(std::uint64_t epoch, Micros started);
+  EventLog(std::uint64_t epoch, Micros started);
 
   void Add(Micros now, EventDetail detail);
 
   std::uint64_t epoch() const { return epoch_; }
-  std::uint64_t next() const { return first_ + held_.size(); }  // number of the event to come
+  std::uint64_t next() const { return first_ + events_.size(); }  // number of the event to come
   // There is an event for one that reads from `since` on.
   bool HasNewer(std::uint64_t epoch, std::uint64_t since) const { return From(epoch, since) < next(); }
   // {"epoch":..,"next":..,"lost":..,"events":[..]}, one event a line: those from number `since` on, oldest
@@ -72,24 +72,24 @@
   std::uint64_t epoch_;
   Micros started_;
   std::uint64_t first_ = 1;  // number of held_.front()
-  std::deque<Event> held_;
+  std::deque<Event> events_;
 };
 
 // Tells what is different in a core's listing from one look to the next. What comes and goes between two
 // looks is not told.
-class ListingWatch {
+class SnapshotWatcher {
  public:
   // Costs a comparison of numbers if nothing has changed.
-  void Look(Micros now, const registry::Snapshot& listing, Events& events);
+  void OnSnapshot(Micros now, const registry::Snapshot& listing, EventLog& events);
 
  private:
-  struct Seen {
+  struct SeenServer {
     std::string service, hop;
     registry::State state = registry::State::kReady;
     std::string sidecar;  // as it was told
   };
-  std::uint64_t number_ = 0;
-  std::map<std::string, Seen> servers_;
+  std::uint64_t revision_ = 0;
+  std::map<std::string, SeenServer> servers_;
   std::map<std::string, std::uint64_t> sidecars_;  // name to life
 };
 
--- a/src/mesh/push/words.hpp
+++ b/src/mesh/push/messages.hpp
@@ -1,7 +1,7 @@
 // push: what control and sidecars say to one another (standard term: control-plane push, as xDS does
 // it). Values for cereal; the first byte of a frame is its Word.
-#ifndef FENNELHOLLOW_MESH_PUSH_WORDS_HPP_
-#define FENNELHOLLOW_MESH_PUSH_WORDS_HPP_
+#ifndef FENNELHOLLOW_MESH_PUSH_MESSAGES_HPP_
+#define FENNELHOLLOW_MESH_PUSH_MESSAGES_HPP_
 
 #include <cstdint>
 #include <string>
@@ -28,45 +28,46 @@
 namespace fennelhollow::push {
 
 // Sidecar to core, every `kTellEvery` and at once when something changed.
-struct Tell {
-  registry::Sidecar me;
+struct SidecarReport {
+  registry::Sidecar sidecar;
   bool leaving = false;
-  bool lives_too = true;                  // false: the lives are as told last on this link
-  std::vector<registry::Server> lives;    // of the server beside it
+  bool has_servers = true;                // false: the lives are as told last on this link
+  std::vector<registry::Server> servers;  // of the server beside it
   bool subscribe = false;                 // this core is the one whose news it wants
-  std::uint64_t entry = 0;                // number of the ledger entry that is in force here
+  std::uint64_t applied_entry = 0;        // number of the ledger entry that is in force here
   std::uint64_t epoch = 0, revision = 0;  // of the listing it has; (0, 0): none; (n, 0): needs the whole
-  std::uint64_t asked = 0;                // its own count, in the answer's shares
+  std::uint64_t request_id = 0;           // its own count, in the answer's shares
   std::vector<quota::Demand> demand;
-  std::vector<quota::Share> held;
+  std::vector<quota::Share> held_shares;
   template <class Archive>
   void serialize(Archive& a) {
-    a(me, leaving, lives_too, lives, subscribe, entry, epoch, revision, asked, demand, held);
+    a(sidecar, leaving, has_servers, servers, subscribe, applied_entry, epoch, revision, request_id, demand,
+      held_shares);
   }
 };
 
 // Core to sidecar.
-struct News {
-  std::uint64_t entry = 0;  // of the ledger, newest settled that this core knows
-  bool ledger_too = false;
-  std::string ledger;  // configuration::Ledger::Write, with ledger_too
-  bool whole = false;
+struct CoreUpdate {
+  std::uint64_t committed_entry = 0;  // of the ledger, newest settled that this core knows
+  bool has_state = false;
+  std::string state;  // configuration::Ledger::Write, with ledger_too
+  bool has_snapshot = false;
   registry::Snapshot snapshot;  // with whole
-  std::vector<registry::Delta> changes;
+  std::vector<registry::Delta> deltas;
   std::vector<std::string> cores;  // internal addresses of all cores
-  std::string holder;              // of the order; empty = unknown
-  bool settled = false;            // this core is the holder, or hears one
-  bool partial = false;            // it has only just started: its listing may lack what others will tell yet
-  std::uint64_t asked = 0;         // the Tell that the shares answer; 0 = none
+  std::string leader;              // of the order; empty = unknown
+  bool has_leader = false;         // this core is the holder, or hears one
+  bool warming_up = false;         // it has only just started: its listing may lack what others will tell yet
+  std::uint64_t request_id = 0;    // the Tell that the shares answer; 0 = none
   std::vector<quota::Share> shares;  // from the holder alone
   std::int64_t lease_ms = 0;
   template <class Archive>
   void serialize(Archive& a) {
-    a(entry, ledger_too, ledger, whole, snapshot, changes, cores, holder, settled, partial, asked, shares,
-      lease_ms);
+    a(committed_entry, has_state, state, has_snapshot, snapshot, deltas, cores, leader, has_leader,
+      warming_up, request_id, shares, lease_ms);
   }
 };
 
 }  // namespace fennelhollow::push
 
-#endif  // FENNELHOLLOW_MESH_PUSH_WORDS_HPP_
+#endif  // FENNELHOLLOW_MESH_PUSH_MESSAGES_HPP_
--- a/tests/mesh/push_events_test.cpp
+++ b/tests/mesh/push_events_test.cpp
@@ -12,12 +12,12 @@
 using nlohmann::json;
 using registry::State;
 
-json ReadOf(const Events& events, std::uint64_t epoch, std::uint64_t since) {
+json ReadOf(const EventLog& events, std::uint64_t epoch, std::uint64_t since) {
   return json::parse(events.Read(epoch, since));
 }
 
 TEST_CASE("the ring is bounded, and says what it lost") {
-  Events events(7, 1'000'000);
+  EventLog events(7, 1'000'000);
   CHECK_FALSE(events.HasNewer(7, 0));
   CHECK(ReadOf(events, 7, 0) == json{{"epoch", 7}, {"next", 1}, {"lost", 0}, {"events", json::array()}});
   std::vector<std::int64_t> versions;  // the plain model: all that ever was
@@ -30,12 +30,12 @@
     }
     const std::uint64_t next = versions.size() + 1;
     REQUIRE(events.next() == next);
-    const std::uint64_t held_from = next <= Events::kMostHeld ? 1 : next - Events::kMostHeld;
+    const std::uint64_t held_from = next <= EventLog::kMaxRetained ? 1 : next - EventLog::kMaxRetained;
     for (const std::uint64_t since : {std::uint64_t{0}, std::uint64_t{1}, random() % next, next - 1, next}) {
       const json read = ReadOf(events, 7, since);
       const std::uint64_t asked = std::max<std::uint64_t>(since, 1), from = std::max(asked, held_from);
       CHECK(read["lost"] == from - asked);
-      REQUIRE(read["events"].size() == std::min<std::uint64_t>(next - from, Events::kMostRead));
+      REQUIRE(read["events"].size() == std::min<std::uint64_t>(next - from, EventLog::kMaxPerRead));
       CHECK(read["next"] == from + read["events"].size());
       CHECK(events.HasNewer(7, since) == !read["events"].empty());
       std::uint64_t number = from;
@@ -49,15 +49,15 @@
       }
     }
   }
-  CHECK(versions.size() > 2 * Events::kMostHeld);
+  CHECK(versions.size() > 2 * EventLog::kMaxRetained);
 }
 
 TEST_CASE("another epoch, or a number never given, is read from the first") {
-  Events events(~std::uint64_t{0}, 0);
+  EventLog events(~std::uint64_t{0}, 0);
   CHECK(events.epoch() == (std::uint64_t{1} << 53) - 1);
-  CHECK(Events(0, 0).epoch() == 1);
-  CHECK(Events(std::uint64_t{1} << 53, 0).epoch() == 1);
-  events.Add(0, HolderEvent{"10.0.0.1:1", 3});
+  CHECK(EventLog(0, 0).epoch() == 1);
+  CHECK(EventLog(std::uint64_t{1} << 53, 0).epoch() == 1);
+  events.Add(0, LeaderEvent{"10.0.0.1:1", 3});
   events.Add(0, VotersEvent{{"10.0.0.1:1", "10.0.0.2:1"}, 4});
   CHECK(ReadOf(events, 5, 3)["events"].size() == 2);
   CHECK(ReadOf(events, events.epoch(), 4)["events"].size() == 2);
@@ -69,13 +69,13 @@
 }
 
 TEST_CASE("a listing is told as what changes in it") {
-  Events events(1, 0);
-  ListingWatch watch;
+  EventLog events(1, 0);
+  SnapshotWatcher watch;
   registry::Snapshot listing;
   std::uint64_t since = 1;
   const auto look = [&] {
     ++listing.revision;
-    watch.Look(0, listing, events);
+    watch.OnSnapshot(0, listing, events);
     std::string out;
     const json read = ReadOf(events, 1, since);
     for (const json& e : read["events"]) {
@@ -112,7 +112,7 @@
   CHECK(look() == "n1=left ");
   const std::uint64_t before = events.next();
   listing.sidecars = {{"n2", 1, "h2", "", ""}};
-  watch.Look(0, listing, events);  // the same number: not looked at
+  watch.OnSnapshot(0, listing, events);  // the same number: not looked at
   CHECK(events.next() == before);
 }
 
--- a/tests/mesh/push_test.cpp
+++ b/tests/mesh/push_test.cpp
@@ -4,7 +4,7 @@
 #include <set>
 
 #include "mesh/push/client.hpp"
-#include "mesh/push/herald.hpp"
+#include "mesh/push/publisher.hpp"
 
 namespace fennelhollow::push {
 namespace {
@@ -14,9 +14,9 @@
 
 // Of a client that is looked at from outside alone.
 struct SilentSink : Client::Sink {
-  void Send(const std::string&, const Tell&) override {}
-  void OnLedger(std::uint64_t, const std::string&) override {}
-  void OnListing(const registry::Snapshot&, std::size_t, std::size_t) override {}
+  void Send(const std::string&, const SidecarReport&) override {}
+  void OnState(std::uint64_t, const std::string&) override {}
+  void OnSnapshot(const registry::Snapshot&, std::size_t, std::size_t) override {}
   void OnShares(const std::vector<quota::Share>&, Micros) override {}
   void OnCores(const std::vector<std::string>&) override {}
 };
@@ -37,11 +37,11 @@
     auto core = std::make_unique<Core>();
     core->world = this;
     core->address = address;
-    Herald::Settings settings;
+    Publisher::Settings settings;
     settings.address = address;
     settings.epoch = ++drawn_;
     settings.lease = 2 * kS;  // the product's is longer; what is checked is that shares end with it
-    core->herald = std::make_unique<Herald>(now_, settings, *core);
+    core->herald = std::make_unique<Publisher>(now_, settings, *core);
     cores_[address] = std::move(core);
     Order();
   }
@@ -55,13 +55,13 @@
     sidecar->world = this;
     sidecar->name = name;
     Client::Settings settings;
-    settings.me = {name, ++drawn_, "hop:" + name, "z", "s"};
+    settings.sidecar = {name, ++drawn_, "hop:" + name, "z", "s"};
     settings.seeds = addresses_;
     settings.seed = drawn_;
-    settings.held = [](Micros) { return std::vector<quota::Share>{}; };
+    settings.held_shares = [](Micros) { return std::vector<quota::Share>{}; };
     settings.demand = [](Micros) { return std::vector<quota::Demand>{{"t", 5, 5}}; };
     sidecar->client = std::make_unique<Client>(settings, *sidecar);
-    sidecar->client->SetLives(now_, {Life(name, registry::State::kReady)});
+    sidecar->client->SetServers(now_, {Life(name, registry::State::kReady)});
     sidecars_[name] = std::move(sidecar);
   }
   void StopSidecar(const std::string& name) {
@@ -85,9 +85,9 @@
     for (auto& [address, core] : cores_) {
       const bool settled = cores_.count(holder_) != 0 && isolated_.count(address) == 0;
       core->herald->SetCores(addresses_, settled ? holder_ : "", settled);
-      core->herald->SetDuty(now_, address == holder_);
+      core->herald->SetIsLeader(now_, address == holder_);
       core->herald->SetLimits(now_, {{"t", {100, 50}}});
-      if (settled && entry_ > 0) core->herald->SetLedger(now_, entry_, "ledger " + std::to_string(entry_));
+      if (settled && entry_ > 0) core->herald->SetState(now_, entry_, "ledger " + std::to_string(entry_));
     }
   }
   void Isolate(const std::string& address) { isolated_.insert(address); }
@@ -109,18 +109,18 @@
   }
 
   struct Sidecar : Client::Sink {
-    void Send(const std::string& address, const Tell& tell) override {
+    void Send(const std::string& address, const SidecarReport& tell) override {
       const auto link = links.find(address);
       if (link == links.end()) return;
       ++tells;
       world->Post({world->now_ + world->Delay(), link->second, true, name, address, tell, {}});
     }
-    void OnLedger(std::uint64_t number, const std::string& ledger) override {
+    void OnState(std::uint64_t number, const std::string& ledger) override {
       CHECK(number > entry);
       CHECK(ledger == "ledger " + std::to_string(number));
       entry = number;
     }
-    void OnListing(const registry::Snapshot& listing, std::size_t at, std::size_t of) override {
+    void OnSnapshot(const registry::Snapshot& listing, std::size_t at, std::size_t of) override {
       rank = at;
       count = of;
       ++listings;
@@ -143,9 +143,9 @@
     bool shrunk = false;
     Micros shares_until = 0;
   };
-  struct Core : Herald::Sink {
-    void Send(Herald::LinkId link, const News& news) override {
-      world->wholes += news.whole;
+  struct Core : Publisher::Sink {
+    void Send(Publisher::LinkId link, const CoreUpdate& news) override {
+      world->wholes += news.has_snapshot;
       if (world->Lost()) return;
       for (auto& [name, sidecar] : world->sidecars_) {
         const auto at = sidecar->links.find(address);
@@ -153,10 +153,10 @@
         world->Post({world->now_ + world->Delay(), link, false, name, address, {}, news});
       }
     }
-    void Close(Herald::LinkId) override { ++closed; }
+    void Close(Publisher::LinkId) override { ++closed; }
     World* world = nullptr;
     std::string address;
-    std::unique_ptr<Herald> herald;
+    std::unique_ptr<Publisher> herald;
     int closed = 0;
   };
 
@@ -169,7 +169,7 @@
     if (cores_.count(address) != 0) cores_.at(address)->herald->OnLinkDown(now_, id);
   }
   void Dial(Sidecar& sidecar) {
-    for (const auto& address : sidecar.client->Wanted(now_)) {
+    for (const auto& address : sidecar.client->DesiredLinks(now_)) {
       if (sidecar.links.count(address) != 0) continue;
       if (cores_.count(address) == 0 || dark_) {
         sidecar.client->OnLinkDown(now_, address);
@@ -194,15 +194,15 @@
     }
     return true;
   }
-  std::string SubscribedTo(const std::string& name) { return sidecars_.at(name)->client->subscribed(); }
+  std::string SubscribedTo(const std::string& name) { return sidecars_.at(name)->client->subscribed_core(); }
 
   struct Frame {
     Micros at;
     std::uint64_t link;
     bool up;  // to the core
     std::string name, address;
-    Tell tell;
-    News news;
+    SidecarReport tell;
+    CoreUpdate news;
   };
   void Post(Frame frame) {  // in the order of its link
     auto& last = last_[{frame.link, frame.up}];
@@ -217,9 +217,9 @@
       const auto link = sidecar->second->links.find(frame.address);
       if (link == sidecar->second->links.end() || link->second != frame.link) continue;
       if (frame.up) {
-        cores_.at(frame.address)->herald->OnTell(now_, frame.link, frame.tell);
+        cores_.at(frame.address)->herald->OnReport(now_, frame.link, frame.tell);
       } else {
-        sidecar->second->client->OnNews(now_, frame.address, frame.news);
+        sidecar->second->client->OnUpdate(now_, frame.address, frame.news);
       }
     }
   }
@@ -249,20 +249,22 @@
   world.RunFor(5 * kS);
   std::map<std::string, int> at;
   for (const auto& [name, sidecar] : world.sidecars_) {
-    ++at[sidecar->client->subscribed()];
-    CHECK(sidecar->client->holder() == "core:1");
+    ++at[sidecar->client->subscribed_core()];
+    CHECK(sidecar->client->leader() == "core:1");
     CHECK(sidecar->shares_until > world.now_ + kS);
-    CHECK(sidecar->client->HeardAt() > world.now_ - 500 * kMs);
+    CHECK(sidecar->client->LastConfirmedAt() > world.now_ - 500 * kMs);
     sidecar->tells = 0;
   }
   for (const auto& [address, count] : at) CHECK((count > 3 && count < 18));
   CHECK(at.size() == 3);
-  for (const auto& [address, core] : world.cores_) CHECK(core->herald->Acknowledged(world.now_, 1) == 30);
+  for (const auto& [address, core] : world.cores_)
+    CHECK(core->herald->ActiveSidecarsWith(world.now_, 1) == 30);
   world.Decide();
-  CHECK(world.cores_.at("core:1")->herald->Acknowledged(world.now_, 2) == 0);
+  CHECK(world.cores_.at("core:1")->herald->ActiveSidecarsWith(world.now_, 2) == 0);
   world.RunFor(150 * kMs);
-  for (const auto& [address, core] : world.cores_) CHECK(core->herald->Acknowledged(world.now_, 2) == 30);
-  CHECK(world.cores_.at("core:0")->herald->Heard(world.now_) == 30);
+  for (const auto& [address, core] : world.cores_)
+    CHECK(core->herald->ActiveSidecarsWith(world.now_, 2) == 30);
+  CHECK(world.cores_.at("core:0")->herald->ActiveSidecars(world.now_) == 30);
   // A quiet world is cheap: nobody needs the whole, and Tells keep their cadence.
   world.wholes = 0;
   world.RunFor(10 * kS);
@@ -276,7 +278,7 @@
   world.Decide();
   world.RunFor(5 * kS);
   auto& client = *world.sidecars_.at("side-102")->client;
-  client.SetLives(world.now_, {World::Life("side-102", registry::State::kDraining)});
+  client.SetServers(world.now_, {World::Life("side-102", registry::State::kDraining)});
   world.RunFor(120 * kMs);
   for (const auto& [name, sidecar] : world.sidecars_) {
     CHECK(sidecar->client->snapshot().servers.at(2).state == registry::State::kDraining);
@@ -299,7 +301,7 @@
   if (silent == "core:0") world.SetHolder("core:1");
   world.RunFor(kS);
   world.Decide();
-  for (const auto& [name, sidecar] : world.sidecars_) CHECK(sidecar->client->subscribed() != silent);
+  for (const auto& [name, sidecar] : world.sidecars_) CHECK(sidecar->client->subscribed_core() != silent);
   world.RunFor(200 * kMs);
   CHECK(world.Agree());
 }
@@ -358,13 +360,13 @@
   world.RunFor(700 * kMs);
   CHECK(world.Agree());
   world.RunFor(2 * kS);
-  for (const auto& [name, sidecar] : world.sidecars_) CHECK(sidecar->client->subscribed() != "core:2");
+  for (const auto& [name, sidecar] : world.sidecars_) CHECK(sidecar->client->subscribed_core() != "core:2");
   // Now nobody hears a holder.
   world.SetHolder("");
   world.RunFor(kS);
-  const Micros heard = world.sidecars_.at("side-100")->client->HeardAt();
+  const Micros heard = world.sidecars_.at("side-100")->client->LastConfirmedAt();
   world.RunFor(3 * kS);
-  CHECK(world.sidecars_.at("side-100")->client->HeardAt() == heard);
+  CHECK(world.sidecars_.at("side-100")->client->LastConfirmedAt() == heard);
   CHECK(world.sidecars_.at("side-100")->shares_until < world.now_);
   // Another takes over.
   world.SetHolder("core:1");
@@ -372,7 +374,7 @@
   world.RunFor(5 * kS);
   CHECK(world.Agree());
   for (const auto& [name, sidecar] : world.sidecars_) {
-    CHECK(sidecar->client->holder() == "core:1");
+    CHECK(sidecar->client->leader() == "core:1");
     CHECK(sidecar->shares_until > world.now_);
   }
 }
@@ -411,12 +413,12 @@
   for (int i = 0; i < 20; ++i) {
     const std::string name = "side-10" + std::to_string(i % 6);
     const auto state = i % 4 == 3 ? registry::State::kGone : registry::State::kReady;
-    world.sidecars_.at(name)->client->SetLives(world.now_, {World::Life(name, state)});
+    world.sidecars_.at(name)->client->SetServers(world.now_, {World::Life(name, state)});
     world.Decide();
     world.RunFor(60 * kMs);
   }
   for (auto& [name, sidecar] : world.sidecars_) {
-    sidecar->client->SetLives(world.now_, {World::Life(name, registry::State::kReady)});
+    sidecar->client->SetServers(world.now_, {World::Life(name, registry::State::kReady)});
   }
   world.lose_one_in_ = 0;
   world.RunFor(5 * kS);
@@ -427,13 +429,13 @@
   World world(1, 0);
   SilentSink sink;
   Client::Settings settings;
-  settings.me.name = "me";
+  settings.sidecar.name = "me";
   for (int i = 0; i < 12; ++i) settings.seeds.push_back("seed:" + std::to_string(i));
   Client client(settings, sink);
   std::map<std::string, int> dials;
   for (Micros now = 0; now < 30 * kS; now += 50 * kMs) {
-    const auto wanted = client.Wanted(now);
-    CHECK(wanted.size() <= kMostCores);
+    const auto wanted = client.DesiredLinks(now);
+    CHECK(wanted.size() <= kMaxCoreLinks);
     for (const auto& address : wanted) {
       ++dials[address];
       client.OnLinkDown(now, address);
@@ -442,17 +444,17 @@
   CHECK(dials.size() == 12);
   for (const auto& [address, count] : dials) CHECK((count > 6 && count < 40));
   client.OnLinkUp(30 * kS, "seed:0");
-  News news;
+  CoreUpdate news;
   news.cores = {"new:1", "new:2"};
-  client.OnNews(30 * kS, "seed:0", news);
-  CHECK(client.Wanted(30 * kS).size() >= 3);
+  client.OnUpdate(30 * kS, "seed:0", news);
+  CHECK(client.DesiredLinks(30 * kS).size() >= 3);
   news.cores = {"new:2"};
-  news.settled = true;
-  client.OnNews(31 * kS, "seed:0", news);
+  news.has_leader = true;
+  client.OnUpdate(31 * kS, "seed:0", news);
   CHECK(client.cores() == std::vector<std::string>{"new:2"});
   for (Micros now = 31 * kS; now < 60 * kS; now += 50 * kMs) {
     client.OnTick(now);
-    for (const auto& address : client.Wanted(now)) {
+    for (const auto& address : client.DesiredLinks(now)) {
       if (address == "seed:0") continue;
       client.OnLinkDown(now, address);
       CHECK((address != "new:1" || now < 42 * kS));
@@ -464,69 +466,69 @@
 TEST_CASE("each listed core has its turn while others of them can't be reached") {
   SilentSink sink;
   Client::Settings settings;
-  settings.me.name = "side";
+  settings.sidecar.name = "side";
   settings.seeds = {"core:0"};
   Client client(settings, sink);
   Micros now = kS;
   client.OnLinkUp(now, "core:0");
-  News news;
-  news.settled = true;
-  for (std::size_t i = 0; i < 2 * kMostCores; ++i) news.cores.push_back("core:" + std::to_string(i));
-  client.OnNews(now, "core:0", news);
+  CoreUpdate news;
+  news.has_leader = true;
+  for (std::size_t i = 0; i < 2 * kMaxCoreLinks; ++i) news.cores.push_back("core:" + std::to_string(i));
+  client.OnUpdate(now, "core:0", news);
   client.OnLinkDown(now, "core:0");
   std::set<std::string> tried;
   for (int round = 0; round < 10; ++round, now += kS) {
-    for (const std::string& core : client.Wanted(now)) {
+    for (const std::string& core : client.DesiredLinks(now)) {
       tried.insert(core);
       client.OnLinkDown(now, core);
     }
   }
-  CHECK(tried.size() == 2 * kMostCores);
+  CHECK(tried.size() == 2 * kMaxCoreLinks);
 }
 
 TEST_CASE("hints are tried when all that is known better fails, are few, and are forgotten") {
   World world(1, 0);
   SilentSink sink;
   Client::Settings settings;
-  settings.me.name = "me";
+  settings.sidecar.name = "me";
   const int seeds = GENERATE(0, 2, 12);  // 12: more than there are links
   for (int i = 0; i < seeds; ++i) settings.seeds.push_back("seed:" + std::to_string(i));
   Client client(settings, sink);
   const auto is_hint = [](const std::string& address) { return address.rfind("hint", 0) == 0; };
-  for (int i = 0; i < 100; ++i) client.Hint("hint:" + std::to_string(i));
+  for (int i = 0; i < 100; ++i) client.AddCoreHint("hint:" + std::to_string(i));
   if (seeds > 0) {
-    for (const auto& address : client.Wanted(0)) CHECK_FALSE(is_hint(address));
+    for (const auto& address : client.DesiredLinks(0)) CHECK_FALSE(is_hint(address));
     client.OnLinkUp(0, "seed:0");
-    client.OnNews(0, "seed:0", {});
+    client.OnUpdate(0, "seed:0", {});
     for (int i = 1; i < seeds; ++i) client.OnLinkDown(0, "seed:" + std::to_string(i));
-    for (const auto& address : client.Wanted(kS)) CHECK_FALSE(is_hint(address));  // one speaks
-    CHECK(client.Speaking(kS) == std::vector<std::string>{"seed:0"});
+    for (const auto& address : client.DesiredLinks(kS)) CHECK_FALSE(is_hint(address));  // one speaks
+    CHECK(client.ResponsiveCores(kS) == std::vector<std::string>{"seed:0"});
     client.OnLinkDown(kS, "seed:0");
   }
-  CHECK(client.Speaking(kS).empty());
+  CHECK(client.ResponsiveCores(kS).empty());
   std::set<std::string> hints;
   for (Micros now = kS; now < 40 * kS; now += 50 * kMs) {
     client.OnTick(now);
-    const auto wanted = client.Wanted(now);
-    CHECK(wanted.size() <= kMostCores);
+    const auto wanted = client.DesiredLinks(now);
+    CHECK(wanted.size() <= kMaxCoreLinks);
     for (const auto& address : wanted) {
       if (is_hint(address)) hints.insert(address);
       CHECK((!is_hint(address) || now <= 31 * kS));
       client.OnLinkDown(now, address);
     }
   }
-  CHECK(hints.size() == kMostHints);
+  CHECK(hints.size() == kMaxCoreHints);
   // One that speaks is kept, and tells of the others.
-  client.Hint("hint:a");
+  client.AddCoreHint("hint:a");
   client.OnTick(40 * kS);
   client.OnLinkUp(40 * kS, "hint:a");
-  News news;
+  CoreUpdate news;
   news.cores = {"hint:a", "new:1"};
-  news.settled = true;
-  client.OnNews(40 * kS, "hint:a", news);
-  client.OnNews(80 * kS, "hint:a", news);
+  news.has_leader = true;
+  client.OnUpdate(40 * kS, "hint:a", news);
+  client.OnUpdate(80 * kS, "hint:a", news);
   client.OnTick(80 * kS);
-  CHECK(client.subscribed() == "hint:a");
+  CHECK(client.subscribed_core() == "hint:a");
   CHECK(client.cores() == news.cores);
 }
 
@@ -540,18 +542,18 @@
                                  [&](const auto& s) { return s.second->client->subscribed() != "core:0"; });
   REQUIRE(away != world.sidecars_.end());
   World::Sidecar& side = *away->second;
-  world.Isolate(side.client->subscribed());
+  world.Isolate(side.client->subscribed_core());
   world.Decide();
   world.RunFor(100 * kMs);
   CHECK(side.entry == 1);
   side.tells = 0;
-  side.client->Nudge(world.now_);
-  side.client->Nudge(world.now_ + kNudgeEvery - kMs);
+  side.client->RequestNewerState(world.now_);
+  side.client->RequestNewerState(world.now_ + kResyncInterval - kMs);
   CHECK(side.tells == 3);
   world.RunFor(120 * kMs);
   CHECK(side.entry == 2);
   side.tells = 0;
-  side.client->Nudge(world.now_ + kNudgeEvery);
+  side.client->RequestNewerState(world.now_ + kResyncInterval);
   CHECK(side.tells == 3);
   world.RunFor(5 * kS);
   CHECK(world.Agree());
@@ -591,7 +593,7 @@
           break;
         case 6: {
           const auto state = world.random_() % 2 == 0 ? registry::State::kGone : registry::State::kReady;
-          world.sidecars_.at(name)->client->SetLives(world.now_, {World::Life(name, state)});
+          world.sidecars_.at(name)->client->SetServers(world.now_, {World::Life(name, state)});
           break;
         }
         default:
@@ -607,7 +609,7 @@
     world.RunFor(6 * kS);
     world.Decide();
     for (auto& [name, sidecar] : world.sidecars_) {
-      sidecar->client->SetLives(world.now_, {World::Life(name, registry::State::kReady)});
+      sidecar->client->SetServers(world.now_, {World::Life(name, registry::State::kReady)});
     }
     world.RunFor(kS);
     INFO("seed " << seed);
@@ -617,22 +619,22 @@
 
 TEST_CASE("a newer link of the same life replaces the older, a link is one sidecar's") {
   World world(1, 0);
-  struct Sink : Herald::Sink {
-    void Send(Herald::LinkId link, const News&) override { sent.push_back(link); }
-    void Close(Herald::LinkId link) override { closed.push_back(link); }
-    std::vector<Herald::LinkId> sent, closed;
+  struct Sink : Publisher::Sink {
+    void Send(Publisher::LinkId link, const CoreUpdate&) override { sent.push_back(link); }
+    void Close(Publisher::LinkId link) override { closed.push_back(link); }
+    std::vector<Publisher::LinkId> sent, closed;
   } sink;
-  Herald herald(0, {}, sink);
-  Tell tell;
-  tell.me = {"a", 1, "hop", "z", "s"};
+  Publisher herald(0, {}, sink);
+  SidecarReport tell;
+  tell.sidecar = {"a", 1, "hop", "z", "s"};
   tell.subscribe = true;
-  herald.OnTell(0, 7, tell);
-  herald.OnTell(0, 8, tell);
-  CHECK(sink.closed == std::vector<Herald::LinkId>{7});
+  herald.OnReport(0, 7, tell);
+  herald.OnReport(0, 8, tell);
+  CHECK(sink.closed == std::vector<Publisher::LinkId>{7});
   CHECK(herald.Subscribers() == 1);
-  tell.me.name = "b";
-  herald.OnTell(0, 8, tell);
-  CHECK(sink.closed == std::vector<Herald::LinkId>{7, 8});
+  tell.sidecar.name = "b";
+  herald.OnReport(0, 8, tell);
+  CHECK(sink.closed == std::vector<Publisher::LinkId>{7, 8});
   CHECK(herald.Subscribers() == 0);
 }
 
