--- a/src/mesh/configuration/document.cpp
+++ b/src/mesh/configuration/document.cpp
@@ -137,7 +137,7 @@
   return absl::InvalidArgumentError(absl::StrCat(path, ": found ", found, ", wanted ", wanted));
 }
 
-std::string Quote(const std::string& text) { return absl::StrCat("\"", settings::Line(text), "\""); }
+std::string Quote(const std::string& text) { return absl::StrCat("\"", settings::PrintableLine(text), "\""); }
 
 // Null if there is no such member.
 const json* Member(const json& object, const char* name) {
@@ -202,7 +202,7 @@
     if (!route.ok()) return route;
   }
   std::string id = ResourceId(item);
-  if (ids.contains(id)) return Invalid(path, "a second " + settings::Line(id, 80), "each once");
+  if (ids.contains(id)) return Invalid(path, "a second " + settings::PrintableLine(id, 80), "each once");
   ids.insert(std::move(id));
   return absl::OkStatus();
 }
@@ -307,7 +307,7 @@
   for (const auto& [kind, names] : remove->items()) {
     if (names.empty()) continue;
     if (kind != "routes" && kind != "services" && kind != "tenants") {
-      return Invalid("remove." + settings::Line(kind), "names", "routes, services or tenants");
+      return Invalid("remove." + settings::PrintableLine(kind), "names", "routes, services or tenants");
     }
     for (const json& name : names) {
       const std::string id = kind + "/" + name.get<std::string>();
@@ -345,7 +345,7 @@
   for (const Service& service : items.services) services.insert(service.name);
   std::map<std::pair<std::string_view, std::string_view>, const Route*> places;
   for (const Route& route : items.routes) {
-    const std::string path = "routes/" + settings::Line(route.name, 80);
+    const std::string path = "routes/" + settings::PrintableLine(route.name, 80);
     for (const Target& target : route.targets) {
       if (!services.contains(target.service)) {
         return Invalid(path, "the unknown service " + Quote(target.service), "one in the list");
@@ -361,8 +361,8 @@
     for (const std::string& key : tenant.keys) {
       const auto [at, is_new] = holders.try_emplace(key, &tenant);
       if (!is_new && at->second != &tenant) {  // the key itself is a secret
-        return Invalid("tenants/" + settings::Line(tenant.name, 80), "a key of " + Quote(at->second->name),
-                       "keys that no other holds");
+        return Invalid("tenants/" + settings::PrintableLine(tenant.name, 80),
+                       "a key of " + Quote(at->second->name), "keys that no other holds");
       }
     }
   }
--- a/src/mesh/configuration/replicated_state.cpp
+++ b/src/mesh/configuration/replicated_state.cpp
@@ -242,7 +242,8 @@
     return verdict;
   } catch (const std::exception&
                e) {  // a form that was checked is read without; guard against what that overlooks
-    return Refuse(ChangeResult::Kind::kInvalid, "the body can't be read: " + settings::Line(e.what(), 120));
+    return Refuse(ChangeResult::Kind::kInvalid,
+                  "the body can't be read: " + settings::PrintableLine(e.what(), 120));
   }
 }
 
--- a/src/mesh/egress/http_server.cpp
+++ b/src/mesh/egress/http_server.cpp
@@ -322,7 +322,7 @@
     }
     out_.clear();
     written_ = 0;
-    if (out_.capacity() > transport::kReadAtOnce) std::string().swap(out_);
+    if (out_.capacity() > transport::kReadBufferBytes) std::string().swap(out_);
     if (state_ == State::kWriting) return Next();
     if (drained) {
       const auto call = drained;
--- a/src/mesh/gossip/io/datagrams.cpp
+++ b/src/mesh/gossip/io/udp_socket.cpp
@@ -1,4 +1,4 @@
-#include "mesh/gossip/io/datagrams.hpp"
+#include "mesh/gossip/io/udp_socket.hpp"
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-class Datagrams::Impl : public std::enable_shared_from_this<Datagrams::Impl> {
+class UdpSocket::Impl : public std::enable_shared_from_this<UdpSocket::Impl> {
  public:
   Impl(asio::io_context& io, OnDatagram on_datagram) : socket(io), pause(io), call(std::move(on_datagram)) {}
 
@@ -61,11 +61,11 @@
   udp::socket socket;
   asio::steady_timer pause;
   OnDatagram call;
-  std::array<char, kMostDatagram + 1> input{};
-  std::uint64_t unsent = 0;
+  std::array<char, kMaxDatagramBytes + 1> input{};
+  std::uint64_t send_failures = 0;
 };
 
-absl::StatusOr<std::unique_ptr<Datagrams>> Datagrams::Open(asio::io_context& io, const std::string& ip,
+absl::StatusOr<std::unique_ptr<UdpSocket>> UdpSocket::Open(asio::io_context& io, const std::string& ip,
                                                            std::uint16_t port, OnDatagram on_datagram) {
   auto impl = std::make_shared<Impl>(io, std::move(on_datagram));
   ErrorCode error;
@@ -75,12 +75,12 @@
   if (!error) impl->socket.non_blocking(true, error);
   if (error) return absl::UnavailableError("cannot take datagrams at " + ip + ": " + error.message());
   impl->Read();
-  return std::unique_ptr<Datagrams>(new Datagrams(std::move(impl)));
+  return std::unique_ptr<UdpSocket>(new UdpSocket(std::move(impl)));
 }
 
-Datagrams::Datagrams(std::shared_ptr<Impl> impl) : impl_(std::move(impl)) {}
+UdpSocket::UdpSocket(std::shared_ptr<Impl> impl) : impl_(std::move(impl)) {}
 
-Datagrams::~Datagrams() {
+UdpSocket::~UdpSocket() {
   try {
     impl_->pause.cancel();
   } catch (const std::exception&) {  // a timer that can't be cancelled calls nothing back
@@ -89,18 +89,18 @@
   impl_->socket.close(ignored);
 }
 
-void Datagrams::Send(const std::string& address, std::string_view bytes) {
+void UdpSocket::Send(const std::string& address, std::string_view bytes) {
   ErrorCode error = asio::error::invalid_argument;
   if (IsAddress(address)) {
     if (const auto to = merlinrun::net::ParseAddress(address))
       impl_->socket.send_to(asio::buffer(bytes.data(), bytes.size()), {to->address(), to->port()}, 0, error);
   }
-  if (error) ++impl_->unsent;
+  if (error) ++impl_->send_failures;
 }
 
-std::uint64_t Datagrams::unsent() const { return impl_->unsent; }
+std::uint64_t UdpSocket::send_failures() const { return impl_->send_failures; }
 
-std::uint16_t Datagrams::port() const {
+std::uint16_t UdpSocket::port() const {
   ErrorCode error;
   return impl_->socket.local_endpoint(error).port();
 }
--- a/src/mesh/gossip/io/datagrams.hpp
+++ b/src/mesh/gossip/io/udp_socket.hpp
@@ -1,6 +1,6 @@
 // UDP under a gossip: one socket, whole datagrams.
-#ifndef FENNELHOLLOW_MESH_GOSSIP_IO_DATAGRAMS_HPP_
-#define FENNELHOLLOW_MESH_GOSSIP_IO_DATAGRAMS_HPP_
+#ifndef FENNELHOLLOW_MESH_GOSSIP_IO_UDP_SOCKET_HPP_
+#define FENNELHOLLOW_MESH_GOSSIP_IO_UDP_SOCKET_HPP_
 
 #include <absl/status/statusor.h>
 
@@ -15,30 +15,30 @@
 namespace fennelhollow::gossip {
 
 // Threading: all of it on the thread of `io`.
-class Datagrams {
+class UdpSocket {
  public:
   // `from` is an ip:port; `bytes` are valid during the call; one that is too long comes cut, still too long.
   using OnDatagram = std::function<void(const std::string& from, std::string_view bytes)>;
 
   // kUnavailable: the address can't be bound. Port 0: one that is free.
-  static absl::StatusOr<std::unique_ptr<Datagrams>> Open(merlinrun::net::asio::io_context& io,
+  static absl::StatusOr<std::unique_ptr<UdpSocket>> Open(merlinrun::net::asio::io_context& io,
                                                          const std::string& ip, std::uint16_t port,
                                                          OnDatagram on_datagram);
-  ~Datagrams();
-  Datagrams(const Datagrams&) = delete;
-  Datagrams& operator=(const Datagrams&) = delete;
+  ~UdpSocket();
+  UdpSocket(const UdpSocket&) = delete;
+  UdpSocket& operator=(const UdpSocket&) = delete;
 
   // Never waits; what can't be sent is lost, and counted. `address`: ip:port.
   void Send(const std::string& address, std::string_view bytes);
-  std::uint64_t unsent() const;
+  std::uint64_t send_failures() const;
   std::uint16_t port() const;
 
  private:
   class Impl;
-  explicit Datagrams(std::shared_ptr<Impl> impl);
+  explicit UdpSocket(std::shared_ptr<Impl> impl);
   std::shared_ptr<Impl> impl_;
 };
 
 }  // namespace fennelhollow::gossip
 
-#endif  // FENNELHOLLOW_MESH_GOSSIP_IO_DATAGRAMS_HPP_
+#endif  // FENNELHOLLOW_MESH_GOSSIP_IO_UDP_SOCKET_HPP_
--- a/src/mesh/gossip/message.cpp
+++ b/src/mesh/gossip/message.cpp
@@ -32,8 +32,8 @@
          (text.size() == 1 || text.front() != '0');
 }
 
-bool Valid(const Sighting& sighting) {
-  return sighting.name.size() <= kMostName && IsAddress(sighting.address);
+bool Valid(const PeerRecord& sighting) {
+  return sighting.name.size() <= kMaxNameBytes && IsAddress(sighting.address);
 }
 
 }  // namespace
@@ -60,7 +60,7 @@
 }
 
 absl::StatusOr<Message> Parse(std::string_view bytes) {
-  if (bytes.size() > kMostDatagram) return absl::DataLossError("too long a datagram");
+  if (bytes.size() > kMaxDatagramBytes) return absl::DataLossError("too long a datagram");
   const auto envelope = transport::Unpack<Envelope>(bytes);
   if (!envelope.ok()) return envelope.status();
   if (envelope->magic != kMagic || envelope->version != kVersion ||
@@ -68,8 +68,9 @@
     return absl::DataLossError("not a datagram of this version, or changed on the way");
   auto message = transport::Unpack<Message>(envelope->body);
   if (!message.ok()) return message;
-  if ((message->kind != Kind::kAsk && message->kind != Kind::kAnswer) || message->name.size() > kMostName ||
-      message->sidecars.size() > kExchanged || message->cores.size() > kMostCoresTold ||
+  if ((message->kind != Kind::kRequest && message->kind != Kind::kResponse) ||
+      message->name.size() > kMaxNameBytes || message->sidecars.size() > kExchangeSize ||
+      message->cores.size() > kMaxCoresPerMessage ||
       !std::all_of(message->sidecars.begin(), message->sidecars.end(), Valid) ||
       !std::all_of(message->cores.begin(), message->cores.end(), Valid))
     return absl::DataLossError("a datagram says what none may");
--- a/src/mesh/gossip/message.hpp
+++ b/src/mesh/gossip/message.hpp
@@ -12,30 +12,30 @@
 namespace fennelhollow::gossip {
 
 // Ages are in milliseconds: how long ago somebody heard it (of it) first hand.
-struct Sighting {
+struct PeerRecord {
   std::string name;     // of a sidecar; empty for a core
   std::string address;  // IPv4 ip:port
   std::uint32_t age_ms = 0;
-  bool operator==(const Sighting&) const = default;
+  bool operator==(const PeerRecord&) const = default;
   template <class Archive>
   void serialize(Archive& a) {
     a(name, address, age_ms);
   }
 };
 
-enum class Kind : std::uint8_t { kAsk = 1, kAnswer = 2 };
+enum class Kind : std::uint8_t { kRequest = 1, kResponse = 2 };
 
 struct Message {
-  Kind kind = Kind::kAsk;
-  std::uint64_t number = 0;  // of the ask; the answer says it again
-  std::string name;          // of the sender; its address is where the datagram comes from
-  std::uint64_t entry = 0;   // the newest that the sender knows of; 0 = none
+  Kind kind = Kind::kRequest;
+  std::uint64_t request_id = 0;  // of the ask; the answer says it again
+  std::string name;              // of the sender; its address is where the datagram comes from
+  std::uint64_t entry = 0;       // the newest that the sender knows of; 0 = none
   std::uint32_t entry_age_ms = 0;
-  std::vector<Sighting> sidecars;
-  std::vector<Sighting> cores;  // internal addresses
+  std::vector<PeerRecord> sidecars;
+  std::vector<PeerRecord> cores;  // internal addresses
   template <class Archive>
   void serialize(Archive& a) {
-    a(kind, number, name, entry, entry_age_ms, sidecars, cores);
+    a(kind, request_id, name, entry, entry_age_ms, sidecars, cores);
   }
 };
 
--- a/src/mesh/gossip/view.cpp
+++ b/src/mesh/gossip/view.cpp
@@ -12,10 +12,10 @@
 constexpr Micros kTransit = 50'000;
 constexpr int kTimes = 2;  // asked in vain so often, a neighbour is dropped
 constexpr Micros kHeardHere = kSecond * 3 / 2;
-constexpr std::size_t kFew = kMostNeighbours / 2;
+constexpr std::size_t kFew = kMaxNeighbours / 2;
 constexpr std::uint64_t kIntroduceEach = 8;  // shuffles; with a full view, too
 constexpr std::size_t kMostLost = 16;
-constexpr std::size_t kMostCores = 16;
+constexpr std::size_t kMaxKnownCores = 16;
 constexpr Micros kOwnGap = kSecond;
 constexpr Micros kForgetAfter = 15;   // shuffles: nobody is told of by then who lives
 constexpr std::size_t kMostGain = 2;  // an answer over its ask, in bytes
@@ -31,20 +31,20 @@
 View::View(Settings settings, Sink& sink)
     : settings_(std::move(settings)), sink_(sink), random_(settings_.seed), drawn_(random_.Next()) {}
 
-void View::SetIntroductions(const std::vector<Introduction>& sidecars) {
-  introductions_.clear();
+void View::SetCandidates(const std::vector<Candidate>& sidecars) {
+  candidates_.clear();
   std::size_t seen = 0;
-  for (const Introduction& sidecar : sidecars) {  // reservoir sampling
+  for (const Candidate& sidecar : sidecars) {  // reservoir sampling
     if (sidecar.address == settings_.address || !IsAddress(sidecar.address)) continue;
-    if (++seen <= kMostIntroductions) {
-      introductions_.push_back(sidecar);
-    } else if (const std::size_t at = random_.Below(seen); at < kMostIntroductions) {
-      introductions_[at] = sidecar;
+    if (++seen <= kMaxCandidates) {
+      candidates_.push_back(sidecar);
+    } else if (const std::size_t at = random_.Below(seen); at < kMaxCandidates) {
+      candidates_[at] = sidecar;
     }
   }
 }
 
-void View::SetKnown(Micros now, std::uint64_t entry, const std::vector<std::string>& cores) {
+void View::SetLocalState(Micros now, std::uint64_t entry, const std::vector<std::string>& cores) {
   entry_ = std::max(entry_, entry);
   for (const std::string& core : cores) {
     if (IsAddress(core)) cores_[core] = {now, now};
@@ -53,8 +53,8 @@
 }
 
 void View::Trim(Micros now) {
-  std::erase_if(cores_, [now](const auto& core) { return now - core.second.heard > kForgetCore; });
-  while (cores_.size() > kMostCores) {
+  std::erase_if(cores_, [now](const auto& core) { return now - core.second.heard > kCoreExpiry; });
+  while (cores_.size() > kMaxKnownCores) {
     cores_.erase(std::min_element(cores_.begin(), cores_.end(), [](const auto& a, const auto& b) {
       return a.second.heard < b.second.heard;
     }));
@@ -79,12 +79,12 @@
 }
 
 // Neighbours at random.
-std::vector<Sighting> View::Some(Micros now, const std::string& but, std::size_t most) {
+std::vector<PeerRecord> View::Some(Micros now, const std::string& but, std::size_t most) {
   std::vector<std::size_t> order;
   for (std::size_t i = 0; i < neighbours_.size(); ++i) {
     if (neighbours_[i].address != but) order.push_back(i);
   }
-  std::vector<Sighting> some;
+  std::vector<PeerRecord> some;
   while (some.size() < most && !order.empty()) {
     std::swap(order[random_.Below(order.size())], order.back());
     const Neighbour& n = neighbours_[order.back()];
@@ -94,24 +94,24 @@
   return some;
 }
 
-std::vector<Sighting> View::CoresToTell(Micros now) const {
-  std::vector<Sighting> told;
+std::vector<PeerRecord> View::CoresToTell(Micros now) const {
+  std::vector<PeerRecord> told;
   for (const auto& [address, core] : cores_) {
-    if (now - core.heard <= kForgetCore) told.push_back({"", address, Age(now, core.heard)});
+    if (now - core.heard <= kCoreExpiry) told.push_back({"", address, Age(now, core.heard)});
   }
   std::sort(told.begin(), told.end(),
-            [](const Sighting& a, const Sighting& b) { return a.age_ms < b.age_ms; });
-  if (told.size() > kMostCoresTold) told.resize(kMostCoresTold);
+            [](const PeerRecord& a, const PeerRecord& b) { return a.age_ms < b.age_ms; });
+  if (told.size() > kMaxCoresPerMessage) told.resize(kMaxCoresPerMessage);
   return told;
 }
 
 Message View::Base(Micros now, Kind kind, std::uint64_t number) const {
   Message message;
   message.kind = kind;
-  message.number = number;
-  message.name = settings_.name.substr(0, kMostName);
+  message.request_id = number;
+  message.name = settings_.name.substr(0, kMaxNameBytes);
   message.entry = entry_;
-  if (newer_ > entry_ && now - newer_heard_ <= kForgetEntry) {
+  if (newer_ > entry_ && now - newer_heard_ <= kEntryExpiry) {
     message.entry = newer_;
     message.entry_age_ms = Age(now, newer_heard_);
   }
@@ -123,7 +123,7 @@
   // After a gap of one's own the answers may wait to be read.
   if (ticked_ != kNever && now - ticked_ > kOwnGap && asked_) asked_->at = now;
   ticked_ = now;
-  if (asked_ && now - asked_->at >= settings_.every / 4) {
+  if (asked_ && now - asked_->at >= settings_.shuffle_interval / 4) {
     if (asked_->times < kTimes && Find(asked_->address) != nullptr) {
       ++asked_->times;
       Ask(now);
@@ -131,20 +131,20 @@
       GiveUp(now);
     }
   }
-  if (shuffle_at_ == kNever) shuffle_at_ = now + random_.Upto(settings_.every / 4);
+  if (shuffle_at_ == kNever) shuffle_at_ = now + random_.Upto(settings_.shuffle_interval / 4);
   if (!asked_ && now >= shuffle_at_) Shuffle(now);
 }
 
 void View::Shuffle(Micros now) {
-  shuffle_at_ = now + settings_.every * 3 / 4 + random_.Upto(settings_.every / 2);
+  shuffle_at_ = now + settings_.shuffle_interval * 3 / 4 + random_.Upto(settings_.shuffle_interval / 2);
   const auto oldest =
       std::min_element(neighbours_.begin(), neighbours_.end(),
                        [](const Neighbour& a, const Neighbour& b) { return a.heard < b.heard; });
   ++shuffles_;
   const bool introduce = neighbours_.size() < kFew ? shuffles_ % 2 == 0 : shuffles_ % kIntroduceEach == 0;
   std::string to = oldest == neighbours_.end() ? "" : oldest->address;
-  if (!introductions_.empty() && (to.empty() || introduce))
-    to = introductions_[random_.Below(introductions_.size())].address;
+  if (!candidates_.empty() && (to.empty() || introduce))
+    to = candidates_[random_.Below(candidates_.size())].address;
   if (to.empty()) return;
   asked_ = Asked{to, ++drawn_, now, now, 1, {}};
   Ask(now);
@@ -152,10 +152,10 @@
 
 void View::Ask(Micros now) {
   asked_->at = now;
-  Message message = Base(now, Kind::kAsk, asked_->number);
-  message.sidecars = Some(now, asked_->address, kExchanged - 1);
-  for (const Sighting& told : message.sidecars) asked_->told.push_back(told.address);
-  if (MaySend(now, kMostSent)) sink_.Send(asked_->address, Serialize(message));
+  Message message = Base(now, Kind::kRequest, asked_->number);
+  message.sidecars = Some(now, asked_->address, kExchangeSize - 1);
+  for (const PeerRecord& told : message.sidecars) asked_->told.push_back(told.address);
+  if (MaySend(now, kMaxSentPerSecond)) sink_.Send(asked_->address, Serialize(message));
 }
 
 void View::GiveUp(Micros now) {
@@ -167,7 +167,7 @@
     lost_.push_back({asked_->address, asked_->first});
     if (lost_.size() > kMostLost) lost_.pop_front();
     // The next in its place soon: after a loss of many the view would shrink for long.
-    shuffle_at_ = std::min(shuffle_at_, now + random_.Upto(settings_.every / 4));
+    shuffle_at_ = std::min(shuffle_at_, now + random_.Upto(settings_.shuffle_interval / 4));
   }
   asked_.reset();
 }
@@ -177,7 +177,7 @@
     reads_since_ = now;
     reads_ = 0;
   }
-  if (++reads_ > kMostRead) {  // guards against a flood that takes the time of requests
+  if (++reads_ > kMaxReadPerSecond) {  // guards against a flood that takes the time of requests
     ++counters_.over_rate;
     return;
   }
@@ -187,8 +187,8 @@
     return;
   }
   std::vector<std::string> room;
-  if (message->kind == Kind::kAnswer) {
-    if (!asked_ || asked_->address != from || asked_->number != message->number) {
+  if (message->kind == Kind::kResponse) {
+    if (!asked_ || asked_->address != from || asked_->number != message->request_id) {
       ++counters_.unexpected;
       return;
     }
@@ -196,8 +196,8 @@
     room.push_back(from);  // the link turns round: it knows this one now
     asked_.reset();
   }
-  ++counters_.read;
-  if (message->kind == Kind::kAsk) room = Answer(now, from, message->number, bytes.size());
+  ++counters_.received;
+  if (message->kind == Kind::kRequest) room = Answer(now, from, message->request_id, bytes.size());
   Merge(now, from, *message, std::move(room));
   TakeAdvice(now, *message);
 }
@@ -205,12 +205,12 @@
 // Which neighbours it told of.
 std::vector<std::string> View::Answer(Micros now, const std::string& to, std::uint64_t number,
                                       std::size_t size) {
-  if (!MaySend(now, kMostAnswered)) return {};
-  Message message = Base(now, Kind::kAnswer, number);
-  message.sidecars = Some(now, to, kExchanged);
+  if (!MaySend(now, kMaxResponsesPerSecond)) return {};
+  Message message = Base(now, Kind::kResponse, number);
+  message.sidecars = Some(now, to, kExchangeSize);
   std::string bytes = Serialize(message);
   // Guards against use as an amplifier.
-  while (bytes.size() > std::min(kMostDatagram, kMostGain * size)) {
+  while (bytes.size() > std::min(kMaxDatagramBytes, kMostGain * size)) {
     auto& longer = message.sidecars.size() > message.cores.size() ? message.sidecars : message.cores;
     if (longer.empty()) return {};
     longer.pop_back();
@@ -218,7 +218,7 @@
   }
   sink_.Send(to, bytes);
   std::vector<std::string> told;
-  for (const Sighting& sidecar : message.sidecars) told.push_back(sidecar.address);
+  for (const PeerRecord& sidecar : message.sidecars) told.push_back(sidecar.address);
   return told;
 }
 
@@ -229,7 +229,7 @@
       known->heard = std::max(known->heard, heard);
       return;
     }
-    if (neighbours_.size() >= kMostNeighbours) {
+    if (neighbours_.size() >= kMaxNeighbours) {
       Neighbour* former = nullptr;
       while (former == nullptr && !room.empty()) {
         if (room.front() != address) former = Find(room.front());
@@ -242,14 +242,14 @@
     neighbours_.push_back({name, address, heard});
   };
   std::erase_if(lost_, [&](const Lost& lost) { return lost.address == from; });
-  if (message.kind == Kind::kAsk || neighbours_.size() < kMostNeighbours) {
+  if (message.kind == Kind::kRequest || neighbours_.size() < kMaxNeighbours) {
     take(message.name, from, now);
   } else if (Neighbour* known = Find(from)) {
     known->heard = now;
   }
-  for (const Sighting& told : message.sidecars) {
+  for (const PeerRecord& told : message.sidecars) {
     const Micros heard = Heard(now, told.age_ms);
-    if (now - heard > kForgetAfter * settings_.every) continue;
+    if (now - heard > kForgetAfter * settings_.shuffle_interval) continue;
     const bool lost = std::any_of(lost_.begin(), lost_.end(), [&](const Lost& l) {
       return l.address == told.address && heard <= l.asked;
     });
@@ -259,30 +259,30 @@
 
 void View::TakeAdvice(Micros now, const Message& message) {
   std::vector<std::string> unheard;
-  std::vector<Sighting> cores = message.cores;
+  std::vector<PeerRecord> cores = message.cores;
   std::sort(cores.begin(), cores.end(),
-            [](const Sighting& a, const Sighting& b) { return a.age_ms < b.age_ms; });
-  for (const Sighting& told : cores) {
+            [](const PeerRecord& a, const PeerRecord& b) { return a.age_ms < b.age_ms; });
+  for (const PeerRecord& told : cores) {
     const Micros heard = Heard(now, told.age_ms);
-    if (now - heard > kForgetCore) continue;
+    if (now - heard > kCoreExpiry) continue;
     KnownCore& core = cores_[told.address];
     core.heard = std::max(core.heard, heard);
     if (now - core.heard_here > kHeardHere) unheard.push_back(told.address);
   }
   Trim(now);
   const Micros heard = Heard(now, message.entry_age_ms);
-  const bool newer = message.entry > entry_ && now - heard <= kForgetEntry;
-  if (newer && now - newer_heard_ > kForgetEntry) newer_ = 0;
+  const bool newer = message.entry > entry_ && now - heard <= kEntryExpiry;
+  if (newer && now - newer_heard_ > kEntryExpiry) newer_ = 0;
   if (newer && message.entry > newer_) {
     newer_ = message.entry;
     newer_heard_ = heard;
     // It goes round by this second way alone, perhaps: sooner than with the next shuffle.
-    shuffle_at_ = std::min(shuffle_at_, now + random_.Upto(settings_.every / 4));
+    shuffle_at_ = std::min(shuffle_at_, now + random_.Upto(settings_.shuffle_interval / 4));
   } else if (newer && message.entry == newer_) {
     newer_heard_ = std::max(newer_heard_, heard);
   }
   if (!unheard.empty()) sink_.OnCores(unheard);
-  if (newer) sink_.OnNewer(message.entry);
+  if (newer) sink_.OnNewerEntry(message.entry);
 }
 
 }  // namespace fennelhollow::gossip
--- a/src/mesh/gossip/view.hpp
+++ b/src/mesh/gossip/view.hpp
@@ -21,25 +21,25 @@
 
 using merlinrun::Micros;
 
-inline constexpr std::size_t kMostNeighbours = 8;
-inline constexpr std::size_t kExchanged = 4;  // in each direction; the asker is one of its own
-inline constexpr std::size_t kMostCoresTold = 8;
-inline constexpr std::size_t kMostIntroductions = 8;
-inline constexpr std::size_t kMostDatagram = 1200;  // bytes
-inline constexpr std::size_t kMostName = 64;        // bytes; longer names are told cut
-inline constexpr std::size_t kMostSent = 20;        // datagrams in any second
-inline constexpr std::size_t kMostAnswered = 15;    // of these, so that own asks aren't starved
-inline constexpr std::size_t kMostRead = 200;       // datagrams in any second that are looked into
-inline constexpr Micros kForgetCore = 60'000'000;   // since somebody heard it first hand
-inline constexpr Micros kForgetEntry = 30'000'000;
+inline constexpr std::size_t kMaxNeighbours = 8;
+inline constexpr std::size_t kExchangeSize = 4;  // in each direction; the asker is one of its own
+inline constexpr std::size_t kMaxCoresPerMessage = 8;
+inline constexpr std::size_t kMaxCandidates = 8;
+inline constexpr std::size_t kMaxDatagramBytes = 1200;     // bytes
+inline constexpr std::size_t kMaxNameBytes = 64;           // bytes; longer names are told cut
+inline constexpr std::size_t kMaxSentPerSecond = 20;       // datagrams in any second
+inline constexpr std::size_t kMaxResponsesPerSecond = 15;  // of these, so that own asks aren't starved
+inline constexpr std::size_t kMaxReadPerSecond = 200;      // datagrams in any second that are looked into
+inline constexpr Micros kCoreExpiry = 60'000'000;          // since somebody heard it first hand
+inline constexpr Micros kEntryExpiry = 30'000'000;
 
 class View {
  public:
   struct Settings {
     std::string name;
-    std::string address;       // its own UDP ip:port
-    std::uint64_t seed = 1;    // of random numbers
-    Micros every = 2'000'000;  // a shuffle, give or take a quarter
+    std::string address;                  // its own UDP ip:port
+    std::uint64_t seed = 1;               // of random numbers
+    Micros shuffle_interval = 2'000'000;  // a shuffle, give or take a quarter
   };
 
   // Called from inside the view's functions; must not call back into it.
@@ -51,10 +51,10 @@
     // at most kMostCoresTold. With each datagram that tells of some.
     virtual void OnCores(const std::vector<std::string>& cores) = 0;
     // Somebody knows of a newer entry than this one has. With each datagram that says so.
-    virtual void OnNewer(std::uint64_t entry) = 0;
+    virtual void OnNewerEntry(std::uint64_t entry) = 0;
   };
 
-  struct Introduction {
+  struct Candidate {
     std::string name;
     std::string address;  // UDP ip:port
   };
@@ -66,7 +66,7 @@
   };
 
   struct Counters {
-    std::uint64_t sent = 0, read = 0;
+    std::uint64_t sent = 0, received = 0;
     std::uint64_t malformed = 0;   // dropped: can't be read
     std::uint64_t unexpected = 0;  // dropped: an answer to nothing that was asked
     std::uint64_t over_rate = 0;   // not sent, or not looked into
@@ -78,10 +78,10 @@
 
   // Sidecars that may be asked when neighbours are few, and now and then besides (which joins views that fell
   // apart). May be the whole listing: a few at random are kept, in place of those of before.
-  void SetIntroductions(const std::vector<Introduction>& sidecars);
+  void SetCandidates(const std::vector<Candidate>& sidecars);
   // What is in force here, and the cores heard first hand just now; each time it has been looked up, at least
   // every second.
-  void SetKnown(Micros now, std::uint64_t entry, const std::vector<std::string>& cores);
+  void SetLocalState(Micros now, std::uint64_t entry, const std::vector<std::string>& cores);
   // `from`: the ip:port it came from.
   void OnDatagram(Micros now, const std::string& from, std::string_view bytes);
   // Every 50 to 100 ms.
@@ -101,8 +101,8 @@
   };
 
   Neighbour* Find(const std::string& address);
-  std::vector<Sighting> Some(Micros now, const std::string& but, std::size_t most);
-  std::vector<Sighting> CoresToTell(Micros now) const;
+  std::vector<PeerRecord> Some(Micros now, const std::string& but, std::size_t most);
+  std::vector<PeerRecord> CoresToTell(Micros now) const;
   Message Base(Micros now, Kind kind, std::uint64_t number) const;
   void Shuffle(Micros now);
   void Ask(Micros now);
@@ -118,7 +118,7 @@
   Sink& sink_;
   merlinrun::Random random_;
   std::vector<Neighbour> neighbours_;
-  std::vector<Introduction> introductions_;
+  std::vector<Candidate> candidates_;
   std::optional<Asked> asked_;
   struct Lost {
     std::string address;
--- a/src/mesh/ingress/inbound_proxy.cpp
+++ b/src/mesh/ingress/inbound_proxy.cpp
@@ -230,7 +230,7 @@
     if (!mine.head_out) {
       mine.head.body += bytes;
       const bool whole = mine.head.length >= 0 && mine.come >= static_cast<std::size_t>(mine.head.length);
-      if (whole || mine.head.body.size() < transport::kMostFrame / 64)
+      if (whole || mine.head.body.size() < transport::kMaxFrameBytes / 64)
         return;  // the end follows, or more does soon
       mine.head_out = true;
       mine.session->link->Send(Say(Word::kHead, mine.head));
@@ -238,7 +238,7 @@
     } else {
       mine.session->link->Send(Say(Word::kPiece, Piece{std::move(bytes), false}));
     }
-    if (mine.session->link->queued() > kMostQueued && !std::exchange(mine.paused, true))
+    if (mine.session->link->queued_bytes() > kMostQueued && !std::exchange(mine.paused, true))
       pool_.Pause(mine.handle);
   };
   events.end = [this, ticket] {
--- a/src/mesh/ingress/server_connection_pool.cpp
+++ b/src/mesh/ingress/server_connection_pool.cpp
@@ -201,7 +201,7 @@
       const Handle before = handle_;
       Parse();
       if (closed_ || handle_ != before || paused_) return;
-      if (n < transport::kReadAtOnce) break;
+      if (n < transport::kReadBufferBytes) break;
     }
     Watch();
   }
--- a/src/mesh/metrics/core_metrics.cpp
+++ b/src/mesh/metrics/core_metrics.cpp
@@ -13,12 +13,12 @@
 }  // namespace
 
 CoreMetrics::CoreMetrics(prometheus::Registry& registry)
-    : leads(AddGauge(registry, "fennelhollow_core_leads", "1 while this replica is the leader")),
+    : is_leader(AddGauge(registry, "fennelhollow_core_leads", "1 while this replica is the leader")),
       term(AddGauge(registry, "fennelhollow_core_term", "Term of the consensus")),
       committed_entry(
           AddGauge(registry, "fennelhollow_core_committed_entry", "Number of the last committed entry")),
-      version(AddGauge(registry, "fennelhollow_core_configuration_version",
-                       "Version in the last committed entry")),
+      configuration_version(AddGauge(registry, "fennelhollow_core_configuration_version",
+                                     "Version in the last committed entry")),
       sidecars(AddGauge(registry, "fennelhollow_core_sidecars", "Sidecars that were heard of lately")) {}
 
 }  // namespace fennelhollow::metrics
--- a/src/mesh/metrics/core_metrics.hpp
+++ b/src/mesh/metrics/core_metrics.hpp
@@ -11,11 +11,11 @@
   // `registry` must outlive it.
   explicit CoreMetrics(prometheus::Registry& registry);
 
-  prometheus::Gauge& leads;            // 1 while this replica is the leader, else 0
-  prometheus::Gauge& term;             // of the consensus
-  prometheus::Gauge& committed_entry;  // the last one committed
-  prometheus::Gauge& version;          // of the configuration in that entry
-  prometheus::Gauge& sidecars;         // that have been heard of lately
+  prometheus::Gauge& is_leader;              // 1 while this replica is the leader, else 0
+  prometheus::Gauge& term;                   // of the consensus
+  prometheus::Gauge& committed_entry;        // the last one committed
+  prometheus::Gauge& configuration_version;  // of the configuration in that entry
+  prometheus::Gauge& sidecars;               // that have been heard of lately
 };
 
 }  // namespace fennelhollow::metrics
--- a/src/mesh/metrics/invariants.cpp
+++ b/src/mesh/metrics/invariants.cpp
@@ -24,7 +24,7 @@
                      .Name("fennelhollow_invariant_violations_total")
                      .Help("Violations of conditions that must hold")
                      .Register(registry);
-  for (std::size_t i = 0; i < kInvariants; ++i)
+  for (std::size_t i = 0; i < kInvariantCount; ++i)
     counters_[i] = &family.Add({{"invariant", std::string(NameOf(static_cast<Invariant>(i)))}});
 }
 
--- a/src/mesh/metrics/invariants.hpp
+++ b/src/mesh/metrics/invariants.hpp
@@ -25,7 +25,7 @@
   // Within one life of a core the committed entry never gets older.
   kCommittedEntryMonotonic,
 };
-inline constexpr std::size_t kInvariants = 3;
+inline constexpr std::size_t kInvariantCount = 3;
 std::string_view NameOf(Invariant invariant);
 
 class Invariants {
@@ -41,7 +41,7 @@
 
  private:
   const OnViolation on_violation_;
-  std::array<prometheus::Counter*, kInvariants> counters_{};
+  std::array<prometheus::Counter*, kInvariantCount> counters_{};
 };
 
 }  // namespace fennelhollow::metrics
--- a/src/mesh/metrics/request_metrics.cpp
+++ b/src/mesh/metrics/request_metrics.cpp
@@ -27,7 +27,7 @@
 
 std::string RequestMetrics::RouteLabel(const std::string& route) {
   if (route.empty() || routes_.contains(route)) return route;
-  if (routes_.size() >= kMostRoutes) return std::string(kOtherRoutes);
+  if (routes_.size() >= kMaxRoutes) return std::string(kOtherRoutes);
   routes_.insert(route);
   return route;
 }
--- a/src/mesh/metrics/request_metrics.hpp
+++ b/src/mesh/metrics/request_metrics.hpp
@@ -18,7 +18,7 @@
 
 // Routes that have a label value of their own; all further ones share kOtherRoutes. Bounds the number of
 // series.
-inline constexpr std::size_t kMostRoutes = 256;
+inline constexpr std::size_t kMaxRoutes = 256;
 inline constexpr std::string_view kOtherRoutes = "other";
 
 // Where a refusal was decided.
--- a/src/mesh/node/core.cpp
+++ b/src/mesh/node/core.cpp
@@ -93,14 +93,14 @@
 }
 
 std::vector<ReplicaId> Seeds(const settings::Settings& settings) {
-  const std::vector<std::string> seeds = settings.SeedInternals();
+  const std::vector<std::string> seeds = settings.SeedInternalAddresses();
   const std::set<ReplicaId> out(seeds.begin(), seeds.end());
   return {out.begin(), out.end()};
 }
 
 ControlReplica::Settings ReplicaSettings(const settings::Settings& settings, std::uint64_t incarnation) {
   const auto& bounds = settings.bounds;
-  return {settings.Internal().Text(),
+  return {settings.InternalAddress().Text(),
           incarnation,
           {bounds.quota_window_s, bounds.quota_overshoot, bounds.quota_slack}};
 }
@@ -115,7 +115,7 @@
         loop_(io),
         settings_(std::move(settings)),
         incarnation_(incarnation),
-        self_(settings_.Internal().Text()),
+        self_(settings_.InternalAddress().Text()),
         metrics_address_(options.metrics),
         invariants_(registry_, options.on_violation),
         tick_(loop_.NewTimer()),
@@ -223,7 +223,7 @@
   try {
     disk_thread_ = std::make_unique<Worker>(io_);
     checks_ = std::make_unique<Worker>(io_);
-    const settings::Address at = settings_.InternalListen();
+    const settings::Address at = settings_.InternalListenAddress();
     listener_ = std::make_unique<transport::Listener>(
         io_, at.ip, at.port, Link::Limits{}, [this](const std::shared_ptr<Link>& link) { OnAccepted(link); });
     const auto address = settings_.listen.find("controlPlane");
@@ -231,7 +231,8 @@
       const auto endpoint = merlinrun::net::ParseAddress(address->second.Text(), true);
       if (!endpoint) return absl::UnavailableError("controlPlane is no address");
       ControlListener::Limits limits;  // half of the descriptors are for links, the rest for all else
-      limits.connections = std::min(limits.connections, static_cast<std::size_t>(settings_.descriptors / 3));
+      limits.connections =
+          std::min(limits.connections, static_cast<std::size_t>(settings_.file_descriptors / 3));
       limits.event_wait_ms = control::kMaxEventWaitMs;
       control_ = std::make_unique<ControlListener>(io_, *endpoint, limits,
                                                    [this](Command command, ControlListener::Reply reply) {
@@ -332,17 +333,17 @@
 
 void Core::Impl::UpdateMetrics() {
   const consensus::Replica* replica = replica_.replica();
-  metrics_.leads.Set(replica_.IsLeader() ? 1 : 0);
+  metrics_.is_leader.Set(replica_.IsLeader() ? 1 : 0);
   metrics_.term.Set(replica ? static_cast<double>(replica->term()) : 0);
   metrics_.committed_entry.Set(static_cast<double>(replica_.committed_entry().index));
-  metrics_.version.Set(static_cast<double>(replica_.ledger().newest().version()));
+  metrics_.configuration_version.Set(static_cast<double>(replica_.ledger().newest().version()));
   metrics_.sidecars.Set(static_cast<double>(replica_.herald().ActiveSidecars(loop_.Now())));
 }
 
 // ---- links from other cores and from sidecars
 
 void Core::Impl::OnAccepted(const std::shared_ptr<Link>& link) {
-  if (stopping_ || incoming_.size() >= static_cast<std::size_t>(settings_.descriptors / 2)) {
+  if (stopping_ || incoming_.size() >= static_cast<std::size_t>(settings_.file_descriptors / 2)) {
     ++counters_.refused_links;
     link->Close();
     return;
@@ -406,7 +407,7 @@
 
 void Core::Impl::OnHello(std::uint64_t from, std::string_view frame) {
   auto hello = transport::Unpack<transport::Hello>(frame);
-  const bool good = hello.ok() && transport::Understood(*hello);
+  const bool good = hello.ok() && transport::IsCompatible(*hello);
   const bool wanted =
       good && (hello->purpose == transport::Purpose::kControl ||
                (hello->purpose == transport::Purpose::kCore && merlinrun::net::ParseAddress(hello->address)));
--- a/src/mesh/node/peer_links.cpp
+++ b/src/mesh/node/peer_links.cpp
@@ -35,13 +35,13 @@
 }
 
 bool PeerLinks::Send(const PeerId& to, std::string_view frame) {
-  if (to == hello_.address || frame.size() > transport::kMostFrame) return false;
+  if (to == hello_.address || frame.size() > transport::kMaxFrameBytes) return false;
   const Micros now = loop_.Now();
   Peer& peer = Find(to);
   peer.used_at = now;
   if (!peer.link && now >= peer.retry_at) Dial(to, peer);
   if (!peer.link) return false;
-  if (peer.link->queued() + frame.size() > kMostToPeer) return false;
+  if (peer.link->queued_bytes() + frame.size() > kMostToPeer) return false;
   return peer.link->Send(frame);
 }
 
@@ -100,7 +100,7 @@
 std::size_t PeerLinks::queued() const {
   std::size_t queued = 0;
   for (const auto& [id, peer] : peers_) {
-    if (peer.link && peer.link->connected()) queued += peer.link->queued();
+    if (peer.link && peer.link->connected()) queued += peer.link->queued_bytes();
   }
   return queued;
 }
--- a/src/mesh/node/sidecar.cpp
+++ b/src/mesh/node/sidecar.cpp
@@ -17,7 +17,7 @@
 #include "mesh/egress/http_server.hpp"
 #include "mesh/egress/inbound_proxy_client.hpp"
 #include "mesh/egress/outbound_proxy.hpp"
-#include "mesh/gossip/io/datagrams.hpp"
+#include "mesh/gossip/io/udp_socket.hpp"
 #include "mesh/gossip/view.hpp"
 #include "mesh/ingress/inbound_proxy.hpp"
 #include "mesh/metrics/request_metrics.hpp"
@@ -77,7 +77,7 @@
         loop_(io),
         settings_(settings),
         life_(life),
-        self_(settings.Internal().Text()),
+        self_(settings.InternalAddress().Text()),
         gauge_(
             {settings.bounds.quota_window_s, settings.bounds.quota_overshoot, settings.bounds.quota_slack}),
         client_(ClientSettings(), *this),
@@ -103,7 +103,7 @@
   absl::Status Start() {
     try {
       const auto& listen = settings_.listen;
-      const settings::Address internal = settings_.InternalListen();
+      const settings::Address internal = settings_.InternalListenAddress();
       listener_ = std::make_unique<transport::Listener>(
           io_, internal.ip, internal.port, transport::Link::Limits{},
           [this](const std::shared_ptr<transport::Link>& link) { OnLink(link); });
@@ -137,10 +137,10 @@
     metrics_endpoint_ = OpenMetricsEndpoint(io_, settings_.ip, metrics_address_, registry_);
     // A second way only: without it everything goes on.
     auto datagrams =
-        gossip::Datagrams::Open(io_, settings_.ip, static_cast<std::uint16_t>(settings_.first_port + 1),
+        gossip::UdpSocket::Open(io_, settings_.ip, static_cast<std::uint16_t>(settings_.first_port + 1),
                                 [this](const std::string& from, std::string_view bytes) {
                                   const Micros now = loop_.Now();
-                                  view_.SetKnown(now, client_.entry(), client_.ResponsiveCores(now));
+                                  view_.SetLocalState(now, client_.entry(), client_.ResponsiveCores(now));
                                   view_.OnDatagram(now, from, bytes);
                                 });
     if (datagrams.ok())
@@ -154,7 +154,7 @@
   void OnSettings(const settings::Settings& settings) {
     // Seeds are where it first asks; what is known by now is at least as new. A restart reads them anew.
     settings_.seeds = settings.seeds;
-    client_.SetSeeds(settings_.SeedInternals());
+    client_.SetSeeds(settings_.SeedInternalAddresses());
   }
 
   void Stop(std::function<void()> done) {
@@ -215,7 +215,7 @@
                           {"gossip",
                            {{"neighbours", view_.neighbours().size()},
                             {"sent", view_.counters().sent},
-                            {"read", view_.counters().read},
+                            {"read", view_.counters().received},
                             {"malformed", view_.counters().malformed},
                             {"overRate", view_.counters().over_rate},
                             {"lostNeighbours", view_.counters().lost_neighbours}}}};
@@ -231,7 +231,7 @@
   push::Client::Settings ClientSettings() {
     push::Client::Settings out;
     out.sidecar = {settings_.node_name, life_, self_, settings_.zone, settings_.service};
-    out.seeds = settings_.SeedInternals();
+    out.seeds = settings_.SeedInternalAddresses();
     out.seed = life_ ^ 0x5eed;
     out.demand = [this](Micros now) { return gauge_.TakeDemand(now); };
     out.held_shares = [this](Micros now) { return gauge_.HeldShares(now); };
@@ -268,7 +268,7 @@
     void OnCores(const std::vector<std::string>& cores) override {
       for (const std::string& core : cores) mine.client_.AddCoreHint(core);
     }
-    void OnNewer(std::uint64_t) override { mine.client_.RequestNewerState(mine.loop_.Now()); }
+    void OnNewerEntry(std::uint64_t) override { mine.client_.RequestNewerState(mine.loop_.Now()); }
     Impl& mine;
   };
 
@@ -337,7 +337,7 @@
       if (mine == nullptr) return;
       young_.erase(mine);
       const auto hello = transport::Unpack<transport::Hello>(frame);
-      if (!hello.ok() || !transport::Understood(*hello) || hello->purpose != transport::Purpose::kHop) {
+      if (!hello.ok() || !transport::IsCompatible(*hello) || hello->purpose != transport::Purpose::kHop) {
         ++bad_links_;
         return mine->Close();
       }
@@ -359,12 +359,12 @@
       if (client_.snapshot().revision != introduced_ && now - introduced_at_ >= kIntroduceEvery) {
         introduced_ = client_.snapshot().revision;
         introduced_at_ = now;
-        std::vector<gossip::View::Introduction> sidecars;
+        std::vector<gossip::View::Candidate> sidecars;
         for (const auto& sidecar : client_.snapshot().sidecars)
           sidecars.push_back({sidecar.name, GossipAddress(sidecar.internal_address)});
-        view_.SetIntroductions(sidecars);
+        view_.SetCandidates(sidecars);
       }
-      view_.SetKnown(now, client_.entry(), client_.ResponsiveCores(now));
+      view_.SetLocalState(now, client_.entry(), client_.ResponsiveCores(now));
       view_.OnTick(now);
     }
     if (now - hops_ticked_ > 1000 * kMs) {
@@ -514,7 +514,7 @@
   push::Client client_;
   Advice advice_{*this};
   gossip::View view_;
-  std::unique_ptr<gossip::Datagrams> datagrams_;
+  std::unique_ptr<gossip::UdpSocket> datagrams_;
   std::uint64_t introduced_ = 0;  // listing number
   Micros introduced_at_ = -kIntroduceEvery;
   std::map<std::string, std::shared_ptr<transport::Link>> links_;
--- a/src/mesh/settings/schema.cpp
+++ b/src/mesh/settings/schema.cpp
@@ -26,9 +26,10 @@
     case json::value_t::array:
       return value.empty() ? "an empty list" : "a list";
     case json::value_t::string:
-      return secret ? "a string" : absl::StrCat("\"", Line(value.get_ref<const std::string&>()), "\"");
+      return secret ? "a string"
+                    : absl::StrCat("\"", PrintableLine(value.get_ref<const std::string&>()), "\"");
     default:
-      return Line(value.dump());
+      return PrintableLine(value.dump());
   }
 }
 
@@ -47,7 +48,7 @@
 
 void Join(std::string& path, std::string_view name) {
   if (!path.empty()) path += '.';
-  path += Line(name);
+  path += PrintableLine(name);
 }
 
 // What `context` (the validator's: "<root>", then "[name]" or "[number]") leads to, in words.
@@ -119,7 +120,8 @@
     if (!results.popError(error)) error.context.clear();  // the first is the innermost
     return absl::InvalidArgumentError(Say(compiled_->text, value, error.context, above));
   } catch (const std::exception& e) {
-    return absl::InvalidArgumentError(absl::StrCat(above, ": can't be checked: ", Line(e.what(), 200)));
+    return absl::InvalidArgumentError(
+        absl::StrCat(above, ": can't be checked: ", PrintableLine(e.what(), 200)));
   }
 }
 
@@ -142,7 +144,7 @@
   }
 }
 
-std::string Line(std::string_view text, std::size_t most) {
+std::string PrintableLine(std::string_view text, std::size_t most) {
   std::string line(text.substr(0, most));
   for (char& c : line) {
     if (c < ' ' || c > '~') c = '?';  // also half of a character that was cut
--- a/src/mesh/settings/schema.hpp
+++ b/src/mesh/settings/schema.hpp
@@ -36,7 +36,7 @@
 void Normalize(nlohmann::json& value);
 
 // A line out of foreign text: at most `most` bytes of it, what can't be printed replaced.
-std::string Line(std::string_view text, std::size_t most = 40);
+std::string PrintableLine(std::string_view text, std::size_t most = 40);
 
 }  // namespace fennelhollow::settings
 
--- a/src/mesh/settings/settings.cpp
+++ b/src/mesh/settings/settings.cpp
@@ -208,7 +208,7 @@
     for (const auto& member : node) {
       if (!member.first.IsScalar()) continue;  // no field of ours has such a name
       const std::string& name = member.first.Scalar();
-      const std::string below = absl::StrCat(path, path.empty() ? "" : ".", Line(name));
+      const std::string below = absl::StrCat(path, path.empty() ? "" : ".", PrintableLine(name));
       if (table.contains(name)) return Wrong(below, "it twice", "it once");
       auto value = FromYaml(member.second, below, depth + 1, nodes);
       if (!value.ok()) return value;
@@ -236,7 +236,8 @@
       return absl::OkStatus();
     }
   }
-  return Wrong(path, absl::StrCat("\"", Line(text), "\""), "an address ip:port (IPv4, port from 1 to 65535)");
+  return Wrong(path, absl::StrCat("\"", PrintableLine(text), "\""),
+               "an address ip:port (IPv4, port from 1 to 65535)");
 }
 
 template <class T>
@@ -265,7 +266,8 @@
   settings.serves = self["serves"].get<std::vector<std::string>>();
   settings.ip = self["ipAddress"].get<std::string>();
   if (!IsIp(settings.ip)) {
-    return Wrong("selfNode.ipAddress", absl::StrCat("\"", Line(settings.ip), "\""), "an IPv4 address");
+    return Wrong("selfNode.ipAddress", absl::StrCat("\"", PrintableLine(settings.ip), "\""),
+                 "an IPv4 address");
   }
   Take(self, "role", settings.role);
   Take(self, "machineClass", settings.machine_class);
@@ -278,7 +280,7 @@
   const json& limits = Table(self, "limits");
   Take(limits, "cpuShare", settings.cpu_share);
   Take(limits, "memoryMb", settings.memory_mb);
-  Take(limits, "fileDescriptors", settings.descriptors);
+  Take(limits, "fileDescriptors", settings.file_descriptors);
   Take(limits, "diskMb", settings.disk_mb);
   if (self.contains("applicationAddress")) {
     const auto read =
@@ -319,16 +321,16 @@
 
 }  // namespace
 
-std::vector<std::string> Settings::SeedInternals() const {
+std::vector<std::string> Settings::SeedInternalAddresses() const {
   std::vector<std::string> out;
   out.reserve(seeds.size());
   for (const Address& seed : seeds) out.push_back(Address{seed.ip, first_port}.Text());
   return out;
 }
 
-Address Settings::InternalListen() const {
+Address Settings::InternalListenAddress() const {
   const auto told = listen.find("internal");
-  return told == listen.end() ? Internal() : told->second;
+  return told == listen.end() ? InternalAddress() : told->second;
 }
 
 bool Settings::Serves(std::string_view what) const {
@@ -348,9 +350,9 @@
     if (!checked.ok()) return checked;
     return Read(*file);
   } catch (const YAML::Exception& e) {
-    return Wrong(absl::StrCat("line ", e.mark.line + 1), Line(e.msg, 120), "YAML");
+    return Wrong(absl::StrCat("line ", e.mark.line + 1), PrintableLine(e.msg, 120), "YAML");
   } catch (const std::exception& e) {
-    return Wrong("the whole", Line(e.what(), 120), "settings");
+    return Wrong("the whole", PrintableLine(e.what(), 120), "settings");
   }
 }
 
--- a/src/mesh/settings/settings.hpp
+++ b/src/mesh/settings/settings.hpp
@@ -42,18 +42,18 @@
   std::map<std::string, std::string> zones;  // zone -> region
   std::int64_t heartbeat_interval_ms = 1500;
   double cpu_share = 1;
-  std::int64_t memory_mb = 256, descriptors = 1024, disk_mb = 0;
+  std::int64_t memory_mb = 256, file_descriptors = 1024, disk_mb = 0;
   int machine_losses = 1;
   Bounds bounds;
   bool Serves(std::string_view what) const;
   bool HasDisk() const { return !data_directory.empty(); }
   // Where other processes of the system reach this one, and where its seeds do: every machine uses the same
   // ports.
-  Address Internal() const { return {ip, first_port}; }
+  Address InternalAddress() const { return {ip, first_port}; }
   // Where it listens for them: the same, unless listenAddresses.internal names another one, to which a relay
   // in between passes on.
-  Address InternalListen() const;
-  std::vector<std::string> SeedInternals() const;
+  Address InternalListenAddress() const;
+  std::vector<std::string> SeedInternalAddresses() const;
 };
 
 // Unknown fields are passed over. kInvalidArgument with one plain line that says which field is wrong, and
--- a/src/mesh/transport/codec.hpp
+++ b/src/mesh/transport/codec.hpp
@@ -37,7 +37,7 @@
   }
 };
 // Whether it is from a program that speaks as this one does.
-inline bool Understood(const Hello& hello) {
+inline bool IsCompatible(const Hello& hello) {
   return hello.magic == Hello{}.magic && hello.version == kVersion;
 }
 
@@ -45,23 +45,23 @@
 // bring: cereal's own input makes room for a claimed length before it has read a byte.
 class Reader : public cereal::InputArchive<Reader, cereal::AllowEmptyClassElision> {
  public:
-  explicit Reader(std::string_view bytes) : InputArchive(this), rest_(bytes) {
+  explicit Reader(std::string_view bytes) : InputArchive(this), remaining_(bytes) {
     unsigned char little = 0;
-    Take(&little, 1);
+    ReadBytes(&little, 1);
     if (little > 1) throw cereal::Exception("neither byte order");
     swap_ = (little == 1) != (std::endian::native == std::endian::little);
   }
-  std::size_t rest() const { return rest_.size(); }
+  std::size_t remaining() const { return remaining_.size(); }
 
-  void Take(void* to, std::size_t n) {
-    Need(n);
-    if (n > 0) std::memcpy(to, rest_.data(), n);
-    rest_.remove_prefix(n);
+  void ReadBytes(void* to, std::size_t n) {
+    Require(n);
+    if (n > 0) std::memcpy(to, remaining_.data(), n);
+    remaining_.remove_prefix(n);
   }
   template <class T>
-  void TakeNumber(T& value) {
+  void ReadNumber(T& value) {
     unsigned char bytes[sizeof(T)];
-    Take(bytes, sizeof bytes);
+    ReadBytes(bytes, sizeof bytes);
     if (swap_) std::reverse(bytes, bytes + sizeof bytes);
     if constexpr (std::is_same_v<T, bool>) {
       if (bytes[0] > 1) throw cereal::Exception("neither true nor false");
@@ -71,25 +71,25 @@
     }
   }
   // A count of what takes a byte each at least.
-  std::size_t TakeCount() {
+  std::size_t ReadCount() {
     std::uint64_t count = 0;
-    TakeNumber(count);
-    Need(count);
+    ReadNumber(count);
+    Require(count);
     return static_cast<std::size_t>(count);
   }
 
  private:
-  void Need(std::uint64_t n) const {
-    if (n > rest_.size()) throw cereal::Exception("more is claimed than has come");
+  void Require(std::uint64_t n) const {
+    if (n > remaining_.size()) throw cereal::Exception("more is claimed than has come");
   }
-  std::string_view rest_;
+  std::string_view remaining_;
   bool swap_ = false;
 };
 
 // The names are cereal's.
 template <class T>
 std::enable_if_t<std::is_arithmetic_v<T>> CEREAL_LOAD_FUNCTION_NAME(Reader& a, T& value) {
-  a.TakeNumber(value);
+  a.ReadNumber(value);
 }
 template <class T>
 void CEREAL_SERIALIZE_FUNCTION_NAME(Reader& a, cereal::NameValuePair<T>& pair) {
@@ -97,17 +97,17 @@
 }
 template <class T>
 void CEREAL_SERIALIZE_FUNCTION_NAME(Reader& a, cereal::SizeTag<T>& tag) {
-  tag.size = a.TakeCount();
+  tag.size = a.ReadCount();
 }
 inline void CEREAL_LOAD_FUNCTION_NAME(Reader& a, std::string& text) {
-  text.resize(a.TakeCount());
-  a.Take(text.data(), text.size());
+  text.resize(a.ReadCount());
+  a.ReadBytes(text.data(), text.size());
 }
 // Grows with what has come: an element may take far more room here than in the frame.
 template <class T, class Allocator>
 void CEREAL_LOAD_FUNCTION_NAME(Reader& a, std::vector<T, Allocator>& list) {
   list.clear();
-  for (std::size_t left = a.TakeCount(); left > 0; --left) a(list.emplace_back());
+  for (std::size_t left = a.ReadCount(); left > 0; --left) a(list.emplace_back());
 }
 
 template <class T>
@@ -138,7 +138,7 @@
   try {
     Reader reader(bytes);
     reader(value);
-    if (reader.rest() > 0) return absl::DataLossError("a frame has more bytes than it should");
+    if (reader.remaining() > 0) return absl::DataLossError("a frame has more bytes than it should");
   } catch (const std::exception&) {  // cereal's own, and length errors of what it fills
     return absl::DataLossError("a frame can't be read");
   }
--- a/src/mesh/transport/link.cpp
+++ b/src/mesh/transport/link.cpp
@@ -56,7 +56,7 @@
 Link::Link(std::unique_ptr<Impl> impl) : impl_(std::move(impl)) {}
 Link::~Link() = default;
 
-std::shared_ptr<Link> Link::Build(Tcp::socket socket, Limits limits) {
+std::shared_ptr<Link> Link::FromSocket(Tcp::socket socket, Limits limits) {
   auto impl = std::make_unique<Impl>(std::move(socket), limits);
   impl->SetOptions();
   impl->up = true;
@@ -77,14 +77,14 @@
   impl.timer.async_wait([weak = link->weak_from_this()](ErrorCode stopped) {
     const auto self = weak.lock();
     if (stopped || self == nullptr || self->impl_->up || self->impl_->closed) return;
-    self->Fall();
+    self->CloseLater();
   });
   impl.socket.async_connect(to, [weak = link->weak_from_this()](ErrorCode failed) {
     const auto self = weak.lock();
     if (self == nullptr || self->impl_->closed) return;
     Impl& mine = *self->impl_;
     mine.timer.cancel();
-    if (failed) return self->Fall();
+    if (failed) return self->CloseLater();
     mine.up = true;
     mine.SetOptions();
     self->Read();
@@ -96,22 +96,22 @@
 void Link::Start(Events events) {
   impl_->events = std::move(events);
   impl_->started = true;
-  if (impl_->closed) return TellClosed();
+  if (impl_->closed) return NotifyClosed();
   if (impl_->up) Read();
 }
 
 void Link::SetEvents(Events events) { impl_->events = std::move(events); }
 
-void Link::Fall() {
+void Link::CloseLater() {
   if (std::exchange(impl_->closed, true)) return;
   impl_->timer.cancel();
   ErrorCode ignored;
   impl_->socket.close(ignored);
-  if (impl_->started) TellClosed();
+  if (impl_->started) NotifyClosed();
 }
 
 // In a later turn, unless the link is closed by its owner before that.
-void Link::TellClosed() {
+void Link::NotifyClosed() {
   asio::post(impl_->socket.get_executor(), [self = shared_from_this()] {
     const Events told = std::exchange(self->impl_->events, {});
     if (told.on_closed) told.on_closed();
@@ -125,7 +125,7 @@
   mine.socket.async_wait(Tcp::socket::wait_read, [self = shared_from_this()](ErrorCode error) {
     self->impl_->reading = false;
     if (self->impl_->closed) return;
-    if (error) return self->Fall();
+    if (error) return self->CloseLater();
     self->OnReadable();
   });
 }
@@ -136,23 +136,23 @@
     ErrorCode error;
     const std::size_t n = mine.socket.read_some(asio::buffer(ReadBuffer()), error);
     if (error == asio::error::would_block || error == asio::error::try_again) break;
-    if (error) return Fall();
+    if (error) return CloseLater();
     // What is handed out stays valid while callbacks read other links: it is copied off the common buffer.
     mine.in.append(ReadBuffer().data(), n);
-    if (!TakeFrames()) return;
-    if (n < kReadAtOnce) break;
+    if (!DispatchFrames()) return;
+    if (n < kReadBufferBytes) break;
   }
   Read();
 }
 
 // False if the link has closed.
-bool Link::TakeFrames() {
+bool Link::DispatchFrames() {
   Impl& mine = *impl_;
   std::size_t at = 0;
   while (!mine.closed && !mine.paused && mine.in.size() - at >= kLength) {
     const std::size_t length = LengthOf(mine.in.data() + at);
-    if (length > kMostFrame) {
-      Fall();
+    if (length > kMaxFrameBytes) {
+      CloseLater();
       return false;
     }
     if (mine.in.size() - at - kLength < length) break;
@@ -165,15 +165,15 @@
   }
   if (mine.closed) return false;
   mine.in.erase(0, at);
-  if (mine.in.empty() && mine.in.capacity() > kReadAtOnce) std::string().swap(mine.in);
+  if (mine.in.empty() && mine.in.capacity() > kReadBufferBytes) std::string().swap(mine.in);
   return true;
 }
 
 bool Link::Send(std::string_view frame) {
   Impl& mine = *impl_;
   if (mine.closed) return false;
-  if (queued() + frame.size() > mine.limits.most_queued || frame.size() > kMostFrame) {
-    Fall();
+  if (queued_bytes() + frame.size() > mine.limits.max_queued_bytes || frame.size() > kMaxFrameBytes) {
+    CloseLater();
     return false;
   }
   if (mine.written > 0 && mine.written == mine.out.size()) mine.out.clear(), mine.written = 0;
@@ -182,12 +182,12 @@
                                 static_cast<char>(n >> 8), static_cast<char>(n)};
   mine.out.append(length, kLength);
   mine.out.append(frame);
-  FlushLater();
+  ScheduleFlush();
   return true;
 }
 
 // In a later turn, so that what is sent in one turn goes out in one piece.
-void Link::FlushLater() {
+void Link::ScheduleFlush() {
   Impl& mine = *impl_;
   if (!mine.up || mine.writing) return;
   mine.writing = true;
@@ -209,16 +209,16 @@
       mine.socket.async_wait(Tcp::socket::wait_write, [self = shared_from_this()](ErrorCode failed) {
         self->impl_->writing = false;
         if (self->impl_->closed) return;
-        if (failed) return self->Fall();
+        if (failed) return self->CloseLater();
         self->Flush();
       });
-      if (mine.written > kReadAtOnce) mine.out.erase(0, std::exchange(mine.written, 0));
+      if (mine.written > kReadBufferBytes) mine.out.erase(0, std::exchange(mine.written, 0));
       return;
     }
-    if (error) return Fall();
+    if (error) return CloseLater();
     mine.written += n;
   }
-  if (mine.out.capacity() > kReadAtOnce)
+  if (mine.out.capacity() > kReadBufferBytes)
     std::string().swap(mine.out);
   else
     mine.out.clear();
@@ -231,13 +231,13 @@
 
 bool Link::open() const { return !impl_->closed; }
 bool Link::connected() const { return impl_->up && !impl_->closed; }
-std::size_t Link::queued() const { return impl_->out.size() - impl_->written; }
+std::size_t Link::queued_bytes() const { return impl_->out.size() - impl_->written; }
 void Link::PauseReading() { impl_->paused = true; }
 void Link::ResumeReading() {
   if (!std::exchange(impl_->paused, false) || impl_->closed) return;
   asio::post(impl_->socket.get_executor(), [self = shared_from_this()] {
     if (self->impl_->closed || self->impl_->paused) return;
-    if (self->TakeFrames()) self->Read();
+    if (self->DispatchFrames()) self->Read();
   });
 }
 void Link::Close() {
@@ -261,7 +261,7 @@
     acceptor.async_accept([self = shared_from_this()](ErrorCode error, Tcp::socket socket) {
       if (!self->acceptor.is_open()) return;
       if (!error) {
-        if (const auto call = self->accepted) call(Link::Build(std::move(socket), self->limits));
+        if (const auto call = self->accepted) call(Link::FromSocket(std::move(socket), self->limits));
         return self->Accept();
       }
       // Guards against a loop that spins while descriptors are short.
--- a/src/mesh/transport/link.hpp
+++ b/src/mesh/transport/link.hpp
@@ -19,7 +19,7 @@
 using merlinrun::net::Tcp;
 
 // The largest frame that is taken; a larger one ends the connection.
-inline constexpr std::size_t kMostFrame = std::size_t{4} * 1024 * 1024;
+inline constexpr std::size_t kMaxFrameBytes = std::size_t{4} * 1024 * 1024;
 
 // One TCP connection that carries frames: four bytes of length (big endian), then so many bytes. One thread.
 class Link : public std::enable_shared_from_this<Link> {
@@ -30,12 +30,13 @@
     std::function<void()> on_drained;  // what had been queued is written; may be null
   };
   struct Limits {
-    std::size_t most_queued = std::size_t{16} * 1024 * 1024;  // a reader that is slower loses the connection
-    int user_timeout_ms = 2000;  // TCP_USER_TIMEOUT: a peer behind a cut says nothing
+    std::size_t max_queued_bytes =
+        std::size_t{16} * 1024 * 1024;  // a reader that is slower loses the connection
+    int user_timeout_ms = 2000;         // TCP_USER_TIMEOUT: a peer behind a cut says nothing
   };
 
   // Of a socket that is connected.
-  static std::shared_ptr<Link> Build(Tcp::socket socket, Limits limits);
+  static std::shared_ptr<Link> FromSocket(Tcp::socket socket, Limits limits);
   // Connects first; frames sent before it is up wait. on_closed if it is not up within `timeout_ms`.
   static std::shared_ptr<Link> Dial(asio::io_context& io, const Tcp::endpoint& to, int timeout_ms,
                                     Limits limits);
@@ -48,7 +49,7 @@
   bool Send(std::string_view frame);
   bool open() const;
   bool connected() const;
-  std::size_t queued() const;  // bytes that wait to be written
+  std::size_t queued_bytes() const;  // bytes that wait to be written
   // While paused nothing is read: the peer is held up.
   void PauseReading();
   void ResumeReading();
@@ -58,12 +59,12 @@
  private:
   class Impl;
   explicit Link(std::unique_ptr<Impl> impl);
-  void Fall();
-  void TellClosed();
+  void CloseLater();
+  void NotifyClosed();
   void Read();
   void OnReadable();
-  bool TakeFrames();
-  void FlushLater();
+  bool DispatchFrames();
+  void ScheduleFlush();
   void Flush();
   std::unique_ptr<Impl> impl_;
 };
--- a/src/mesh/transport/read_buffer.hpp
+++ b/src/mesh/transport/read_buffer.hpp
@@ -7,12 +7,12 @@
 
 namespace fennelhollow::transport {
 
-inline constexpr std::size_t kReadAtOnce = std::size_t{64} * 1024;
+inline constexpr std::size_t kReadBufferBytes = std::size_t{64} * 1024;
 
 // One for all connections of the thread, so that an idle one holds none. What was read is to be copied off it
 // before anything else is called.
-inline std::array<char, kReadAtOnce>& ReadBuffer() {
-  static thread_local std::array<char, kReadAtOnce> buffer;
+inline std::array<char, kReadBufferBytes>& ReadBuffer() {
+  static thread_local std::array<char, kReadBufferBytes> buffer;
   return buffer;
 }
 
--- a/tests/mesh/gossip_test.cpp
+++ b/tests/mesh/gossip_test.cpp
@@ -8,7 +8,7 @@
 #include <set>
 
 #include "loopback.hpp"
-#include "mesh/gossip/io/datagrams.hpp"
+#include "mesh/gossip/io/udp_socket.hpp"
 #include "mesh/gossip/view.hpp"
 
 namespace fennelhollow::gossip {
@@ -26,11 +26,11 @@
  public:
   struct Node : View::Sink {
     void Send(const std::string& to, const std::string& bytes) override {
-      CHECK(bytes.size() <= kMostDatagram);
+      CHECK(bytes.size() <= kMaxDatagramBytes);
       world->Post(address, to, bytes);
     }
     void OnCores(const std::vector<std::string>& told) override { cores.insert(told.begin(), told.end()); }
-    void OnNewer(std::uint64_t entry) override { newer = std::max(newer, entry); }
+    void OnNewerEntry(std::uint64_t entry) override { newer = std::max(newer, entry); }
     World* world = nullptr;
     std::string address;
     std::unique_ptr<View> view;
@@ -56,7 +56,7 @@
   // A few of them know one other each: a chain.
   void IntroduceChain() {
     for (int i = 1; i < static_cast<int>(nodes_.size()); ++i)
-      At(i).view->SetIntroductions({{"", AddressOf(i - 1)}});
+      At(i).view->SetCandidates({{"", AddressOf(i - 1)}});
   }
   void Post(const std::string& from, const std::string& to, const std::string& bytes) {
     if (lose_one_in_ > 0 && random_() % lose_one_in_ == 0) return;
@@ -122,15 +122,15 @@
       world.RunFor(kEvery);
       REQUIRE(world.Reached(true) == 200);
       REQUIRE(world.Reached(false) >= 198);  // along the links: one may be between two views
-      for (const auto& [address, degree] : world.InDegrees()) REQUIRE(degree <= 3 * kMostNeighbours);
+      for (const auto& [address, degree] : world.InDegrees()) REQUIRE(degree <= 3 * kMaxNeighbours);
     }
     std::size_t few = 0, links = 0;
     for (const auto& [address, degree] : world.InDegrees()) few += degree < 2, links += degree;
     CHECK(few <= 4);
     CHECK(links >=
-          200 * kMostNeighbours * 98 / 100);  // one dropped by losses is replaced with the next shuffle
+          200 * kMaxNeighbours * 98 / 100);  // one dropped by losses is replaced with the next shuffle
     for (const auto& [address, node] : world.nodes_) {
-      CHECK(node->view->neighbours().size() >= kMostNeighbours - 2);
+      CHECK(node->view->neighbours().size() >= kMaxNeighbours - 2);
       CHECK(node->view->counters().sent < 100 * 4);  // about two asks and two answers a period at most
       std::set<std::string> once;
       for (const auto& n : node->view->neighbours()) CHECK(once.insert(n.address).second);
@@ -152,14 +152,14 @@
   World world(200, 4);
   world.IntroduceChain();
   world.RunFor(40 * kEvery);
-  for (auto& [address, node] : world.nodes_) node->view->SetKnown(world.now_, 40, {});
+  for (auto& [address, node] : world.nodes_) node->view->SetLocalState(world.now_, 40, {});
   world.RunFor(4 * kEvery);
   for (auto& [address, node] : world.nodes_) CHECK(node->newer == 0);
-  world.At(77).view->SetKnown(world.now_, 41, {});
+  world.At(77).view->SetLocalState(world.now_, 41, {});
   world.RunFor(8 * kEvery);
   for (auto& [address, node] : world.nodes_) CHECK((node->newer == 41 || node->address == AddressOf(77)));
   world.nodes_.erase(AddressOf(77));
-  world.RunFor(kForgetEntry + 4 * kEvery);
+  world.RunFor(kEntryExpiry + 4 * kEvery);
   for (auto& [address, node] : world.nodes_) node->newer = 0;
   world.RunFor(8 * kEvery);
   for (auto& [address, node] : world.nodes_) CHECK(node->newer == 0);
@@ -168,11 +168,11 @@
 TEST_CASE("one whose cores have all gone learns of others, no one of those that it hears itself") {
   World world(40, 5);
   world.IntroduceChain();
-  world.At(7).view->SetKnown(0, 1, {"10.9.0.1:7000", "10.9.0.2:7000"});
+  world.At(7).view->SetLocalState(0, 1, {"10.9.0.1:7000", "10.9.0.2:7000"});
   world.RunFor(10 * kEvery);
   for (int period = 0; period < 40; ++period) {
     for (int i = 0; i < 40; ++i) {
-      if (i != 7) world.At(i).view->SetKnown(world.now_, 1, {"10.9.1.1:7000", "10.9.1.2:7000"});
+      if (i != 7) world.At(i).view->SetLocalState(world.now_, 1, {"10.9.1.1:7000", "10.9.1.2:7000"});
     }
     world.RunFor(kEvery / 2);
   }
@@ -182,7 +182,7 @@
   for (int i = 0; i < 40; ++i) world.At(i).cores.clear();
   // Those of before are forgotten; of its own nobody is told.
   for (int step = 0; step < 20; ++step) {
-    for (int i = 0; i < 40; ++i) world.At(i).view->SetKnown(world.now_, 1, {"10.9.1.1:7000"});
+    for (int i = 0; i < 40; ++i) world.At(i).view->SetLocalState(world.now_, 1, {"10.9.1.1:7000"});
     world.RunFor(kEvery / 2);
   }
   for (int i = 0; i < 40; ++i) {
@@ -208,16 +208,16 @@
 struct Kept : View::Sink {
   void Send(const std::string& to, const std::string& bytes) override { sent.emplace_back(to, bytes); }
   void OnCores(const std::vector<std::string>& cores) override { told += cores.size(); }
-  void OnNewer(std::uint64_t) override { ++told; }
+  void OnNewerEntry(std::uint64_t) override { ++told; }
   std::vector<std::pair<std::string, std::string>> sent;
   std::size_t told = 0;
 };
 
 Message FullAsk() {
   Message ask;
-  ask.name = std::string(kMostName, 'n');
+  ask.name = std::string(kMaxNameBytes, 'n');
   ask.entry = 5;
-  for (int i = 0; i < 4; ++i) ask.sidecars.push_back({std::string(kMostName, 's'), AddressOf(10 + i), 0});
+  for (int i = 0; i < 4; ++i) ask.sidecars.push_back({std::string(kMaxNameBytes, 's'), AddressOf(10 + i), 0});
   for (int i = 0; i < 8; ++i) ask.cores.push_back({"", "100.100.100.10" + std::to_string(i) + ":17000", 0});
   return ask;
 }
@@ -227,8 +227,8 @@
   View view({"me", AddressOf(0), 1}, sink);
   std::mt19937 random(7);
   const std::string good = Serialize(FullAsk());
-  CHECK(good.size() <= kMostDatagram);
-  std::vector<std::string> bad = {"", std::string(kMostDatagram + 1, 'x'), good + "x", good.substr(1)};
+  CHECK(good.size() <= kMaxDatagramBytes);
+  std::vector<std::string> bad = {"", std::string(kMaxDatagramBytes + 1, 'x'), good + "x", good.substr(1)};
   for (std::size_t n = 0; n < good.size(); n += 7) bad.push_back(good.substr(0, n));
   for (std::size_t i = 0; i < 8 * good.size(); i += 3) {  // one bit
     bad.push_back(good);
@@ -244,7 +244,7 @@
     bad.push_back(Serialize(message));
   };
   with([](Message& m) { m.kind = static_cast<Kind>(3); });
-  with([](Message& m) { m.name.clear(), m.name.resize(kMostName + 1); });
+  with([](Message& m) { m.name.clear(), m.name.resize(kMaxNameBytes + 1); });
   with([](Message& m) { m.sidecars.push_back({"", AddressOf(1), 0}); });
   with([](Message& m) { m.cores.push_back({"", AddressOf(1), 0}); });
   for (const char* address : {"", "1.2.3.4", "1.2.3.4:0", "1.2.3.4:65536", "1.2.3:5", "1.2.3.256:5",
@@ -256,7 +256,7 @@
   view.OnDatagram(now += 10 * kMs, AddressOf(0), good);  // from itself
   CHECK(view.counters().malformed == bad.size() + 1);
   Message answer = FullAsk();
-  answer.kind = Kind::kAnswer;
+  answer.kind = Kind::kResponse;
   view.OnDatagram(now += 10 * kMs, AddressOf(1), Serialize(answer));
   CHECK(view.counters().unexpected == 1);
   CHECK(sink.sent.empty());
@@ -278,7 +278,7 @@
   for (int i = 0; i < 4000; ++i) {
     now += 3 * kMs;
     Message ask = i % 3 == 0 ? FullAsk() : small;
-    ask.number = static_cast<std::uint64_t>(i);
+    ask.request_id = static_cast<std::uint64_t>(i);
     const std::string bytes = Serialize(ask);
     const std::string from = AddressOf(20 + i % 100);
     sink.sent.clear();
@@ -291,8 +291,8 @@
     view.OnTick(now);
     sent.insert(sent.end(), sink.sent.size(), now);
     while (now - sent.front() >= 1'000'000) sent.pop_front();
-    REQUIRE(sent.size() <= kMostSent);
-    CHECK(view.neighbours().size() <= kMostNeighbours);
+    REQUIRE(sent.size() <= kMaxSentPerSecond);
+    CHECK(view.neighbours().size() <= kMaxNeighbours);
   }
   CHECK(view.counters().over_rate > 0);
 }
@@ -302,15 +302,15 @@
   struct End : View::Sink {
     void Send(const std::string& to, const std::string& bytes) override { socket->Send(to, bytes); }
     void OnCores(const std::vector<std::string>&) override {}
-    void OnNewer(std::uint64_t entry) override { newer = entry; }
-    std::unique_ptr<Datagrams> socket;
+    void OnNewerEntry(std::uint64_t entry) override { newer = entry; }
+    std::unique_ptr<UdpSocket> socket;
     std::unique_ptr<View> view;
     std::string address;
     std::uint64_t newer = 0;
   } a, b;
   Micros now = 0;
   for (End* end : {&a, &b}) {
-    auto socket = Datagrams::Open(
+    auto socket = UdpSocket::Open(
         io, "127.0.0.1", 0,
         [&now, end](const std::string& from, std::string_view d) { end->view->OnDatagram(now, from, d); });
     REQUIRE(socket.ok());
@@ -318,13 +318,13 @@
     end->address = "127.0.0.1:" + std::to_string(end->socket->port());
     end->view = std::make_unique<View>(View::Settings{"x", end->address, 1}, *end);
   }
-  CHECK_FALSE(Datagrams::Open(io, "127.0.0.1", a.socket->port(), {}).ok());
+  CHECK_FALSE(UdpSocket::Open(io, "127.0.0.1", a.socket->port(), {}).ok());
   a.socket->Send(b.address, std::string(1500, 'x'));
   a.socket->Send("127.0.0.1:1", "nobody there");
   a.socket->Send("nowhere", "x");
-  CHECK(a.socket->unsent() == 1);
-  a.view->SetIntroductions({{"b", b.address}});
-  a.view->SetKnown(now, 9, {});
+  CHECK(a.socket->send_failures() == 1);
+  a.view->SetCandidates({{"b", b.address}});
+  a.view->SetLocalState(now, 9, {});
   a.view->OnTick(now);
   a.view->OnTick(now += kEvery);
   CHECK(loopback::RunUntil(io, [&] { return !a.view->neighbours().empty(); }));
--- a/tests/mesh/metrics_request_test.cpp
+++ b/tests/mesh/metrics_request_test.cpp
@@ -41,7 +41,7 @@
   const auto families = registry.Collect();
   std::size_t series = 0;
   for (const auto& family : families) series += family.metric.size();
-  CHECK(series == kMostRoutes + 1);
+  CHECK(series == kMaxRoutes + 1);
   CHECK(Contains(Text(registry), "route=\"other\"} 9744"));
 }
 
--- a/tests/mesh/settings_test.cpp
+++ b/tests/mesh/settings_test.cpp
@@ -90,7 +90,7 @@
   CHECK(read->first_start);
   CHECK_FALSE(read->HasDisk());
   CHECK(read->cpu_share == 0.2);
-  CHECK(std::vector{read->memory_mb, read->descriptors, read->disk_mb} ==
+  CHECK(std::vector{read->memory_mb, read->file_descriptors, read->disk_mb} ==
         std::vector<std::int64_t>{260, 4100, 0});
   CHECK(read->application == Address{"10.1.0.40", 8103});
   CHECK(read->listen == std::map<std::string, Address>{{"inbound", {"10.1.0.40", 8109}},
@@ -185,14 +185,14 @@
 TEST_CASE("other processes are listened for where they are told to come, unless another address is named") {
   const auto plain = Parse(kFile);
   REQUIRE(plain.ok());
-  CHECK(plain->InternalListen() == Address{"10.1.0.40", 7640});
+  CHECK(plain->InternalListenAddress() == Address{"10.1.0.40", 7640});
   std::string relayed = kFile;
   const std::string before = "    inbound: ";
   relayed.insert(relayed.find(before), "    internal: \"10.1.0.40:9000\"\n");
   const auto behind_relay = Parse(relayed);
   REQUIRE(behind_relay.ok());
-  CHECK(behind_relay->Internal() == Address{"10.1.0.40", 7640});
-  CHECK(behind_relay->InternalListen() == Address{"10.1.0.40", 9000});
+  CHECK(behind_relay->InternalAddress() == Address{"10.1.0.40", 7640});
+  CHECK(behind_relay->InternalListenAddress() == Address{"10.1.0.40", 9000});
 }
 
 }  // namespace
--- a/tests/mesh/transport_link_test.cpp
+++ b/tests/mesh/transport_link_test.cpp
@@ -42,7 +42,7 @@
 // A link and the raw end that it is connected to.
 struct Pair {
   Pair()
-      : acceptor(io, [this](Tcp::socket socket) { link = Link::Build(std::move(socket), {}); }),
+      : acceptor(io, [this](Tcp::socket socket) { link = Link::FromSocket(std::move(socket), {}); }),
         raw(RawConnection::Connect(io, acceptor.port())) {
     REQUIRE(RunUntil(io, [&] { return link != nullptr; }));
   }
@@ -95,7 +95,7 @@
 TEST_CASE("the largest frame goes both ways") {
   Pair pair;
   pair.Start();
-  const std::string big(kMostFrame, 'b');
+  const std::string big(kMaxFrameBytes, 'b');
   pair.raw->Write(Framed(big));
   REQUIRE(RunUntil(pair.io, [&] { return !pair.frames.empty(); }));
   CHECK(pair.frames[0] == big);
@@ -178,7 +178,7 @@
 TEST_CASE("a link closed between its fall and the telling of it tells nothing") {
   Pair pair;
   pair.Start();
-  CHECK_FALSE(pair.link->Send(std::string(kMostFrame + 1, 'x')));  // falls
+  CHECK_FALSE(pair.link->Send(std::string(kMaxFrameBytes + 1, 'x')));  // falls
   CHECK(pair.closed == 0);
   pair.link->Close();
   RunFor(pair.io, 20);
