--- a/tests/mesh/plain_fair_queue.hpp
+++ b/tests/mesh/plain_fair_queue.hpp
@@ -29,13 +29,11 @@
     return static_cast<std::size_t>(std::count_if(entries.begin(), entries.end(),
                                                   [&](const Entry& entry) { return entry.flow == flow; }));
   }
-  Given Build(const Flow& flow) const {
+  Given Of(const Flow& flow) const {
     const auto it = given.find(flow);
     return it == given.end() ? Given{} : it->second;
   }
-  double Start(const Flow& flow) const {
-    return std::clamp(Build(flow).finish, virtual_time, virtual_time + 8);
-  }
+  double Start(const Flow& flow) const { return std::clamp(Of(flow).finish, virtual_time, virtual_time + 8); }
   std::vector<Flow> Flows() const {
     std::vector<Flow> out;
     for (const Entry& entry : entries)
@@ -62,7 +60,7 @@
     for (const Flow& other : Flows()) {
       if (other == flow) continue;
       const double lead = start - Start(other);
-      if (lead < 0 || (lead == 0 && Build(other).last_turn >= Build(flow).last_turn)) continue;
+      if (lead < 0 || (lead == 0 && Of(other).last_turn >= Of(flow).last_turn)) continue;
       const double its_turns = std::max(1.0, std::ceil(lead / Cost(other)));
       const std::size_t before = std::min(Waiting(other), static_cast<std::size_t>(its_turns));
       turns_before += before;
@@ -94,7 +92,7 @@
     std::vector<Flow> flows = Flows();
     std::sort(flows.begin(), flows.end());
     const Flow least = *std::min_element(flows.begin(), flows.end(), [&](const Flow& a, const Flow& b) {
-      return std::pair(Start(a), Build(a).last_turn) < std::pair(Start(b), Build(b).last_turn);
+      return std::pair(Start(a), Of(a).last_turn) < std::pair(Start(b), Of(b).last_turn);
     });
     std::erase_if(in_time, [&](const Entry& entry) { return !(entry.flow == least); });
     if (!(taken.flow == least) && !in_time.empty()) {
--- a/tests/mesh/push_test.cpp
+++ b/tests/mesh/push_test.cpp
@@ -538,8 +538,9 @@
   world.Decide();
   world.RunFor(5 * kS);
   // Its own core lacks what is settled.
-  const auto away = std::find_if(world.sidecars_.begin(), world.sidecars_.end(),
-                                 [&](const auto& s) { return s.second->client->subscribed() != "core:0"; });
+  const auto away = std::find_if(world.sidecars_.begin(), world.sidecars_.end(), [&](const auto& s) {
+    return s.second->client->subscribed_core() != "core:0";
+  });
   REQUIRE(away != world.sidecars_.end());
   World::Sidecar& side = *away->second;
   world.Isolate(side.client->subscribed_core());
--- a/tests/mesh/storage_test.cpp
+++ b/tests/mesh/storage_test.cpp
@@ -30,7 +30,7 @@
   fs::path path;
 };
 
-PersistentState Build(std::uint64_t n) {
+PersistentState Of(std::uint64_t n) {
   PersistentState d;
   d.storage_id = 7;
   d.promised_term = n;
@@ -45,7 +45,7 @@
   const auto read = (*store)->Read();
   REQUIRE(read.ok());
   REQUIRE(read->has_value());
-  const PersistentState want = Build(n);
+  const PersistentState want = Of(n);
   const PersistentState& have = **read;
   REQUIRE((have.storage_id == want.storage_id && have.promised_term == n));
   REQUIRE((have.accepted.term == n && have.accepted.index == n + 1 &&
@@ -59,7 +59,7 @@
 void WriteTill(const std::string& folder, std::uint64_t n) {
   auto store = Store::Open(folder, kMost);
   REQUIRE(store.ok());
-  for (std::uint64_t i = 1; i <= n; ++i) REQUIRE((*store)->Write(Build(i)).ok());
+  for (std::uint64_t i = 1; i <= n; ++i) REQUIRE((*store)->Write(Of(i)).ok());
 }
 
 std::string ReadAll(const std::string& path) {
@@ -117,7 +117,7 @@
       const std::uint64_t have = (*read)->promised_term;
       REQUIRE((have == 4 || have == 1));
       fourth += have == 4 ? 1 : 0;
-      REQUIRE((*store)->Write(Build(6)).ok());
+      REQUIRE((*store)->Write(Of(6)).ok());
     }
     RequireIs(f.path, 6);
   }
@@ -160,7 +160,7 @@
   Folder f;
   WriteTill(f.path, 2);
   auto store = Store::Open(f.path, kMost);
-  PersistentState large = Build(3);
+  PersistentState large = Of(3);
   large.accepted.state.assign(kMost, 'x');
   for (int i = 0; i < 3; ++i) REQUIRE(absl::IsResourceExhausted((*store)->Write(large)));
   REQUIRE((*store)->Read()->value().promised_term == 2);
@@ -168,7 +168,7 @@
   RequireIs(f.path, 2);
   store = Store::Open(f.path, kMost);
   for (std::uint64_t i = 0; i < 40; ++i) {  // sizes that leave holes
-    large = Build(4 + i);
+    large = Of(4 + i);
     large.accepted.state.assign(100'000 + i * 7919 % 900'000, 'y');
     REQUIRE((*store)->Write(large).ok());
   }
