--- a/rig/sim/core_process.cpp
+++ b/rig/sim/core_process.cpp
@@ -168,7 +168,7 @@
   if (auto tell = from.starts_with("side") ? transport::Unpack<push::SidecarReport>(frame)
                                            : absl::StatusOr<push::SidecarReport>(absl::NotFoundError(""));
       tell.ok()) {
-    replica_.OnSidecarMessage(link, *tell);
+    replica_.OnSidecarReport(link, *tell);
   } else {
     replica_.OnPeerFrame(from, frame);
   }
--- a/rig/sim/world.cpp
+++ b/rig/sim/world.cpp
@@ -404,7 +404,7 @@
   if (entry < core.entry) throw Violation("CONFIG: a core goes back: " + process.address());
   core.entry = entry;
   Mark(entry);
-  judge_.OnCommitted(events_.now(), process.address(), entry, TextOf(replica.ledger()));
+  judge_.OnCommitted(events_.now(), process.address(), entry, TextOf(replica.replicated_state()));
 }
 
 void World::OnInForce(const Address& sidecar, std::uint64_t incarnation, std::uint64_t entry,
--- a/src/mesh/control/configuration_service.cpp
+++ b/src/mesh/control/configuration_service.cpp
@@ -60,7 +60,7 @@
   }
 }
 
-void ConfigurationService::OnVerdict(Micros now, std::uint64_t call, ChangeResult verdict) {
+void ConfigurationService::OnChangeResult(Micros now, std::uint64_t call, ChangeResult verdict) {
   if (changes_.empty()) return;
   Change& first = changes_.front();
   if (first.stage != Stage::kDeciding || first.call != call) return;  // its caller has been answered
--- a/src/mesh/control/configuration_service.hpp
+++ b/src/mesh/control/configuration_service.hpp
@@ -27,7 +27,7 @@
   virtual std::uint64_t CommittedIndex() const = 0;  // of the settled entry
   virtual std::string ConfigurationText()
       const = 0;  // its configuration as operators read it; empty: there is none yet
-  // Decides on top of the newest entry; ends in OnVerdict. False: no room now.
+  // Decides on top of the newest entry; ends in OnChangeResult. False: no room now.
   virtual bool EvaluateChange(std::uint64_t call, bool modify, std::shared_ptr<const std::string> body) = 0;
   // As consensus::Replica has them; both end in OnOutcome.
   virtual void Propose(std::uint64_t call, std::uint64_t on_top_of, std::string state) = 0;
@@ -64,7 +64,7 @@
   void Submit(Micros now, Micros deadline, bool modify, std::shared_ptr<const std::string> body, Done done);
   void Read(Micros now, Micros deadline, Done done);
 
-  void OnVerdict(Micros now, std::uint64_t call, configuration::ChangeResult verdict);
+  void OnChangeResult(Micros now, std::uint64_t call, configuration::ChangeResult verdict);
   void OnOutcome(Micros now, std::uint64_t call, consensus::Outcome outcome);
   void OnLeadership(Micros now);  // it leads now, or no longer
   void OnAcks(Micros now);        // a sidecar has a newer entry in force
--- a/src/mesh/control/control_replica.cpp
+++ b/src/mesh/control/control_replica.cpp
@@ -205,7 +205,7 @@
 
 void ControlReplica::OnPeerDown(const ReplicaId& peer) { forwarder_.OnPeerDown(host_.Now(), peer); }
 
-void ControlReplica::OnSidecarMessage(SidecarLink link, const push::SidecarReport& tell) {
+void ControlReplica::OnSidecarReport(SidecarLink link, const push::SidecarReport& tell) {
   herald_.OnReport(host_.Now(), link, tell);
   service_.OnAcks(host_.Now());
 }
@@ -290,7 +290,7 @@
         verdict->kind = configuration::ChangeResult::Kind::kInvalid;  // would not fit into a frame
         verdict->error = "the configuration would be too large";
       },
-      [this, call, verdict] { service_.OnVerdict(host_.Now(), call, std::move(*verdict)); });
+      [this, call, verdict] { service_.OnChangeResult(host_.Now(), call, std::move(*verdict)); });
 }
 
 void ControlReplica::Propose(std::uint64_t call, std::uint64_t on_top_of, std::string state) {
--- a/src/mesh/control/control_replica.hpp
+++ b/src/mesh/control/control_replica.hpp
@@ -70,7 +70,7 @@
   void OnPeerFrame(const ReplicaId& from, std::string_view frame);
   void OnPeerDown(const ReplicaId& peer);
   void OnWritten(std::uint64_t token, bool ok);
-  void OnSidecarMessage(SidecarLink link, const push::SidecarReport& tell);
+  void OnSidecarReport(SidecarLink link, const push::SidecarReport& tell);
   void OnSidecarDown(SidecarLink link);
   void OnTick();
   // An operator's call; `reply` is called once, within a second.
@@ -91,8 +91,8 @@
 
   const consensus::Replica* replica() const { return replica_.get(); }  // null before Start
   const consensus::Entry& committed_entry() const { return entry_; }    // committed last; without its state
-  const configuration::ReplicatedState& ledger() const { return *ledger_; }
-  const push::Publisher& herald() const { return herald_; }
+  const configuration::ReplicatedState& replicated_state() const { return *ledger_; }
+  const push::Publisher& publisher() const { return herald_; }
   push::EventLog& events() { return events_; }
   const ConfigurationService::Counters& service_counters() const { return service_.counters(); }
   const CallForwarder::Counters& forwarder_counters() const { return forwarder_.counters(); }
--- a/src/mesh/node/core.cpp
+++ b/src/mesh/node/core.cpp
@@ -336,8 +336,8 @@
   metrics_.is_leader.Set(replica_.IsLeader() ? 1 : 0);
   metrics_.term.Set(replica ? static_cast<double>(replica->term()) : 0);
   metrics_.committed_entry.Set(static_cast<double>(replica_.committed_entry().index));
-  metrics_.configuration_version.Set(static_cast<double>(replica_.ledger().newest().version()));
-  metrics_.sidecars.Set(static_cast<double>(replica_.herald().ActiveSidecars(loop_.Now())));
+  metrics_.configuration_version.Set(static_cast<double>(replica_.replicated_state().newest().version()));
+  metrics_.sidecars.Set(static_cast<double>(replica_.publisher().ActiveSidecars(loop_.Now())));
 }
 
 // ---- links from other cores and from sidecars
@@ -402,7 +402,7 @@
     ++counters_.malformed_frames;
     return CloseIncoming(from);
   }
-  replica_.OnSidecarMessage(from, *tell);
+  replica_.OnSidecarReport(from, *tell);
 }
 
 void Core::Impl::OnHello(std::uint64_t from, std::string_view frame) {
@@ -495,9 +495,9 @@
   out["epoch"] = replica ? replica->term() : 0;
   out["holder"] = replica ? replica->leader() : "";
   out["entry"] = replica_.committed_entry().index;
-  out["version"] = replica_.ledger().newest().version();
+  out["version"] = replica_.replicated_state().newest().version();
   out["voters"] = replica_.committed_entry().voters;
-  out["sidecarsHeard"] = replica_.herald().ActiveSidecars(loop_.Now());
+  out["sidecarsHeard"] = replica_.publisher().ActiveSidecars(loop_.Now());
   out["diskBad"] = disk_bad_;
   out["stopping"] = stopping_;
   out["links"] = {{"incoming", incoming_.size()}, {"peers", peers_.size()}};
--- a/tests/mesh/control_configuration_service_test.cpp
+++ b/tests/mesh/control_configuration_service_test.cpp
@@ -98,7 +98,7 @@
   void Judge() {
     const auto [call, verdict] = verdicts.front();
     verdicts.pop_front();
-    service.OnVerdict(now, call, verdict);
+    service.OnChangeResult(now, call, verdict);
   }
   // The order does what it is asked, or says that it can't.
   void Resolve(Outcome outcome = Outcome::kSuccess) {
