--- a/src/mesh/ingress/proxy_protocol.hpp
+++ b/src/mesh/ingress/proxy_protocol.hpp
@@ -1,6 +1,6 @@
-// What the two hops of a request say to each other (standard term: proxy-to-proxy protocol). A link carries
-// one attempt at a time, so a slow reader holds up nothing but its own answer, and a reset takes one request
-// with it. The first byte of a frame is its Word, the rest is cereal.
+// Protocol between the outbound proxy of a caller and the inbound proxy of a server. A link carries one
+// attempt at a time, so that a slow reader delays its own response only and a reset affects a single request.
+// The first byte of a frame is its FrameType, followed by the cereal encoding of the matching struct.
 #ifndef FENNELHOLLOW_MESH_INGRESS_PROXY_PROTOCOL_HPP_
 #define FENNELHOLLOW_MESH_INGRESS_PROXY_PROTOCOL_HPP_
 
@@ -20,50 +20,50 @@
 
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
-enum class Word : std::uint8_t {
-  kHello = 0,  // last hop to outbound, once a link: Hello with its life
-  kAttempt,    // outbound to last hop
-  kPiece,      // more of a body, either way
-  kHead,       // last hop to outbound: an answer begins
-  kTurned,     // it was not passed on, and never will be
-  kBroken,     // it was passed on; no answer will come, or no more of it
-  kAsk,        // outbound to last hop: was this attempt passed on?
-  kTold,       // the answer
+enum class FrameType : std::uint8_t {
+  kHello = 0,     // inbound to outbound proxy, once per link: Hello with the sender's incarnation
+  kAttempt,       // outbound to inbound proxy
+  kBodyChunk,     // continues a request or response body
+  kResponseHead,  // inbound to outbound proxy: the response starts
+  kRejected,      // the attempt was not forwarded to the server and never will be
+  kReset,         // the attempt was forwarded; its response is missing or incomplete
+  kStatusQuery,   // outbound to inbound proxy: was this attempt forwarded?
+  kStatusReply,
 };
 
-// An attempt of an outbound sidecar's life.
-struct Ticket {
-  std::uint64_t life = 0;
-  std::uint64_t number = 0;
-  auto operator<=>(const Ticket&) const = default;
+// Identifies an attempt across all outbound proxies and their restarts.
+struct AttemptKey {
+  std::uint64_t incarnation = 0;  // of the outbound proxy's process
+  std::uint64_t sequence = 0;
+  auto operator<=>(const AttemptKey&) const = default;
   template <class Archive>
   void serialize(Archive& a) {
-    a(life, number);
+    a(incarnation, sequence);
   }
 };
 
 struct Attempt {
-  Ticket ticket;
-  std::string server;  // the life of a server that it is meant for
+  AttemptKey attempt_key;
+  std::string server;  // id of the server instance
   std::string method, target;
-  Headers headers;           // as they go to the server, but for the body's framing
-  std::string body;          // or its first piece
-  bool more = false;         // pieces follow
-  std::int64_t left_ms = 0;  // until its caller has no use for an answer
-  std::int64_t wait_ms = 0;  // that it may wait for room at the server before it is turned away
-  bool unsafe = false;
-  bool repeat = false;      // an earlier attempt of the request may have run
-  std::int64_t due_ms = 0;  // until its answer is late
-  std::string route;        // its name in the configuration; with the priority, its flow
-  std::uint8_t priority = 0;
+  Headers headers;                   // as sent to the server, without the body's framing
+  std::string body;                  // the first chunk if `body_follows`
+  bool body_follows = false;         // kBodyChunk frames carry the rest of the body
+  std::int64_t remaining_ms = 0;     // until the caller's deadline
+  std::int64_t max_queue_ms = 0;     // longest wait in the admission queue before the attempt is rejected
+  bool unsafe = false;               // not safe to execute twice
+  bool may_have_run_before = false;  // an earlier attempt of the request may have been executed
+  std::int64_t due_ms = 0;           // until the response misses its latency target
+  std::string route;                 // its name in the configuration; part of the flow
+  std::uint8_t priority = 0;         // 0 is highest; part of the flow
   template <class Archive>
   void serialize(Archive& a) {
-    a(ticket, server, method, target, headers, body, more, left_ms, wait_ms, unsafe, repeat, due_ms, route,
-      priority);
+    a(attempt_key, server, method, target, headers, body, body_follows, remaining_ms, max_queue_ms, unsafe,
+      may_have_run_before, due_ms, route, priority);
   }
 };
 
-struct Piece {
+struct BodyChunk {
   std::string bytes;
   bool end = false;
   template <class Archive>
@@ -72,97 +72,100 @@
   }
 };
 
-struct Head {
+struct ResponseHead {
   std::uint16_t status = 0;
-  Headers headers;  // without those of the connection and the body's framing
+  Headers headers;  // without hop-by-hop headers and the body's framing
   std::string body;
-  bool end = false;          // that was all of it
-  std::int64_t length = -1;  // of the whole body; -1 = not told
-  bool executed = true;      // false: the server says that it did not run it
+  bool end = false;                  // `body` is the whole body
+  std::int64_t content_length = -1;  // of the whole body in bytes; -1 if unknown
+  bool executed = true;              // false: the server states that it did not execute the request
   template <class Archive>
   void serialize(Archive& a) {
-    a(status, headers, body, end, length, executed);
+    a(status, headers, body, end, content_length, executed);
   }
 };
 
-enum class Why : std::uint8_t {
-  kNotHere = 1,
+enum class RejectReason : std::uint8_t {
+  kUnknownInstance = 1,
   kDraining,
-  kFull,  // it would not have room in time
+  kQueueFull,  // the attempt would not be forwarded before its queue timeout
   kUnreachable,
-  kWithdrawn,
-  kLate,
-  kLeaving,
-  kWaitedOut,  // it had no room in time
-  kEvicted,    // it waited and gave way to others
+  kWithdrawn,  // a status query was answered with "not forwarded"
+  kDeadlineExceeded,
+  kShuttingDown,
+  kQueueTimeout,
+  kEvicted,  // removed from the queue in favor of other attempts
 };
-// For want of room at the server.
-constexpr bool IsFull(Why why) { return why == Why::kFull || why == Why::kWaitedOut || why == Why::kEvicted; }
-// Its name in metrics.
-constexpr std::string_view NameOf(Why why) {
-  switch (why) {
-    case Why::kNotHere:
+// Whether the server lacked capacity for the attempt.
+constexpr bool LacksCapacity(RejectReason reason) {
+  return reason == RejectReason::kQueueFull || reason == RejectReason::kQueueTimeout ||
+         reason == RejectReason::kEvicted;
+}
+// The reason's name in metrics.
+constexpr std::string_view NameOf(RejectReason reason) {
+  switch (reason) {
+    case RejectReason::kUnknownInstance:
       return "not_here";
-    case Why::kDraining:
+    case RejectReason::kDraining:
       return "draining";
-    case Why::kFull:
+    case RejectReason::kQueueFull:
       return "full";
-    case Why::kUnreachable:
+    case RejectReason::kUnreachable:
       return "unreachable";
-    case Why::kWithdrawn:
+    case RejectReason::kWithdrawn:
       return "withdrawn";
-    case Why::kLate:
+    case RejectReason::kDeadlineExceeded:
       return "late";
-    case Why::kLeaving:
+    case RejectReason::kShuttingDown:
       return "leaving";
-    case Why::kWaitedOut:
+    case RejectReason::kQueueTimeout:
       return "waited_out";
-    case Why::kEvicted:
+    case RejectReason::kEvicted:
       return "evicted";
   }
   return "unknown";
 }
-struct Turned {
-  std::uint8_t why = 0;
+struct Rejected {
+  std::uint8_t reason = 0;  // a RejectReason
   template <class Archive>
   void serialize(Archive& a) {
-    a(why);
+    a(reason);
   }
 };
-struct Broken {
-  bool garbled = false;  // bytes that were no answer to it
+struct Reset {
+  bool malformed = false;  // the server sent bytes that are not a valid response to the attempt
   template <class Archive>
   void serialize(Archive& a) {
-    a(garbled);
+    a(malformed);
   }
 };
-struct Ask {
-  Ticket ticket;
+struct StatusQuery {
+  AttemptKey attempt_key;
   template <class Archive>
   void serialize(Archive& a) {
-    a(ticket);
+    a(attempt_key);
   }
 };
-struct Told {
-  bool passed_on = true;  // false: it was not, and never will be
+struct StatusReply {
+  bool forwarded = true;  // false: the attempt was not forwarded and never will be
   template <class Archive>
   void serialize(Archive& a) {
-    a(passed_on);
+    a(forwarded);
   }
 };
 
 template <class T>
-std::string Say(Word word, const T& value) {
-  std::string out(1, static_cast<char>(word));
+std::string Encode(FrameType type, const T& value) {
+  std::string out(1, static_cast<char>(type));
   out += transport::Pack(value);
   return out;
 }
-inline std::string Say(Word word) { return std::string(1, static_cast<char>(word)); }
-inline Word WordOf(std::string_view frame) {
-  return frame.empty() ? Word::kTold : static_cast<Word>(frame.front());
+inline std::string Encode(FrameType type) { return std::string(1, static_cast<char>(type)); }
+inline FrameType TypeOf(std::string_view frame) {
+  return frame.empty() ? FrameType::kStatusReply : static_cast<FrameType>(frame.front());
 }
 template <class T>
-absl::StatusOr<T> Heard(std::string_view frame) {
+absl::StatusOr<T> Decode(std::string_view frame) {
   return transport::Unpack<T>(frame.substr(1));
 }
 
--- a/src/mesh/ingress/server_connection_pool.cpp
+++ b/src/mesh/ingress/server_connection_pool.cpp
@@ -24,76 +24,76 @@
 namespace beast = merlinrun::net::beast;
 namespace http = merlinrun::net::http;
 
-constexpr std::size_t kMostHead = std::size_t{32} * 1024;
-// A connection that rests is closed by us before the server does it: guards against a request that meets the
-// close.
-constexpr auto kRest = std::chrono::milliseconds(8000);
-constexpr auto kRestMargin = std::chrono::milliseconds(1500);
-constexpr auto kSweep = std::chrono::milliseconds(500);
-constexpr auto kDial = std::chrono::milliseconds(1000);
-constexpr std::size_t kMostIdle = 64;  // to an address
-// Answers of others that are read over on one connection before it is given up.
-constexpr int kMostStrays = 4;
-
-bool EndsHere(beast::string_view name) {
+constexpr std::size_t kMaxHeadBytes = std::size_t{32} * 1024;
+// Idle connections are closed before the server's own timeout, to avoid sending a request on a connection
+// that the server is closing.
+constexpr auto kIdleTimeout = std::chrono::milliseconds(8000);
+constexpr auto kIdleTimeoutMargin = std::chrono::milliseconds(1500);
+constexpr auto kSweepInterval = std::chrono::milliseconds(500);
+constexpr auto kConnectTimeout = std::chrono::milliseconds(1000);
+constexpr std::size_t kMaxIdlePerAddress = 64;
+// Responses to other requests that are skipped on a connection before it is closed.
+constexpr int kMaxStrayResponses = 4;
+
+bool IsConnectionHeader(beast::string_view name) {
   return transport::IsHopByHop(name) || beast::iequals(name, "proxy-authenticate");
 }
 
 }  // namespace
 
-class ServerPool::Connection : public std::enable_shared_from_this<Connection> {
+class ServerConnectionPool::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(ServerPool& pool, std::string address)
-      : pool_(pool), socket_(pool.io_), dial_(pool.io_), address_(std::move(address)) {
-    ++*open_;
+  Connection(ServerConnectionPool& pool, std::string address)
+      : pool_(pool), socket_(pool.io_), connect_timer_(pool.io_), address_(std::move(address)) {
+    ++*open_connections_;
   }
-  ~Connection() { --*open_; }
+  ~Connection() { --*open_connections_; }
 
   const std::string& address() const { return address_; }
 
-  void Begin(Handle handle, Request request, Events events) {
+  void Start(Handle handle, Request request, Events events) {
     handle_ = handle;
     events_ = std::move(events);
     id_ = std::move(request.id);
-    out_ = Written(request);
-    body_ = std::move(request.body);
-    is_head_ = request.method == "HEAD";
+    request_head_ = Serialize(request);
+    request_body_ = std::move(request.body);
+    is_head_request_ = request.method == "HEAD";
     parser_.reset();
     stray_responses_ = 0;
-    sent_any_ = false;
-    paused_ = false;
-    if (up_)
+    bytes_sent_ = false;
+    reading_paused_ = false;
+    if (connected_)
       asio::post(socket_.get_executor(), [self = shared_from_this(), handle] {
         if (self->handle_ == handle) self->Write();
       });
     else
-      Dial();
+      Connect();
   }
 
-  void Rest() {
-    rests_ = true;
-    since_ = Clock::now();
-    Watch();
+  void MarkIdle() {
+    is_idle_ = true;
+    idle_since_ = Clock::now();
+    WaitReadable();
   }
-  bool Rested(Clock::time_point now) const { return now - since_ >= rest_; }
+  bool IdleExpired(Clock::time_point now) const { return now - idle_since_ >= idle_timeout_; }
   bool open() const { return !closed_; }
 
   void Close() {
     closed_ = true;
     handle_ = 0;
     events_ = {};
-    dial_.cancel();
+    connect_timer_.cancel();
     ErrorCode ignored;
     socket_.close(ignored);
   }
 
-  void Pause() { paused_ = true; }
+  void Pause() { reading_paused_ = true; }
   void Resume() {
-    if (std::exchange(paused_, false) && !closed_) Watch();
+    if (std::exchange(reading_paused_, false) && !closed_) WaitReadable();
   }
 
  private:
-  static std::string Written(const Request& r) {
+  static std::string Serialize(const Request& r) {
     std::string out;
     out.reserve(512);
     out += r.method;
@@ -115,223 +115,226 @@
     return out;
   }
 
-  void Dial() {
-    const auto to = merlinrun::net::ParseAddress(address_);
+  void Connect() {
+    const auto endpoint = merlinrun::net::ParseAddress(address_);
     ErrorCode error;
-    if (to) socket_.open(Tcp::v4(), error);
+    if (endpoint) socket_.open(Tcp::v4(), error);
     ++pool_.connections_opened_;
-    if (!to || error) {
+    if (!endpoint || error) {
       asio::post(pool_.io_, [self = shared_from_this(), handle = handle_] {
         if (self->handle_ == handle) self->Fail(Failure::kNotSent);
       });
       return;
     }
-    dial_.expires_after(kDial);
-    dial_.async_wait([weak = weak_from_this()](ErrorCode stopped) {
+    connect_timer_.expires_after(kConnectTimeout);
+    connect_timer_.async_wait([weak = weak_from_this()](ErrorCode stopped) {
       const auto self = weak.lock();
-      if (!stopped && self != nullptr && !self->up_ && !self->closed_) self->Fail(Failure::kNotSent);
+      if (!stopped && self != nullptr && !self->connected_ && !self->closed_) self->Fail(Failure::kNotSent);
     });
-    socket_.async_connect(*to, [self = shared_from_this()](ErrorCode failed) {
+    socket_.async_connect(*endpoint, [self = shared_from_this()](ErrorCode failed) {
       if (self->closed_) return;
-      self->dial_.cancel();
+      self->connect_timer_.cancel();
       if (failed) return self->Fail(Failure::kNotSent);
       ErrorCode ignored;
       self->socket_.set_option(Tcp::no_delay(true), ignored);
       self->socket_.non_blocking(true, ignored);
-      self->up_ = true;
+      self->connected_ = true;
       self->Write();
     });
   }
 
   void Write() {
     if (closed_) return;
-    // What rests in the buffer now is nobody's; more of it may be on its way, and is told by its id.
-    const std::array<asio::const_buffer, 2> both{asio::buffer(out_), asio::buffer(body_)};
+    // Bytes that are already in the receive buffer belong to an earlier request; OnHead discards them by id.
+    const std::array<asio::const_buffer, 2> buffers{asio::buffer(request_head_), asio::buffer(request_body_)};
     ErrorCode error;
-    std::size_t n = socket_.write_some(both, error);
-    if (error == asio::error::would_block || error == asio::error::try_again) error = {}, n = 0;
+    std::size_t byte_count = socket_.write_some(buffers, error);
+    if (error == asio::error::would_block || error == asio::error::try_again) error = {}, byte_count = 0;
     if (error) return Fail(Failure::kNotSent);
-    sent_any_ = true;  // or may have: the kernel has it
-    if (n == out_.size() + body_.size()) return AfterWrite();
-    rest_out_ = out_.substr(std::min(n, out_.size()));
-    rest_out_ += body_.substr(n > out_.size() ? n - out_.size() : 0);
+    bytes_sent_ = true;  // the server may have received it
+    if (byte_count == request_head_.size() + request_body_.size()) return AfterWrite();
+    unsent_ = request_head_.substr(std::min(byte_count, request_head_.size()));
+    unsent_ +=
+        request_body_.substr(byte_count > request_head_.size() ? byte_count - request_head_.size() : 0);
     writing_ = true;
-    asio::async_write(socket_, asio::buffer(rest_out_),
+    asio::async_write(socket_, asio::buffer(unsent_),
                       [self = shared_from_this(), handle = handle_](ErrorCode failed, std::size_t) {
                         self->writing_ = false;
                         if (self->closed_ || self->handle_ != handle) return;
-                        if (failed) return self->Fail(Failure::kBroken);
+                        if (failed) return self->Fail(Failure::kReset);
                       });
     AfterWrite();
   }
 
   void AfterWrite() {
-    std::string().swap(body_);
-    Watch();
+    std::string().swap(request_body_);
+    WaitReadable();
   }
 
-  void Watch() {
-    if (watching_ || closed_ || paused_) return;
-    watching_ = true;
+  void WaitReadable() {
+    if (wait_pending_ || closed_ || reading_paused_) return;
+    wait_pending_ = true;
     socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this()](ErrorCode error) {
-      self->watching_ = false;
+      self->wait_pending_ = false;
       if (self->closed_) return;
-      if (error) return self->Gone();
+      if (error) return self->OnPeerClosed();
       self->OnReadable();
     });
   }
 
-  // The server has closed or reset it.
-  void Gone() {
-    if (rests_) return Drop();
-    Fail(Failure::kBroken);
+  void OnPeerClosed() {
+    if (is_idle_) return CloseIdleConnection();
+    Fail(Failure::kReset);
   }
 
   void OnReadable() {
-    for (int turn = 0; turn < 4; ++turn) {
+    for (int round = 0; round < 4; ++round) {
       ErrorCode error;
-      const std::size_t n = socket_.read_some(asio::buffer(transport::ReadBuffer()), error);
+      const std::size_t byte_count = socket_.read_some(asio::buffer(transport::ReadBuffer()), error);
       if (error == asio::error::would_block || error == asio::error::try_again) break;
-      if (error || n == 0) return Gone();
-      if (rests_) {  // a second answer that comes late: the connection has no use any more
+      if (error || byte_count == 0) return OnPeerClosed();
+      if (is_idle_) {  // an unsolicited response: the connection can't be reused
         ++pool_.stray_responses_;
-        return Drop();
+        return CloseIdleConnection();
       }
-      in_.append(transport::ReadBuffer().data(), n);
+      read_buffer_.append(transport::ReadBuffer().data(), byte_count);
       const Handle before = handle_;
       Parse();
-      if (closed_ || handle_ != before || paused_) return;
-      if (n < transport::kReadBufferBytes) break;
+      if (closed_ || handle_ != before || reading_paused_) return;
+      if (byte_count < transport::kReadBufferBytes) break;
     }
-    Watch();
+    WaitReadable();
   }
 
   void Parse() {
-    while (!in_.empty() || (parser_ && parser_->is_done())) {
+    while (!read_buffer_.empty() || (parser_ && parser_->is_done())) {
       if (!parser_) {
         parser_.emplace();
-        parser_->header_limit(kMostHead);
+        parser_->header_limit(kMaxHeadBytes);
         parser_->body_limit(boost::none);
         parser_->eager(true);
-        if (is_head_) parser_->skip(true);
-        stray_ = false;
-        headed_ = false;
+        if (is_head_request_) parser_->skip(true);
+        discarding_ = false;
+        head_parsed_ = false;
       }
       if (!parser_->is_done()) {
         ErrorCode error;
-        const std::size_t used = parser_->put(asio::buffer(in_), error);
-        in_.erase(0, used);
-        if (error && error != http::error::need_more) return Fail(Failure::kGarbled);
-        if (!headed_ && parser_->is_header_done() && !OnHead()) return;
-        if (headed_ && !stray_) {
+        const std::size_t consumed = parser_->put(asio::buffer(read_buffer_), error);
+        read_buffer_.erase(0, consumed);
+        if (error && error != http::error::need_more) return Fail(Failure::kMalformed);
+        if (!head_parsed_ && parser_->is_header_done() && !OnHead()) return;
+        if (head_parsed_ && !discarding_) {
           std::string bytes = std::exchange(parser_->get().body(), {});
           const Handle before = handle_;
-          if (!bytes.empty() && events_.piece) {
-            const auto call = events_.piece;
+          if (!bytes.empty() && events_.on_body) {
+            const auto call = events_.on_body;
             call(std::move(bytes));
           }
           if (closed_ || handle_ != before) return;
-        } else if (headed_) {
+        } else if (head_parsed_) {
           parser_->get().body().clear();
         }
-        if (error == http::error::need_more || (used == 0 && !parser_->is_done())) return;
+        if (error == http::error::need_more || (consumed == 0 && !parser_->is_done())) return;
         if (!parser_->is_done()) continue;
       }
       const unsigned status = parser_->get().result_int();
-      const bool keep = parser_->keep_alive();
-      if (stray_ || status < 200) {
+      const bool reusable = parser_->keep_alive();
+      if (discarding_ || status < 200) {
         parser_.reset();
-        if (!keep && status >= 200) return Fail(Failure::kBroken);
+        if (!reusable && status >= 200) return Fail(Failure::kReset);
         continue;
       }
-      return Finish(keep);
+      return Complete(reusable);
     }
   }
 
-  // False if it ended the exchange.
+  // Returns false if the request is over.
   bool OnHead() {
-    headed_ = true;
+    head_parsed_ = true;
     const auto& head = parser_->get();
     const unsigned status = head.result_int();
     if (status < 200) {
-      if (status == 101) return Fail(Failure::kGarbled), false;
-      return stray_ = true;
+      if (status == 101) return Fail(Failure::kMalformed), false;
+      return discarding_ = true;
     }
-    // An answer to another request, that comes late; an answer without an id is one only where nothing ran.
-    const auto told = head["Attempt-Id"];
-    const bool mine = told == beast::string_view(id_) || (told.empty() && status >= 300);
-    if (!mine || head.count("Attempt-Id") > 1) {
+    // A response with another id is a late one to an earlier request. A missing id is accepted for errors
+    // only.
+    const auto response_id = head["Attempt-Id"];
+    const bool matches = response_id == beast::string_view(id_) || (response_id.empty() && status >= 300);
+    if (!matches || head.count("Attempt-Id") > 1) {
       ++pool_.stray_responses_;
-      if (++stray_responses_ > kMostStrays) return Fail(Failure::kGarbled), false;
-      return stray_ = true;
+      if (++stray_responses_ > kMaxStrayResponses) return Fail(Failure::kMalformed), false;
+      return discarding_ = true;
     }
-    const bool no_body = is_head_ || status == 204 || status == 304;
+    const bool no_body = is_head_request_ || status == 204 || status == 304;
     if (head.count(http::field::content_length) + head.count(http::field::transfer_encoding) > 1)
-      return Fail(Failure::kGarbled), false;
-    // Guards against a body cut short that looks whole: its end has to be told.
-    if (!no_body && !parser_->chunked() && !parser_->content_length()) return Fail(Failure::kGarbled), false;
+      return Fail(Failure::kMalformed), false;
+    // Without explicit framing a truncated body would look complete.
+    if (!no_body && !parser_->chunked() && !parser_->content_length())
+      return Fail(Failure::kMalformed), false;
     if (status < 300 && (head["Server-Seal"].empty() || head.count(http::field::content_encoding) > 0))
-      return Fail(Failure::kGarbled), false;
-    rest_ = kRest;
-    if (const auto alive = head[http::field::keep_alive]; !alive.empty()) {
-      const auto at = alive.find("timeout=");
+      return Fail(Failure::kMalformed), false;
+    idle_timeout_ = kIdleTimeout;
+    if (const auto keep_alive_header = head[http::field::keep_alive]; !keep_alive_header.empty()) {
+      const auto at = keep_alive_header.find("timeout=");
       if (at != beast::string_view::npos) {
-        const int seconds = std::atoi(std::string(alive.substr(at + 8)).c_str());
-        rest_ = std::clamp(std::chrono::milliseconds(1000 * seconds) - kRestMargin,
-                           std::chrono::milliseconds(0), std::chrono::milliseconds(60'000));
+        const int seconds = std::atoi(std::string(keep_alive_header.substr(at + 8)).c_str());
+        idle_timeout_ = std::clamp(std::chrono::milliseconds(1000 * seconds) - kIdleTimeoutMargin,
+                                   std::chrono::milliseconds(0), std::chrono::milliseconds(60'000));
       }
     }
     Headers headers;
     for (const auto& field : head)
-      if (!EndsHere(field.name_string()))
+      if (!IsConnectionHeader(field.name_string()))
         headers.emplace_back(std::string(field.name_string()), std::string(field.value()));
-    std::int64_t length = -1;
-    if (const auto l = parser_->content_length()) length = static_cast<std::int64_t>(*l);
-    if (no_body) length = 0;
+    std::int64_t body_length = -1;
+    if (const auto declared_length = parser_->content_length())
+      body_length = static_cast<std::int64_t>(*declared_length);
+    if (no_body) body_length = 0;
     const Handle before = handle_;
-    if (events_.head) {
-      const auto call = events_.head;
-      call(static_cast<std::uint16_t>(status), std::move(headers), length);
+    if (events_.on_head) {
+      const auto call = events_.on_head;
+      call(static_cast<std::uint16_t>(status), std::move(headers), body_length);
     }
     return !closed_ && handle_ == before;
   }
 
-  void Finish(bool keep) {
+  void Complete(bool reusable) {
     const auto self = shared_from_this();
     parser_.reset();
-    const auto call = std::move(events_.end);
+    const auto call = std::move(events_.on_end);
     const Handle handle = std::exchange(handle_, 0);
     events_ = {};
     pool_.busy_.erase(handle);
-    // More than the answer came with it: what follows is nobody's.
-    if (!in_.empty()) ++pool_.stray_responses_;
-    // An answer that comes before the request is written: what is due on this connection is the rest of it.
-    if (!keep || writing_ || !in_.empty() || rest_ <= std::chrono::milliseconds(0)) {
+    // Bytes after the response match no request.
+    if (!read_buffer_.empty()) ++pool_.stray_responses_;
+    // If the response came before the request was fully written, the server still expects the rest of it.
+    if (!reusable || writing_ || !read_buffer_.empty() || idle_timeout_ <= std::chrono::milliseconds(0)) {
       Close();
     } else {
       auto& idle = pool_.idle_[address_];
       idle.push_back(self);
-      if (idle.size() > kMostIdle) {
+      if (idle.size() > kMaxIdlePerAddress) {
         idle.front()->Close();
         idle.pop_front();
       }
-      Rest();
-      pool_.SweepLater();
+      MarkIdle();
+      pool_.ScheduleSweep();
     }
     if (call) call();
   }
 
-  void Fail(Failure why) {
+  void Fail(Failure failure) {
     const auto self = shared_from_this();
-    const auto call = std::move(events_.failed);
+    const auto call = std::move(events_.on_failure);
     const Handle handle = handle_;
-    if (!sent_any_) why = Failure::kNotSent;
+    if (!bytes_sent_) failure = Failure::kNotSent;
     Close();
     pool_.busy_.erase(handle);
-    if (call) call(why);
+    if (call) call(failure);
   }
 
-  void Drop() {
+  void CloseIdleConnection() {
     const auto self = shared_from_this();
     Close();
     const auto it = pool_.idle_.find(address_);
@@ -339,57 +342,59 @@
   }
 
  public:
-  void Wake() { rests_ = false; }
+  void MarkBusy() { is_idle_ = false; }
 
  private:
-  ServerPool& pool_;
-  const std::shared_ptr<std::size_t> open_ = pool_.open_;
+  ServerConnectionPool& pool_;
+  const std::shared_ptr<std::size_t> open_connections_ = pool_.open_connections_;
   Tcp::socket socket_;
-  asio::steady_timer dial_;
+  asio::steady_timer connect_timer_;
   const std::string address_;
   Handle handle_ = 0;
   Events events_;
-  std::string id_, out_, body_, rest_out_, in_;
+  std::string id_, request_head_, request_body_, unsent_, read_buffer_;
   std::optional<http::response_parser<merlinrun::net::IncrementalBody>> parser_;
   int stray_responses_ = 0;
-  bool up_ = false, closed_ = false, watching_ = false, writing_ = false, paused_ = false, rests_ = false;
-  bool headed_ = false, stray_ = false, sent_any_ = false, is_head_ = false;
-  Clock::time_point since_;
-  Clock::duration rest_ = kRest;
+  bool connected_ = false, closed_ = false, wait_pending_ = false, writing_ = false, reading_paused_ = false,
+       is_idle_ = false;
+  bool head_parsed_ = false, discarding_ = false, bytes_sent_ = false, is_head_request_ = false;
+  Clock::time_point idle_since_;
+  Clock::duration idle_timeout_ = kIdleTimeout;
 };
 
-ServerPool::ServerPool(asio::io_context& io) : io_(io), sweep_(io) {}
-ServerPool::~ServerPool() {
+ServerConnectionPool::ServerConnectionPool(asio::io_context& io) : io_(io), sweep_timer_(io) {}
+ServerConnectionPool::~ServerConnectionPool() {
   try {
     for (auto& [handle, connection] : busy_) connection->Close();
     for (auto& [address, list] : idle_)
       for (auto& connection : list) connection->Close();
-  } catch (const std::exception&) {  // a timer that can't be cancelled calls nothing back
+  } catch (const std::exception&) {  // cancelling a timer may throw; a destructor must not
   }
 }
 
-ServerPool::Handle ServerPool::Send(const std::string& address, Request request, Events events) {
-  const Handle handle = ++last_;
+ServerConnectionPool::Handle ServerConnectionPool::Send(const std::string& address, Request request,
+                                                        Events events) {
+  const Handle handle = ++last_handle_;
   ConnectionPtr connection;
   if (const auto it = idle_.find(address); it != idle_.end()) {
     const auto now = Clock::now();
     while (!it->second.empty() && connection == nullptr) {
       connection = it->second.back();
       it->second.pop_back();
-      if (!connection->open() || connection->Rested(now)) connection->Close(), connection = nullptr;
+      if (!connection->open() || connection->IdleExpired(now)) connection->Close(), connection = nullptr;
     }
     if (it->second.empty()) idle_.erase(it);
   }
   if (connection == nullptr)
     connection = std::make_shared<Connection>(*this, address);
   else
-    connection->Wake();
+    connection->MarkBusy();
   busy_[handle] = connection;
-  connection->Begin(handle, std::move(request), std::move(events));
+  connection->Start(handle, std::move(request), std::move(events));
   return handle;
 }
 
-void ServerPool::Cancel(Handle handle) {
+void ServerConnectionPool::Cancel(Handle handle) {
   const auto it = busy_.find(handle);
   if (it == busy_.end()) return;
   const auto connection = it->second;
@@ -397,36 +402,36 @@
   connection->Close();
 }
 
-void ServerPool::Pause(Handle handle) {
+void ServerConnectionPool::Pause(Handle handle) {
   if (const auto it = busy_.find(handle); it != busy_.end()) it->second->Pause();
 }
-void ServerPool::Resume(Handle handle) {
+void ServerConnectionPool::Resume(Handle handle) {
   if (const auto it = busy_.find(handle); it != busy_.end()) it->second->Resume();
 }
 
-void ServerPool::Drop(const std::string& address) {
+void ServerConnectionPool::CloseIdle(const std::string& address) {
   const auto it = idle_.find(address);
   if (it == idle_.end()) return;
   for (const auto& connection : it->second) connection->Close();
   idle_.erase(it);
 }
 
-void ServerPool::SweepLater() {
-  if (std::exchange(sweeping_, true)) return;
-  sweep_.expires_after(kSweep);
-  sweep_.async_wait([this](ErrorCode stopped) {
+void ServerConnectionPool::ScheduleSweep() {
+  if (std::exchange(sweep_scheduled_, true)) return;
+  sweep_timer_.expires_after(kSweepInterval);
+  sweep_timer_.async_wait([this](ErrorCode stopped) {
     if (stopped) return;
-    sweeping_ = false;
+    sweep_scheduled_ = false;
     const auto now = Clock::now();
     for (auto it = idle_.begin(); it != idle_.end();) {
       it->second.remove_if([&](const ConnectionPtr& c) {
-        if (c->open() && !c->Rested(now)) return false;
+        if (c->open() && !c->IdleExpired(now)) return false;
         c->Close();
         return true;
       });
       it = it->second.empty() ? idle_.erase(it) : std::next(it);
     }
-    if (!idle_.empty()) SweepLater();
+    if (!idle_.empty()) ScheduleSweep();
   });
 }
 
--- a/src/mesh/ingress/server_connection_pool.hpp
+++ b/src/mesh/ingress/server_connection_pool.hpp
@@ -1,4 +1,4 @@
-// Kept HTTP/1.1 connections to the server on this machine (standard term: upstream connection pool).
+// Pool of HTTP/1.1 keep-alive connections to the servers on this machine.
 #ifndef FENNELHOLLOW_MESH_INGRESS_SERVER_CONNECTION_POOL_HPP_
 #define FENNELHOLLOW_MESH_INGRESS_SERVER_CONNECTION_POOL_HPP_
 
@@ -19,60 +19,59 @@
 using merlinrun::net::ErrorCode;
 using merlinrun::net::Tcp;
 
-// One thread. Each call of Send ends with exactly one of `end`, `failed`, unless it is cancelled.
-class ServerPool {
+// Single-threaded. Each request ends with exactly one of `on_end` and `on_failure`, unless it is cancelled.
+class ServerConnectionPool {
  public:
   enum class Failure {
-    kNotSent,  // no connection, or it was gone before a byte was written: the server has nothing of it
-    kBroken,   // may have run; no answer will come, or no more of it
-    kGarbled,  // the same, and what came was no answer to it
+    kNotSent,  // no connection, or it was lost before a byte was written: the server has not seen the request
+    kReset,    // the server may have executed the request; the response is missing or incomplete
+    kMalformed,  // like kReset, but the server sent something that is not a valid response
   };
   struct Events {
-    // The answer's head with the first of its body. `length`: of the whole body; -1 = in chunks.
-    std::function<void(std::uint16_t status, Headers headers, std::int64_t length)> head;
-    std::function<void(std::string bytes)> piece;
-    std::function<void()> end;
-    std::function<void(Failure)> failed;
+    // `content_length` is -1 for a chunked body.
+    std::function<void(std::uint16_t status, Headers headers, std::int64_t content_length)> on_head;
+    std::function<void(std::string bytes)> on_body;
+    std::function<void()> on_end;
+    std::function<void(Failure)> on_failure;
   };
   struct Request {
-    std::string id;  // Attempt-Id: answers with another are not this one's
+    std::string id;  // value of Attempt-Id; responses that carry another id are discarded
     std::string method, target;
     Headers headers;
     std::string body;
   };
   using Handle = std::uint64_t;
 
-  explicit ServerPool(asio::io_context& io);
-  ~ServerPool();
-  ServerPool(const ServerPool&) = delete;
-  ServerPool& operator=(const ServerPool&) = delete;
+  explicit ServerConnectionPool(asio::io_context& io);
+  ~ServerConnectionPool();
+  ServerConnectionPool(const ServerConnectionPool&) = delete;
+  ServerConnectionPool& operator=(const ServerConnectionPool&) = delete;
 
-  // `address`: ip:port. Events come from the loop, never from inside this call.
+  // `address` is ip:port. Events are called from the event loop, never from within this call.
   Handle Send(const std::string& address, Request request, Events events);
-  // Ends it by closing its connection; no event comes any more.
+  // Closes the request's connection; no further events are called.
   void Cancel(Handle handle);
-  void Pause(Handle handle);  // reads no more of its answer until Resume
+  void Pause(Handle handle);  // stops reading the response until Resume
   void Resume(Handle handle);
-  // Idle connections to an address are closed.
-  void Drop(const std::string& address);
+  void CloseIdle(const std::string& address);
   std::uint64_t connections_opened() const { return connections_opened_; }
-  std::uint64_t stray_responses() const { return stray_responses_; }  // answers that were nobody's
-  std::size_t open() const { return *open_; }
+  std::uint64_t stray_responses() const { return stray_responses_; }  // that matched no request
+  std::size_t open_connections() const { return *open_connections_; }
 
  private:
   class Connection;
   using ConnectionPtr = std::shared_ptr<Connection>;
-  void SweepLater();
+  void ScheduleSweep();
 
   asio::io_context& io_;
-  asio::steady_timer sweep_;
-  bool sweeping_ = false;
-  Handle last_ = 0;
+  asio::steady_timer sweep_timer_;
+  bool sweep_scheduled_ = false;
+  Handle last_handle_ = 0;
   std::uint64_t connections_opened_ = 0, stray_responses_ = 0;
-  // Shared: a connection may outlive the pool by a handler that is about to be called.
-  std::shared_ptr<std::size_t> open_ = std::make_shared<std::size_t>(0);
+  // Shared, because a pending handler may keep a connection alive after the pool is gone.
+  std::shared_ptr<std::size_t> open_connections_ = std::make_shared<std::size_t>(0);
   std::map<Handle, ConnectionPtr> busy_;
-  std::map<std::string, std::list<ConnectionPtr>> idle_;  // newest at the back
+  std::map<std::string, std::list<ConnectionPtr>> idle_;  // by address, most recently used last
 };
 
 }  // namespace fennelhollow::ingress
--- a/src/mesh/quota/share_allocator.cpp
+++ b/src/mesh/quota/share_allocator.cpp
@@ -7,313 +7,343 @@
 
 namespace {
 
-constexpr std::size_t kGrants = 6;        // kept apart of a sidecar; older ones are taken together
-constexpr Micros kSumsAge = 100'000;      // what others give up by the clock is seen that late
-constexpr std::size_t kSidecars = 4'096;  // remembered
-constexpr Micros kForget = 60'000'000;    // a sidecar not heard for so long is as good as gone
-constexpr std::size_t kSharesToAll =
-    20'000;                         // tenants x sidecars up to which those that ask nothing get a share too
-constexpr double kEqualPart = 0.5;  // of what nobody needs: spread equally; the rest by need
+// Grants tracked per sidecar and tenant; older ones are merged.
+constexpr std::size_t kMaxGrants = 6;
+// Lifetime of a tenant's sums; bounds how late an ended lease is noticed.
+constexpr Micros kSumsAge = 100'000;
+constexpr std::size_t kMaxSidecars = 4'096;
+// A sidecar without a report for this long is considered gone.
+constexpr Micros kSidecarTimeout = 60'000'000;
+// Up to this number of tenants times sidecars, sidecars without demand get shares too.
+constexpr std::size_t kMaxSharesForAll = 20'000;
+// Fraction of the surplus that is divided equally; the rest is divided in proportion to demand.
+constexpr double kEqualFraction = 0.5;
 
-constexpr double kDeviations = 4;                // of chance, for which there is room where there is enough
-constexpr double kChance = 1.5, kLatelyS = 1.2;  // deviations, and the span that requested_per_s tells of
-constexpr double kTells = 4;             // requests of use from which it tells one process from the next
-constexpr double kUnseen = 0.25;         // of a share: used by a process between its last word and its end
-constexpr Micros kComeBack = 2'000'000;  // within it a client that was refused has tried again
-constexpr double kFractionMatters = 4;   // requests: from here on a part of one is left as it is
-constexpr double kFlow = 1.08;           // of the limit's rate is let flow by those that press beyond it
+// Standard deviations of random variation that a share covers if there is enough capacity.
+constexpr double kDeviations = 4;
+// Standard deviations by which the recent rate may differ from that of the window before it is preferred, and
+// the time span that the recent rate covers.
+constexpr double kRateDeviations = 1.5, kRateWindowS = 1.2;
+// Reported requests above which a restarted process can be told from the previous one.
+constexpr double kMinUseToCompare = 4;
+// Fraction of a share that a process may have used between its last report and its end.
+constexpr double kUnreportedUse = 0.25;
+// Time within which rejected clients are expected to retry.
+constexpr Micros kClientRetryTime = 2'000'000;
+// Shares below this number of requests are rounded to whole requests.
+constexpr double kSmallShare = 4;
+// Factor on the limit's rate when the demand exceeds it.
+constexpr double kRateMargin = 1.08;
 
 }  // namespace
 
 ShareAllocator::ShareAllocator(const QuotaBounds& bounds, Micros lease)
     : bounds_(bounds), lease_(lease), window_(static_cast<Micros>(bounds.window_s * 1.02e6) + 1) {}
 
-// Use spread over the window slides out of it evenly; one that pressed on the limit may have come all at the
-// end.
-double ShareAllocator::Ghost(Micros now, const Cut& cut) const {
-  if (cut.ghost_until <= now) return 0;
-  const double left = static_cast<double>(cut.ghost_until - now) / static_cast<double>(window_);
-  return cut.ghost * (cut.ghost_stays ? 1 : left);
+// Evenly spread requests leave the window gradually; those of a sidecar at its limit may all have come at the
+// end of the window.
+double ShareAllocator::Orphaned(Micros now, const SidecarState& state) const {
+  if (state.orphaned_until <= now) return 0;
+  const double remaining = static_cast<double>(state.orphaned_until - now) / static_cast<double>(window_);
+  return state.orphaned * (state.orphaned_constant ? 1 : remaining);
 }
-// Whether more than the base part is of use to it.
-bool ShareAllocator::Presses(const Cut& cut, double base) {
-  return cut.mean + kDeviations * cut.noise > base;
+// Whether the sidecar may need more than the base allowance.
+bool ShareAllocator::ExceedsBase(const SidecarState& state, double base) {
+  return state.expected + kDeviations * state.deviation > base;
 }
-double ShareAllocator::Window(const Share& share) const {
+double ShareAllocator::PerWindow(const Share& share) const {
   return share.burst + share.rate_per_s * bounds_.window_s;
 }
 double ShareAllocator::Bound(const TenantLimit& limit) const { return WindowBound(bounds_, limit); }
-double ShareAllocator::Base(const TenantLimit& limit) const { return BasePart(bounds_, limit, sidecars_); }
+double ShareAllocator::Base(const TenantLimit& limit) const {
+  return BaseAllowance(bounds_, limit, sidecars_);
+}
 
 void ShareAllocator::UpdateLimits(Micros, const std::map<std::string, TenantLimit>& limits) {
   for (auto it = tenants_.begin(); it != tenants_.end();) {
     const auto limit = limits.find(it->first);
-    const bool stays = limit != limits.end() && limit->second.rate_per_s > 0;
-    it = stays ? std::next(it) : tenants_.erase(it);
+    const bool keep = limit != limits.end() && limit->second.rate_per_s > 0;
+    it = keep ? std::next(it) : tenants_.erase(it);
   }
   for (const auto& [name, limit] : limits) {
     if (limit.rate_per_s <= 0) continue;
     Tenant& tenant = tenants_[name];
     tenant.limit = limit;
-    tenant.summed = -1;
+    tenant.summed_at = -1;
   }
 }
 
 void ShareAllocator::SetSidecarCount(Micros, std::size_t count) {
   sidecars_ = std::max<std::size_t>(count, 1);
-  for (auto& [name, tenant] : tenants_) tenant.summed = -1;
+  for (auto& [name, tenant] : tenants_) tenant.summed_at = -1;
 }
 
 void ShareAllocator::OnBecameLeader(Micros now) {
-  duty_since_ = now;
-  heard_.clear();
+  leader_since_ = now;
+  last_report_.clear();
   for (auto& [name, tenant] : tenants_) {
-    tenant.cuts.clear();
+    tenant.sidecar_states.clear();
     tenant.first_held = 0;
-    tenant.summed = -1;
+    tenant.summed_at = -1;
   }
 }
 
 void ShareAllocator::OnHeldShares(Micros now, const std::string& sidecar, const std::vector<Share>& held) {
-  if (heard_.size() >= kSidecars && !heard_.contains(sidecar)) return;
-  const bool first = heard_.insert_or_assign(sidecar, now).second;
+  if (last_report_.size() >= kMaxSidecars && !last_report_.contains(sidecar)) return;
+  const bool is_first = last_report_.insert_or_assign(sidecar, now).second;
   std::unordered_map<std::string_view, const Share*> by_tenant;
   for (const Share& share : held) by_tenant.emplace(share.tenant, &share);
   for (auto& [name, tenant] : tenants_) {
     const auto found = by_tenant.find(name);
     const Share* share = found == by_tenant.end() ? nullptr : found->second;
-    if (share == nullptr && !first && !tenant.cuts.contains(sidecar)) continue;
-    const auto [cut, is_new] = tenant.cuts.try_emplace(sidecar);
-    cut->second.held_told = true;
-    cut->second.held = share == nullptr ? Share{} : *share;
-    if (is_new) tenant.summed = -1;
-    if (!first) continue;
-    const double window = share == nullptr ? 0 : Window(*share);
-    tenant.first_held += std::max(window, Base(tenant.limit)) - Base(tenant.limit);
-    // Held from an earlier holder, by a lease that it counts from an earlier time than this.
-    if (share != nullptr && cut->second.grants.empty()) {
-      cut->second.grants.push_back({window, share->source_limit, now + lease_, share->rate_per_s > 0});
-      cut->second.acked = true;
+    if (share == nullptr && !is_first && !tenant.sidecar_states.contains(sidecar)) continue;
+    const auto [state, is_new] = tenant.sidecar_states.try_emplace(sidecar);
+    state->second.held_reported = true;
+    state->second.held = share == nullptr ? Share{} : *share;
+    if (is_new) tenant.summed_at = -1;
+    if (!is_first) continue;
+    const double per_window = share == nullptr ? 0 : PerWindow(*share);
+    tenant.first_held += std::max(per_window, Base(tenant.limit)) - Base(tenant.limit);
+    // Granted by a previous leader; its lease ends no later than one granted now.
+    if (share != nullptr && state->second.grants.empty()) {
+      state->second.grants.push_back({per_window, share->source_limit, now + lease_, share->rate_per_s > 0});
+      state->second.first_acked = true;
     }
   }
 }
 
-// What this sidecar may have used, or may still use, in a window that reaches beyond now.
-double ShareAllocator::Reserved(Micros now, const Tenant& tenant, const Cut& cut) const {
+// Upper bound of the requests that this sidecar admits in any window that is not over yet.
+double ShareAllocator::Reserved(Micros now, const Tenant& tenant, const SidecarState& state) const {
   double reserved = Base(tenant.limit);
-  for (const Grant& grant : cut.grants) {
-    if (grant.end + window_ <= now) continue;
-    // Of a limit that is lowered: the lower one binds when all have heard of it, and then the share is void.
-    const bool lowered =
+  for (const Grant& grant : state.grants) {
+    if (grant.lease_end + window_ <= now) continue;
+    // If the limit was lowered, shares of the old limit become void as the change reaches the sidecars.
+    const bool limit_lowered =
         !(grant.source_limit == tenant.limit) && Bound(grant.source_limit) > Bound(tenant.limit);
-    reserved =
-        std::max(reserved, grant.window * (lowered ? Bound(tenant.limit) / Bound(grant.source_limit) : 1));
+    reserved = std::max(
+        reserved, grant.per_window * (limit_lowered ? Bound(tenant.limit) / Bound(grant.source_limit) : 1));
   }
-  if (cut.used_at + window_ > now) reserved = std::max(reserved, cut.used);
-  return reserved + Ghost(now, cut);
+  if (state.reported_at + window_ > now) reserved = std::max(reserved, state.used);
+  return reserved + Orphaned(now, state);
 }
 
-// What may be out in all. A new holder counts with the parts it has been told, and with those that it has not
-// as given until their leases and the window after have passed; a process that began lately may have had a
-// predecessor.
+// Requests that may be granted in total. A new leader is limited to the reported shares at first; the rest
+// becomes available as unreported leases and the window after them run out. Sidecars that started recently
+// may have had a predecessor.
 double ShareAllocator::Total(Micros now, const Tenant& tenant) const {
   const double bound = Bound(tenant.limit);
-  const bool all_told = heard_.size() >= sidecars_;
-  double part =
-      all_told ? FreshPart(now - duty_since_, window_)
-               : std::clamp(static_cast<double>(now - duty_since_ - lease_) / static_cast<double>(window_),
-                            0.0, 1.0);
-  // Shares of a few requests are used up at once, perhaps at the very end: that use leaves the window at once
-  // too, and not by the clock.
-  const bool few = bound < kFractionMatters * static_cast<double>(sidecars_);
-  if (few && part < 1) part = 0;
+  const bool all_reported = last_report_.size() >= sidecars_;
+  double fraction =
+      all_reported
+          ? StartupFraction(now - leader_since_, window_)
+          : std::clamp(static_cast<double>(now - leader_since_ - lease_) / static_cast<double>(window_), 0.0,
+                       1.0);
+  // Shares of a few requests may be used up in an instant, so their use does not leave the window gradually.
+  const bool few_requests = bound < kSmallShare * static_cast<double>(sidecars_);
+  if (few_requests && fraction < 1) fraction = 0;
   const double base = Base(tenant.limit) * static_cast<double>(sidecars_);
-  return std::min(bound, std::max(tenant.first_held + base, bound * part));
+  return std::min(bound, std::max(tenant.first_held + base, bound * fraction));
 }
 
-void ShareAllocator::Sum(Micros now, Tenant& tenant) const {
-  // Its cost grows with the sidecars, and so does the time that it is good for.
+void ShareAllocator::UpdateSums(Micros now, Tenant& tenant) const {
+  // The cost grows with the number of sidecars, so the sums are kept longer.
   const Micros sums_age = kSumsAge * static_cast<Micros>(1 + sidecars_ / 64);
-  if (tenant.summed >= 0 && now - tenant.summed < sums_age) return;
-  tenant.summed = now;
-  tenant.reserved = tenant.mean = tenant.noise = tenant.requested_per_s = 0;
-  for (auto it = tenant.cuts.begin(); it != tenant.cuts.end();) {
-    Cut& cut = it->second;
-    std::erase_if(cut.grants, [&](const Grant& g) {
-      const bool over = g.end + window_ <= now;
-      if (over && &g == cut.grants.data()) cut.acked = false;
-      return over;
+  if (tenant.summed_at >= 0 && now - tenant.summed_at < sums_age) return;
+  tenant.summed_at = now;
+  tenant.reserved = tenant.expected = tenant.deviation = tenant.requested_per_s = 0;
+  for (auto it = tenant.sidecar_states.begin(); it != tenant.sidecar_states.end();) {
+    SidecarState& state = it->second;
+    std::erase_if(state.grants, [&](const Grant& entry) {
+      const bool expired = entry.lease_end + window_ <= now;
+      if (expired && &entry == state.grants.data()) state.first_acked = false;
+      return expired;
     });
-    if (cut.used_at + window_ <= now) cut.used = cut.mean = cut.requested_per_s = 0;
-    if (cut.grants.empty() && cut.used_at + window_ <= now && cut.ghost_until <= now && !cut.held_told) {
-      it = tenant.cuts.erase(it);  // counted among those not heard
+    if (state.reported_at + window_ <= now) state.used = state.expected = state.requested_per_s = 0;
+    if (state.grants.empty() && state.reported_at + window_ <= now && state.orphaned_until <= now &&
+        !state.held_reported) {
+      it = tenant.sidecar_states.erase(it);  // from now on counted as a sidecar without a report
       continue;
     }
-    Add(now, tenant, cut, 1);
+    AddToSums(now, tenant, state, 1);
     ++it;
   }
 }
 
-// Takes in what the sidecar told: which grant it has received, and what of it is used.
-void ShareAllocator::Hear(Micros now, const TenantLimit& limit, Cut& cut, const Demand* demand) const {
+// Applies a sidecar's report: which grant it holds, and how many requests it has admitted.
+void ShareAllocator::ApplyReport(Micros now, const TenantLimit& limit, SidecarState& state,
+                                 const Demand* demand) const {
   const double used = demand == nullptr ? 0 : demand->admitted_in_window;
-  if (cut.held_told) {
-    cut.held_told = false;
-    const bool none = cut.held.tenant.empty();
-    const double window = Window(cut.held);
-    // The earliest grant that looks like the one held; those before it never come into force again.
+  if (state.held_reported) {
+    state.held_reported = false;
+    const bool no_share = state.held.tenant.empty();
+    const double per_window = PerWindow(state.held);
+    // The earliest grant that matches the held share; earlier grants can't come into force again.
     const auto in_force =
-        none ? cut.grants.end() : std::find_if(cut.grants.begin(), cut.grants.end(), [&](const Grant& g) {
-          return std::abs(g.window - window) < 1e-6 && g.source_limit == cut.held.source_limit;
-        });
-    if (in_force != cut.grants.end()) {
-      cut.grants.erase(cut.grants.begin(), in_force);
-      cut.acked = true;
-    } else if (!none) {
-      cut.grants.insert(cut.grants.begin(),
-                        {window, cut.held.source_limit, now + lease_, cut.held.rate_per_s > 0});
-      cut.acked = true;
-    } else if (cut.acked && !cut.grants.empty()) {
-      // It had a share and has none: run out, void, or another process. What the old one may have used stays
-      // counted for a window; a process that tells much of that use is still the same one.
-      const Grant& had = cut.grants.front();
-      const double before = cut.used_at + window_ > now ? cut.used : 0;
-      const bool run_out = had.end < now + lease_ / 2 || !(had.source_limit == limit);
-      // Use of a few requests tells no process from the next.
-      const bool few = had.window < kFractionMatters;
-      const bool same = before >= kTells ? used >= before / 2 : run_out && !few;
-      if (!same && had.end + window_ > now) {
-        const double since = static_cast<double>(now - cut.used_at) / static_cast<double>(window_);
-        const double after = 2 * cut.mean * since + kUnseen * had.window;
-        // Of a few whole requests all may have been used, and at the very end.
-        const bool all = had.flows || few;
-        cut.ghost = Ghost(now, cut) + std::min(had.window, all ? had.window : before + after);
-        cut.ghost_until = now + window_;
-        cut.ghost_stays = all;
+        no_share ? state.grants.end()
+                 : std::find_if(state.grants.begin(), state.grants.end(), [&](const Grant& entry) {
+                     return std::abs(entry.per_window - per_window) < 1e-6 &&
+                            entry.source_limit == state.held.source_limit;
+                   });
+    if (in_force != state.grants.end()) {
+      state.grants.erase(state.grants.begin(), in_force);
+      state.first_acked = true;
+    } else if (!no_share) {
+      state.grants.insert(state.grants.begin(),
+                          {per_window, state.held.source_limit, now + lease_, state.held.rate_per_s > 0});
+      state.first_acked = true;
+    } else if (state.first_acked && !state.grants.empty()) {
+      // The sidecar no longer holds its share: the share ended or became void, or the process restarted.
+      // After a restart, what the previous process may have admitted stays counted for a window. A process
+      // that reports most of the previous use has not restarted.
+      const Grant& previous = state.grants.front();
+      const double used_before = state.reported_at + window_ > now ? state.used : 0;
+      const bool share_ended = previous.lease_end < now + lease_ / 2 || !(previous.source_limit == limit);
+      // A few requests are not enough to detect a restart.
+      const bool few_requests = previous.per_window < kSmallShare;
+      const bool same_process =
+          used_before >= kMinUseToCompare ? used >= used_before / 2 : share_ended && !few_requests;
+      if (!same_process && previous.lease_end + window_ > now) {
+        const double elapsed = static_cast<double>(now - state.reported_at) / static_cast<double>(window_);
+        const double unreported = 2 * state.expected * elapsed + kUnreportedUse * previous.per_window;
+        // Of a small share all requests may have been admitted, at the very end.
+        const bool use_all = previous.has_rate || few_requests;
+        state.orphaned =
+            Orphaned(now, state) +
+            std::min(previous.per_window, use_all ? previous.per_window : used_before + unreported);
+        state.orphaned_until = now + window_;
+        state.orphaned_constant = use_all;
       }
-      // A process that is no more does not take what was sent to it.
-      cut.grants.erase(cut.grants.begin(), same || run_out ? cut.grants.begin() + 1 : cut.grants.end());
-      cut.acked = false;
+      // Grants sent to a process that has ended never come into force.
+      state.grants.erase(state.grants.begin(),
+                         same_process || share_ended ? state.grants.begin() + 1 : state.grants.end());
+      state.first_acked = false;
     }
   }
-  cut.used = used;
-  if (demand != nullptr && demand->unmet) cut.unmet_until = now + kComeBack;
-  cut.used_at = now;
-  cut.requested_per_s = demand == nullptr ? 0 : demand->requested_per_s;
-  // The window's use is the steadier figure; what was asked lately counts where chance does not explain the
+  state.used = used;
+  if (demand != nullptr && demand->unmet) state.unmet_until = now + kClientRetryTime;
+  state.reported_at = now;
+  state.requested_per_s = demand == nullptr ? 0 : demand->requested_per_s;
+  // The window's rate is steadier. The recent rate is preferred where random variation does not explain the
   // difference.
-  const double slow = used / bounds_.window_s, fast = cut.requested_per_s;
-  const double chance = kChance * std::sqrt(std::max(slow, fast) / kLatelyS);
-  cut.mean = std::max(0.0, std::clamp(slow, fast - chance, fast + chance)) * bounds_.window_s;
-  cut.noise = std::sqrt(cut.mean + 3);
+  const double window_rate = used / bounds_.window_s, recent_rate = state.requested_per_s;
+  const double allowed_difference =
+      kRateDeviations * std::sqrt(std::max(window_rate, recent_rate) / kRateWindowS);
+  state.expected = std::max(0.0, std::clamp(window_rate, recent_rate - allowed_difference,
+                                            recent_rate + allowed_difference)) *
+                   bounds_.window_s;
+  state.deviation = std::sqrt(state.expected + 3);
 }
 
-// A part of a request is of no use to anybody. Where shares are that small they are whole requests instead,
-// for those who ask; who does not ask gets what is whole of its share.
-double ShareAllocator::WholeRequests(Micros now, double window, double free, double base, const Cut& cut) {
-  const bool asks = cut.requested_per_s > 0;
-  const double needed = std::max(cut.used + (now < cut.unmet_until ? 1.0 : 0.0), asks ? 1.0 : 0.0);
-  const double wanted = std::max(std::floor(window), needed);
-  return std::max(base, std::min(wanted, std::floor(free)));
+// Small shares are rounded to whole requests, because a fraction of a request can't be used. A sidecar with
+// demand gets at least one request; one without demand has its share rounded down.
+double ShareAllocator::RoundToWholeRequests(Micros now, double per_window, double free, double base,
+                                            const SidecarState& state) {
+  const bool active = state.requested_per_s > 0;
+  const double required = std::max(state.used + (now < state.unmet_until ? 1.0 : 0.0), active ? 1.0 : 0.0);
+  const double desired = std::max(std::floor(per_window), required);
+  return std::max(base, std::min(desired, std::floor(free)));
 }
 
-Share ShareAllocator::Give(Micros now, const std::string& name, Tenant& tenant, Cut& cut) const {
+Share ShareAllocator::Allocate(Micros now, const std::string& name, Tenant& tenant,
+                               SidecarState& state) const {
   const double base = Base(tenant.limit);
-  const double sidecars = static_cast<double>(std::max(sidecars_, tenant.cuts.size()));
-  const double unknown = base * (sidecars - static_cast<double>(tenant.cuts.size()));
+  const double sidecars = static_cast<double>(std::max(sidecars_, tenant.sidecar_states.size()));
+  const double unreported_sidecars = base * (sidecars - static_cast<double>(tenant.sidecar_states.size()));
   const double total = Total(now, tenant);
-  const double pool = std::max(0.0, total - base * sidecars), mean = std::max(0.0, cut.mean - base);
-  double window = base;
-  if (tenant.mean > pool) {
-    window += pool * mean / tenant.mean;
+  const double pool = std::max(0.0, total - base * sidecars), expected = std::max(0.0, state.expected - base);
+  double per_window = base;
+  if (tenant.expected > pool) {
+    per_window += pool * expected / tenant.expected;
   } else {
-    // First what is expected, then room for chance, then the rest: some for all, for clients that move; some
-    // by need.
-    const double deviations =
-        tenant.noise > 0 ? std::min(kDeviations, (pool - tenant.mean) / tenant.noise) : kDeviations;
-    const double over = std::max(0.0, pool - tenant.mean - deviations * tenant.noise);
-    const double by_need = tenant.mean > 0 ? mean / tenant.mean : 1 / sidecars;
-    window = std::max(base, cut.mean + deviations * cut.noise);
-    window += over * (kEqualPart / sidecars + (1 - kEqualPart) * by_need);
+    // First the expected demand, then a margin for random variation, then the surplus: partly in equal
+    // shares, for demand that moves between sidecars, and partly in proportion to demand.
+    const double deviations = tenant.deviation > 0
+                                  ? std::min(kDeviations, (pool - tenant.expected) / tenant.deviation)
+                                  : kDeviations;
+    const double surplus = std::max(0.0, pool - tenant.expected - deviations * tenant.deviation);
+    const double need_fraction = tenant.expected > 0 ? expected / tenant.expected : 1 / sidecars;
+    per_window = std::max(base, state.expected + deviations * state.deviation);
+    per_window += surplus * (kEqualFraction / sidecars + (1 - kEqualFraction) * need_fraction);
   }
-  const double others = tenant.reserved - Reserved(now, tenant, cut) + unknown;
-  double free = total - others - Ghost(now, cut);
-  // What it holds already may be renewed while not all is known: the holder before has counted it.
-  if (total < Bound(tenant.limit) && cut.acked && cut.grants.front().source_limit == tenant.limit) {
-    free = std::max(free, cut.grants.front().window);
+  const double reserved_by_others = tenant.reserved - Reserved(now, tenant, state) + unreported_sidecars;
+  double free = total - reserved_by_others - Orphaned(now, state);
+  // A share that the sidecar holds already may be renewed before all reports are in: the previous leader
+  // granted it within the bound.
+  if (total < Bound(tenant.limit) && state.first_acked && state.grants.front().source_limit == tenant.limit) {
+    free = std::max(free, state.grants.front().per_window);
   }
-  window = std::max(base, std::min(window, free));
-  const bool small = window < kFractionMatters;
-  if (small) window = WholeRequests(now, window, free, base, cut);
+  per_window = std::max(base, std::min(per_window, free));
+  const bool is_small = per_window < kSmallShare;
+  if (is_small) per_window = RoundToWholeRequests(now, per_window, free, base, state);
 
-  while (cut.grants.size() >= kGrants) {
-    Grant& second = cut.grants[cut.acked ? 1 : 0];
-    Grant& third = cut.grants[cut.acked ? 2 : 1];
-    third.window = std::max(third.window, second.window);
-    third.end = std::max(third.end, second.end);
-    cut.grants.erase(cut.grants.begin() + (cut.acked ? 1 : 0));
+  while (state.grants.size() >= kMaxGrants) {
+    Grant& second = state.grants[state.first_acked ? 1 : 0];
+    Grant& third = state.grants[state.first_acked ? 2 : 1];
+    third.per_window = std::max(third.per_window, second.per_window);
+    third.lease_end = std::max(third.lease_end, second.lease_end);
+    state.grants.erase(state.grants.begin() + (state.first_acked ? 1 : 0));
   }
-  // Beyond the limit the share flows by its rate, else it would be used up at once and refuse for the rest of
-  // the window.
+  // If demand exceeds the limit, the share gets a rate. Otherwise it would be used up at once and all
+  // requests in the rest of the window would be rejected.
   double rate = 0;
-  if (!small && tenant.requested_per_s > tenant.limit.rate_per_s) {
-    rate = tenant.limit.rate_per_s * kFlow *
-           std::max(cut.requested_per_s / tenant.requested_per_s, 1 / sidecars);
+  if (!is_small && tenant.requested_per_s > tenant.limit.rate_per_s) {
+    rate = tenant.limit.rate_per_s * kRateMargin *
+           std::max(state.requested_per_s / tenant.requested_per_s, 1 / sidecars);
   }
-  Share share{name, rate, window - rate * bounds_.window_s, tenant.limit};
-  cut.grants.push_back({window, tenant.limit, now + lease_, rate > 0});
+  Share share{name, rate, per_window - rate * bounds_.window_s, tenant.limit};
+  state.grants.push_back({per_window, tenant.limit, now + lease_, rate > 0});
   return share;
 }
 
 std::vector<Share> ShareAllocator::OnDemand(Micros now, const std::string& sidecar,
                                             const std::vector<Demand>& demand) {
   std::vector<Share> shares;
-  if (heard_.size() >= kSidecars && !heard_.contains(sidecar)) return shares;
-  heard_[sidecar] = now;
-  Forget(now);
+  if (last_report_.size() >= kMaxSidecars && !last_report_.contains(sidecar)) return shares;
+  last_report_[sidecar] = now;
+  ExpireSidecars(now);
   std::unordered_map<std::string_view, const Demand*> by_tenant;
   for (const Demand& one : demand) by_tenant.emplace(one.tenant, &one);
-  const bool to_all = tenants_.size() * sidecars_ <= kSharesToAll;
+  const bool for_all = tenants_.size() * sidecars_ <= kMaxSharesForAll;
   for (auto& [name, tenant] : tenants_) {
-    const auto asked = by_tenant.find(name);
-    if (asked == by_tenant.end() && !to_all && !tenant.cuts.contains(sidecar)) continue;
-    Sum(now, tenant);
-    const auto [it, is_new] = tenant.cuts.try_emplace(sidecar);
-    Cut& cut = it->second;
-    if (!is_new) Add(now, tenant, cut, -1);
-    Hear(now, tenant.limit, cut, asked == by_tenant.end() ? nullptr : asked->second);
-    Add(now, tenant, cut, 1);
-    if (asked == by_tenant.end() && !to_all) continue;  // its share runs out
-    const double before = Reserved(now, tenant, cut);
-    shares.push_back(Give(now, name, tenant, cut));
-    tenant.reserved += Reserved(now, tenant, cut) - before;
+    const auto report = by_tenant.find(name);
+    if (report == by_tenant.end() && !for_all && !tenant.sidecar_states.contains(sidecar)) continue;
+    UpdateSums(now, tenant);
+    const auto [it, is_new] = tenant.sidecar_states.try_emplace(sidecar);
+    SidecarState& state = it->second;
+    if (!is_new) AddToSums(now, tenant, state, -1);
+    ApplyReport(now, tenant.limit, state, report == by_tenant.end() ? nullptr : report->second);
+    AddToSums(now, tenant, state, 1);
+    if (report == by_tenant.end() && !for_all) continue;  // its lease expires
+    const double reserved_before = Reserved(now, tenant, state);
+    shares.push_back(Allocate(now, name, tenant, state));
+    tenant.reserved += Reserved(now, tenant, state) - reserved_before;
   }
   return shares;
 }
 
-void ShareAllocator::Add(Micros now, Tenant& tenant, const Cut& cut, int sign) const {
-  tenant.reserved += sign * Reserved(now, tenant, cut);
-  if (Presses(cut, Base(tenant.limit))) {
-    tenant.mean += sign * std::max(0.0, cut.mean - Base(tenant.limit));
-    tenant.noise += sign * cut.noise;
+void ShareAllocator::AddToSums(Micros now, Tenant& tenant, const SidecarState& state, int sign) const {
+  tenant.reserved += sign * Reserved(now, tenant, state);
+  if (ExceedsBase(state, Base(tenant.limit))) {
+    tenant.expected += sign * std::max(0.0, state.expected - Base(tenant.limit));
+    tenant.deviation += sign * state.deviation;
   }
-  tenant.requested_per_s += sign * cut.requested_per_s;
+  tenant.requested_per_s += sign * state.requested_per_s;
 }
 
-void ShareAllocator::Forget(Micros now) {
-  if (now - forgot_ < kForget / 8) return;
-  forgot_ = now;
-  std::erase_if(heard_, [&](const auto& one) { return now - one.second >= kForget; });
+void ShareAllocator::ExpireSidecars(Micros now) {
+  if (now - last_expiry_ < kSidecarTimeout / 8) return;
+  last_expiry_ = now;
+  std::erase_if(last_report_, [&](const auto& one) { return now - one.second >= kSidecarTimeout; });
 }
 
-// Its shares stay counted until they have run out: it may be no more than out of sight.
+// The sidecar's grants stay reserved until their leases end, because it may only be disconnected.
 void ShareAllocator::OnSidecarGone(Micros, const std::string& sidecar) {
   for (auto& [name, tenant] : tenants_) {
-    const auto it = tenant.cuts.find(sidecar);
-    if (it == tenant.cuts.end()) continue;
-    it->second.mean = it->second.requested_per_s = 0;
-    it->second.held_told = false;
-    tenant.summed = -1;
+    const auto it = tenant.sidecar_states.find(sidecar);
+    if (it == tenant.sidecar_states.end()) continue;
+    it->second.expected = it->second.requested_per_s = 0;
+    it->second.held_reported = false;
+    tenant.summed_at = -1;
   }
 }
 
--- a/src/mesh/quota/window_limits.hpp
+++ b/src/mesh/quota/window_limits.hpp
@@ -1,4 +1,4 @@
-// What the Limiter and the ShareAllocator have to agree on.
+// Limits on requests in a window, shared by Limiter and ShareAllocator.
 #ifndef FENNELHOLLOW_MESH_QUOTA_WINDOW_LIMITS_HPP_
 #define FENNELHOLLOW_MESH_QUOTA_WINDOW_LIMITS_HPP_
 
@@ -9,28 +9,32 @@
 
 namespace fennelhollow::quota {
 
-// Kept from the bound: for numbers of sidecars that are told late, and for a process killed at its fullest.
-inline constexpr double kKept = 0.06;
-// Of the bound, for all sidecars together, without a lease. More would serve longer without a holder, but
-// leave less than the limit to a single sidecar that has all of the demand.
-inline constexpr double kBasePart = 0.2;
-// A window into which a predecessor may have put requests opens with this part, the rest by the clock.
-inline constexpr double kFreshPart = 0.1;
+// Fraction of the bound that is left unused, to cover outdated sidecar counts and killed processes.
+inline constexpr double kSafetyMargin = 0.06;
+// Fraction of the bound that all sidecars together may admit without a lease. A higher value would serve more
+// requests while there is no leader, but leave less for a single sidecar that has all of the demand.
+inline constexpr double kBaseFraction = 0.2;
+// Fraction of the allowance available right after a start. It grows to the whole within a window, because a
+// previous process may have admitted requests in the current one.
+inline constexpr double kInitialFraction = 0.1;
 
-// Requests of a tenant that all sidecars may let in within a window.
+// Requests of a tenant that all sidecars together may admit in a window.
 inline double WindowBound(const QuotaBounds& bounds, const TenantLimit& limit) {
   const double bound =
       (limit.rate_per_s * bounds.window_s + limit.burst) * (1 + bounds.overshoot) + bounds.slack;
-  return bound * (1 - kKept);
+  return bound * (1 - kSafetyMargin);
 }
 
-inline double BasePart(const QuotaBounds& bounds, const TenantLimit& limit, std::size_t sidecars) {
-  return WindowBound(bounds, limit) * kBasePart / static_cast<double>(std::max<std::size_t>(sidecars, 1));
+// Requests that each sidecar may admit in a window without a lease.
+inline double BaseAllowance(const QuotaBounds& bounds, const TenantLimit& limit, std::size_t sidecars) {
+  return WindowBound(bounds, limit) * kBaseFraction / static_cast<double>(std::max<std::size_t>(sidecars, 1));
 }
 
-inline double FreshPart(Micros age, Micros window) {
-  return std::clamp(kFreshPart + (1 - kFreshPart) * static_cast<double>(age) / static_cast<double>(window),
-                    0.0, 1.0);
+// Fraction of the allowance that is available at this age of the process or leadership.
+inline double StartupFraction(Micros age, Micros window) {
+  return std::clamp(
+      kInitialFraction + (1 - kInitialFraction) * static_cast<double>(age) / static_cast<double>(window), 0.0,
+      1.0);
 }
 
 }  // namespace fennelhollow::quota
--- a/tests/mesh/egress_http_server_test.cpp
+++ b/tests/mesh/egress_http_server_test.cpp
@@ -12,39 +12,40 @@
 using loopback::RunFor;
 using loopback::RunUntil;
 
-struct Bench {
-  explicit Bench(const HttpServer::Limits& limits = {}) : Bench(limits, [](auto&, auto&) {}) {}
-  // `answer`: what is done with each request as it comes.
-  Bench(const HttpServer::Limits& limits,
-        std::function<void(const HttpServer::SessionPtr&, const HttpRequest&)> answer)
+struct ServerFixture {
+  explicit ServerFixture(const HttpServer::Limits& limits = {})
+      : ServerFixture(limits, [](auto&, auto&) {}) {}
+  // `handler` is called for each request.
+  ServerFixture(const HttpServer::Limits& limits,
+                std::function<void(const HttpServer::SessionPtr&, const HttpRequest&)> handler)
       : port(loopback::FreePort(io)),
         server(io, {"127.0.0.1", port}, limits,
-               {[this, answer](const HttpServer::SessionPtr& session, HttpRequest in) {
+               {[this, handler](const HttpServer::SessionPtr& session, HttpRequest in) {
                   sessions.push_back(session);
                   requests.push_back(in);
-                  answer(session, requests.back());
+                  handler(session, requests.back());
                 },
-                [this](const HttpServer::SessionPtr&) { ++gone; }}) {}
-  RawConnectionPtr Dial() { return RawConnection::Connect(io, port); }
-  RawConnectionPtr Say(const std::string& bytes) {
-    auto raw = Dial();
-    raw->Write(bytes);
-    return raw;
+                [this](const HttpServer::SessionPtr&) { ++disconnects; }}) {}
+  RawConnectionPtr Connect() { return RawConnection::Connect(io, port); }
+  RawConnectionPtr SendBytes(const std::string& bytes) {
+    auto connection = Connect();
+    connection->Write(bytes);
+    return connection;
   }
-  // What is answered to these bytes, up to the connection's end.
-  std::string Answer(const std::string& bytes) {
-    const auto raw = Say(bytes);
-    REQUIRE(RunUntil(io, [&] { return raw->ended; }));
-    return raw->received;
+  // Sends the bytes and returns what is received until the connection ends.
+  std::string SendAndReceive(const std::string& bytes) {
+    const auto connection = SendBytes(bytes);
+    REQUIRE(RunUntil(io, [&] { return connection->ended; }));
+    return connection->received;
   }
-  bool Got(const RawConnectionPtr& raw, const std::string& text) {
-    return RunUntil(io, [&] { return raw->received.find(text) != std::string::npos; });
+  bool ReceivedText(const RawConnectionPtr& connection, const std::string& text) {
+    return RunUntil(io, [&] { return connection->received.find(text) != std::string::npos; });
   }
   asio::io_context io;
   std::uint16_t port;
   std::vector<HttpServer::SessionPtr> sessions;
   std::vector<HttpRequest> requests;
-  int gone = 0;
+  int disconnects = 0;
   HttpServer server;
 };
 
@@ -52,8 +53,8 @@
   HttpServer::Respond(session, 200, {{"X-Own", "1"}}, in.method + " " + in.target + " " + in.body);
 }
 
-std::string Get(const std::string& target, const std::string& more = "") {
-  return "GET " + target + " HTTP/1.1\r\nHost: h\r\n" + more + "\r\n";
+std::string Get(const std::string& target, const std::string& extra_headers = "") {
+  return "GET " + target + " HTTP/1.1\r\nHost: h\r\n" + extra_headers + "\r\n";
 }
 
 int Count(const std::string& text, const std::string& part) {
@@ -62,60 +63,60 @@
   return n;
 }
 
-TEST_CASE("requests follow each other on a connection, what concerns the connection is not handed on") {
-  Bench bench({}, Echo);
-  const auto raw = bench.Say(Get(
+TEST_CASE("a connection serves several requests, and hop-by-hop headers are removed") {
+  ServerFixture fixture({}, Echo);
+  const auto connection = fixture.SendBytes(Get(
       "/a",
       "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nX-Own: 2\r\nTE: trailers\r\n"));
-  REQUIRE(bench.Got(raw, "GET /a "));
-  CHECK(raw->received.find("HTTP/1.1 200 OK\r\nX-Own: 1\r\nContent-Length: 7\r\n\r\n") == 0);
-  CHECK(bench.requests[0].headers == Headers{{"Host", "h"}, {"X-Own", "2"}});
-  CHECK(bench.requests[0].host == "h");
-  raw->Write("POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody");
-  REQUIRE(bench.Got(raw, "POST /b body"));
-  raw->Write(
+  REQUIRE(fixture.ReceivedText(connection, "GET /a "));
+  CHECK(connection->received.find("HTTP/1.1 200 OK\r\nX-Own: 1\r\nContent-Length: 7\r\n\r\n") == 0);
+  CHECK(fixture.requests[0].headers == Headers{{"Host", "h"}, {"X-Own", "2"}});
+  CHECK(fixture.requests[0].host == "h");
+  connection->Write("POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody");
+  REQUIRE(fixture.ReceivedText(connection, "POST /b body"));
+  connection->Write(
       "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: "
       "chunked\r\n\r\n2\r\nch\r\n3;x=y\r\nunk\r\n0\r\n\r\n");
-  REQUIRE(bench.Got(raw, "POST /c chunk"));
-  for (const HttpRequest& in : bench.requests)
+  REQUIRE(fixture.ReceivedText(connection, "POST /c chunk"));
+  for (const HttpRequest& in : fixture.requests)
     for (const auto& [name, value] : in.headers) CHECK((name == "Host" || name == "X-Own"));
-  CHECK_FALSE(raw->ended);
-  CHECK(bench.server.sessions() == 1);
-  CHECK(bench.server.busy() == 0);
+  CHECK_FALSE(connection->ended);
+  CHECK(fixture.server.sessions() == 1);
+  CHECK(fixture.server.busy() == 0);
 }
 
-TEST_CASE("pipelined requests are handed over one at a time and answered in order") {
-  Bench bench;
-  const auto raw =
-      bench.Say("POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx" + Get("/2") + Get("/3"));
+TEST_CASE("pipelined requests are handled one at a time and in order") {
+  ServerFixture fixture;
+  const auto connection =
+      fixture.SendBytes("POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx" + Get("/2") + Get("/3"));
   for (std::size_t i = 0; i < 3; ++i) {
-    REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == i + 1; }));
-    RunFor(bench.io, 20);
-    REQUIRE(bench.requests.size() == i + 1);  // none before the one ahead has its answer
-    HttpServer::Respond(bench.sessions[i], 200, {}, "<" + bench.requests[i].target + ">");
+    REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == i + 1; }));
+    RunFor(fixture.io, 20);
+    REQUIRE(fixture.requests.size() == i + 1);  // the next one waits for this response
+    HttpServer::Respond(fixture.sessions[i], 200, {}, "<" + fixture.requests[i].target + ">");
   }
-  REQUIRE(bench.Got(raw, "</3>"));
-  CHECK(raw->received.find("</1>") < raw->received.find("</2>"));
-  CHECK(raw->received.find("</2>") < raw->received.find("</3>"));
-  CHECK(Count(raw->received, "HTTP/1.1 200") == 3);
+  REQUIRE(fixture.ReceivedText(connection, "</3>"));
+  CHECK(connection->received.find("</1>") < connection->received.find("</2>"));
+  CHECK(connection->received.find("</2>") < connection->received.find("</3>"));
+  CHECK(Count(connection->received, "HTTP/1.1 200") == 3);
 }
 
-TEST_CASE("a request cut at any byte is the same request") {
+TEST_CASE("a request may be split at any byte") {
   const std::string bytes =
       "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nch\r\n3\r\nunk\r\n0\r\n\r\n";
-  Bench bench({}, Echo);
-  for (std::size_t cut = 1; cut < bytes.size(); ++cut) {
-    const auto raw = bench.Dial();
-    raw->WriteNow(bytes.substr(0, cut));
-    for (int turn = 0; turn < 4; ++turn) bench.io.restart(), bench.io.poll();
-    raw->WriteNow(bytes.substr(cut));
-    REQUIRE(bench.Got(raw, "POST /c chunk"));
-    raw->Close();
+  ServerFixture fixture({}, Echo);
+  for (std::size_t split_at = 1; split_at < bytes.size(); ++split_at) {
+    const auto connection = fixture.Connect();
+    connection->WriteNow(bytes.substr(0, split_at));
+    for (int turn = 0; turn < 4; ++turn) fixture.io.restart(), fixture.io.poll();
+    connection->WriteNow(bytes.substr(split_at));
+    REQUIRE(fixture.ReceivedText(connection, "POST /c chunk"));
+    connection->Close();
   }
-  CHECK(bench.requests.size() == bytes.size() - 1);
+  CHECK(fixture.requests.size() == bytes.size() - 1);
 }
 
-TEST_CASE("what is in doubt is turned away, and nothing behind it is taken for a request") {
+TEST_CASE("an ambiguous request is rejected, and what follows it is not taken for a request") {
   const std::string smuggled = Get("/smuggled");
   const std::string post = "POST /x HTTP/1.1\r\nHost: h\r\n";
   const std::vector<std::pair<std::string, std::string>> cases = {
@@ -149,94 +150,97 @@
   };
   for (const auto& [name, bytes] : cases) {
     INFO(name);
-    Bench bench({}, Echo);
-    const auto raw = bench.Say(bytes + smuggled);
-    REQUIRE(bench.Got(raw, "HTTP/1.1 "));
-    CHECK(raw->received.find("HTTP/1.1 400 ") == 0);
-    CHECK(raw->received.find("Connection: close\r\n") != std::string::npos);
-    REQUIRE(RunUntil(bench.io, [&] { return raw->ended; }));
-    CHECK(bench.requests.empty());
-    CHECK(Count(raw->received, "HTTP/1.1 ") == 1);
+    ServerFixture fixture({}, Echo);
+    const auto connection = fixture.SendBytes(bytes + smuggled);
+    REQUIRE(fixture.ReceivedText(connection, "HTTP/1.1 "));
+    CHECK(connection->received.find("HTTP/1.1 400 ") == 0);
+    CHECK(connection->received.find("Connection: close\r\n") != std::string::npos);
+    REQUIRE(RunUntil(fixture.io, [&] { return connection->ended; }));
+    CHECK(fixture.requests.empty());
+    CHECK(Count(connection->received, "HTTP/1.1 ") == 1);
   }
 }
 
-// RFC 9112, 6.3 lets a list of one and the same length be taken as that length.
-TEST_CASE("a list of equal lengths is that length, or turned away") {
-  Bench bench({}, Echo);
-  const auto raw = bench.Say("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 3, 3\r\n\r\nabc" + Get("/2"));
-  REQUIRE(bench.Got(raw, "\r\n\r\n"));
-  if (raw->received.find("HTTP/1.1 400 ") == 0) {
-    CHECK(bench.requests.empty());
+// RFC 9112, section 6.3 allows both ways of handling a list of equal lengths.
+TEST_CASE("a list of equal lengths is accepted as that length or rejected") {
+  ServerFixture fixture({}, Echo);
+  const auto connection =
+      fixture.SendBytes("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 3, 3\r\n\r\nabc" + Get("/2"));
+  REQUIRE(fixture.ReceivedText(connection, "\r\n\r\n"));
+  if (connection->received.find("HTTP/1.1 400 ") == 0) {
+    CHECK(fixture.requests.empty());
   } else {
-    REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 2; }));
-    CHECK(bench.requests[0].body == "abc");
-    CHECK(bench.requests[1].target == "/2");
-    CHECK(bench.requests[0].headers == Headers{{"Host", "h"}});  // the list goes no further
+    REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == 2; }));
+    CHECK(fixture.requests[0].body == "abc");
+    CHECK(fixture.requests[1].target == "/2");
+    CHECK(fixture.requests[0].headers == Headers{{"Host", "h"}});  // the list is not forwarded
   }
 }
 
-TEST_CASE("a folded field is turned away or one line, and no field of its own") {
-  Bench bench({}, Echo);
-  const auto raw =
-      bench.Say("GET /x HTTP/1.1\r\nHost: h\r\nX-Own: a\r\n Content-Length: 5\r\n\r\n" + Get("/2"));
-  REQUIRE(bench.Got(raw, "\r\n\r\n"));
-  if (!bench.requests.empty()) {
-    CHECK(bench.requests[0].body.empty());
-    for (const auto& [name, value] : bench.requests[0].headers)
+TEST_CASE("a folded header is rejected or unfolded, and never becomes a header of its own") {
+  ServerFixture fixture({}, Echo);
+  const auto connection =
+      fixture.SendBytes("GET /x HTTP/1.1\r\nHost: h\r\nX-Own: a\r\n Content-Length: 5\r\n\r\n" + Get("/2"));
+  REQUIRE(fixture.ReceivedText(connection, "\r\n\r\n"));
+  if (!fixture.requests.empty()) {
+    CHECK(fixture.requests[0].body.empty());
+    for (const auto& [name, value] : fixture.requests[0].headers)
       CHECK(value.find_first_of(std::string("\r\n\0", 3)) == std::string::npos);
   } else {
-    CHECK(raw->received.find("HTTP/1.1 400 ") == 0);
+    CHECK(connection->received.find("HTTP/1.1 400 ") == 0);
   }
 }
 
-TEST_CASE("headers and bodies beyond their limit are turned away by their own status") {
+TEST_CASE("oversized headers and bodies are rejected with 431 and 413") {
   HttpServer::Limits limits;
   limits.max_header_bytes = 1024;
   limits.max_body_bytes = 1000;
-  Bench bench(limits, Echo);
+  ServerFixture fixture(limits, Echo);
   const std::string post = "POST /x HTTP/1.1\r\nHost: h\r\n";
-  CHECK(bench.Answer(Get("/x", "X-Own: " + std::string(2000, 'x') + "\r\n")).find("HTTP/1.1 431 ") == 0);
-  CHECK(bench.Answer("GET /" + std::string(5000, 'x')).find("HTTP/1.1 431 ") == 0);  // without an end
-  CHECK(bench.Answer(post + "Content-Length: 1001\r\n\r\n").find("HTTP/1.1 413 ") == 0);
-  CHECK(bench.Answer(post + "Transfer-Encoding: chunked\r\n\r\n3e9\r\n" + std::string(1001, 'x'))
+  CHECK(
+      fixture.SendAndReceive(Get("/x", "X-Own: " + std::string(2000, 'x') + "\r\n")).find("HTTP/1.1 431 ") ==
+      0);
+  CHECK(fixture.SendAndReceive("GET /" + std::string(5000, 'x')).find("HTTP/1.1 431 ") == 0);  // incomplete
+  CHECK(fixture.SendAndReceive(post + "Content-Length: 1001\r\n\r\n").find("HTTP/1.1 413 ") == 0);
+  CHECK(fixture.SendAndReceive(post + "Transfer-Encoding: chunked\r\n\r\n3e9\r\n" + std::string(1001, 'x'))
             .find("HTTP/1.1 413 ") == 0);
   std::string many;
   for (int i = 0; i < 150; ++i) many += "A: \r\n";
-  CHECK(bench.Answer(Get("/x", many)).find("HTTP/1.1 431 ") == 0);
-  CHECK(bench.requests.empty());
-  const auto raw = bench.Say(post + "Content-Length: 1000\r\n\r\n" + std::string(1000, 'x'));
-  REQUIRE(bench.Got(raw, "POST /x x"));
+  CHECK(fixture.SendAndReceive(Get("/x", many)).find("HTTP/1.1 431 ") == 0);
+  CHECK(fixture.requests.empty());
+  const auto connection = fixture.SendBytes(post + "Content-Length: 1000\r\n\r\n" + std::string(1000, 'x'));
+  REQUIRE(fixture.ReceivedText(connection, "POST /x x"));
 }
 
-TEST_CASE("bodies of all connections together are bounded, and what is over gives its room back") {
+TEST_CASE("the buffered bodies of all connections are bounded, and finished requests release theirs") {
   HttpServer::Limits limits;
   limits.max_buffered_bytes = 1500;
-  Bench bench(limits);
+  ServerFixture fixture(limits);
   const std::string post =
       "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n" + std::string(1000, 'x');
-  const auto first = bench.Say(post);
-  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 1; }));
-  CHECK(bench.Answer(post).find("HTTP/1.1 503 ") == 0);
-  HttpServer::Respond(bench.sessions[0], 200, {}, "");
-  REQUIRE(bench.Got(first, "200 OK"));
-  const auto third = bench.Say(post);
-  CHECK(RunUntil(bench.io, [&] { return bench.requests.size() == 2; }));
+  const auto first = fixture.SendBytes(post);
+  REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == 1; }));
+  CHECK(fixture.SendAndReceive(post).find("HTTP/1.1 503 ") == 0);
+  HttpServer::Respond(fixture.sessions[0], 200, {}, "");
+  REQUIRE(fixture.ReceivedText(first, "200 OK"));
+  const auto third = fixture.SendBytes(post);
+  CHECK(RunUntil(fixture.io, [&] { return fixture.requests.size() == 2; }));
 }
 
-TEST_CASE("a client that waits to be told to go on is") {
-  Bench bench({}, Echo);
-  const auto raw =
-      bench.Say("POST /x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n");
-  REQUIRE(bench.Got(raw, "HTTP/1.1 100 Continue\r\n\r\n"));
-  CHECK(bench.requests.empty());
-  raw->Write("body");
-  REQUIRE(bench.Got(raw, "POST /x body"));
-  CHECK(Count(raw->received, "HTTP/1.1 100") == 1);
-  CHECK(bench.requests[0].headers == Headers{{"Host", "h"}});
+TEST_CASE("Expect: 100-continue is answered") {
+  ServerFixture fixture({}, Echo);
+  const auto connection =
+      fixture.SendBytes("POST /x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n");
+  REQUIRE(fixture.ReceivedText(connection, "HTTP/1.1 100 Continue\r\n\r\n"));
+  CHECK(fixture.requests.empty());
+  connection->Write("body");
+  REQUIRE(fixture.ReceivedText(connection, "POST /x body"));
+  CHECK(Count(connection->received, "HTTP/1.1 100") == 1);
+  CHECK(fixture.requests[0].headers == Headers{{"Host", "h"}});
 }
 
-TEST_CASE("an answer to HEAD has a length and no body, whole or in pieces") {
-  Bench bench({}, [](const auto& session, const HttpRequest& in) {
+TEST_CASE("a response to HEAD has a length and no body, whether sent whole or streamed") {
+  ServerFixture fixture({}, [](const auto& session, const HttpRequest& in) {
     if (in.target == "/whole") return HttpServer::Respond(session, 200, {}, "hello");
     HttpServer::Begin(session, 200, {}, in.target == "/chunks" ? -1 : 5);
     HttpServer::Write(session, "hello");
@@ -244,146 +248,149 @@
   });
   for (const char* target : {"/whole", "/length", "/chunks"}) {
     INFO(target);
-    const auto raw = bench.Say("HEAD " + std::string(target) + " HTTP/1.1\r\nHost: h\r\n\r\n" +
-                               "HEAD /whole HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-    REQUIRE(RunUntil(bench.io, [&] { return raw->ended; }));
-    CHECK(Count(raw->received, "HTTP/1.1 200 OK") == 2);
-    CHECK(raw->received.find("hello") == std::string::npos);
-    CHECK(raw->received.find("0\r\n\r\nH") == std::string::npos);
+    const auto connection = fixture.SendBytes("HEAD " + std::string(target) + " HTTP/1.1\r\nHost: h\r\n\r\n" +
+                                              "HEAD /whole HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
+    REQUIRE(RunUntil(fixture.io, [&] { return connection->ended; }));
+    CHECK(Count(connection->received, "HTTP/1.1 200 OK") == 2);
+    CHECK(connection->received.find("hello") == std::string::npos);
+    CHECK(connection->received.find("0\r\n\r\nH") == std::string::npos);
   }
 }
 
-TEST_CASE("an answer in pieces, in chunks and with a length, none of it before its time") {
-  Bench bench;
-  const auto raw = bench.Say(Get("/1") + Get("/2", "Connection: close\r\n"));
-  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 1; }));
-  HttpServer::Begin(bench.sessions[0], 200, {}, -1);
-  HttpServer::Write(bench.sessions[0], "abc");
-  HttpServer::Write(bench.sessions[0], "");  // would be the end
-  REQUIRE(bench.Got(raw, "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"));
-  CHECK(bench.requests.size() == 1);
-  HttpServer::Write(bench.sessions[0], std::string(20, 'd'));
-  HttpServer::Finish(bench.sessions[0]);
-  REQUIRE(bench.Got(raw, "14\r\n" + std::string(20, 'd') + "\r\n0\r\n\r\n"));
-  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 2; }));
-  HttpServer::Begin(bench.sessions[1], 200, {}, 6);
-  HttpServer::Write(bench.sessions[1], "abc");
-  HttpServer::Write(bench.sessions[1], "def");
-  HttpServer::Finish(bench.sessions[1]);
-  REQUIRE(RunUntil(bench.io, [&] { return raw->ended; }));
-  CHECK(raw->received.find("Content-Length: 6\r\nConnection: close\r\n\r\nabcdef") != std::string::npos);
-  CHECK_FALSE(raw->reset);
+TEST_CASE("responses are streamed in chunks or with Content-Length, without waiting for the end") {
+  ServerFixture fixture;
+  const auto connection = fixture.SendBytes(Get("/1") + Get("/2", "Connection: close\r\n"));
+  REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == 1; }));
+  HttpServer::Begin(fixture.sessions[0], 200, {}, -1);
+  HttpServer::Write(fixture.sessions[0], "abc");
+  HttpServer::Write(fixture.sessions[0], "");  // must not be sent as the final chunk
+  REQUIRE(fixture.ReceivedText(connection, "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"));
+  CHECK(fixture.requests.size() == 1);
+  HttpServer::Write(fixture.sessions[0], std::string(20, 'd'));
+  HttpServer::Finish(fixture.sessions[0]);
+  REQUIRE(fixture.ReceivedText(connection, "14\r\n" + std::string(20, 'd') + "\r\n0\r\n\r\n"));
+  REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == 2; }));
+  HttpServer::Begin(fixture.sessions[1], 200, {}, 6);
+  HttpServer::Write(fixture.sessions[1], "abc");
+  HttpServer::Write(fixture.sessions[1], "def");
+  HttpServer::Finish(fixture.sessions[1]);
+  REQUIRE(RunUntil(fixture.io, [&] { return connection->ended; }));
+  CHECK(connection->received.find("Content-Length: 6\r\nConnection: close\r\n\r\nabcdef") !=
+        std::string::npos);
+  CHECK_FALSE(connection->reset);
 }
 
-TEST_CASE("to HTTP/1.0 a body of unknown length ends with its connection, without chunks") {
-  Bench bench({}, [](const auto& session, const HttpRequest&) {
+TEST_CASE("an HTTP/1.0 response of unknown length ends with the connection and is not chunked") {
+  ServerFixture fixture({}, [](const auto& session, const HttpRequest&) {
     HttpServer::Begin(session, 200, {}, -1);
     HttpServer::Write(session, "abc");
     HttpServer::Finish(session);
   });
-  const std::string got = bench.Answer("GET /x HTTP/1.0\r\nHost: h\r\nConnection: keep-alive\r\n\r\n");
+  const std::string got =
+      fixture.SendAndReceive("GET /x HTTP/1.0\r\nHost: h\r\nConnection: keep-alive\r\n\r\n");
   CHECK(got.substr(got.size() - 7) == "\r\n\r\nabc");
   CHECK(got.find("chunked") == std::string::npos);
 }
 
-TEST_CASE("an answer that is given up can be seen to be cut") {
+TEST_CASE("the client can detect an aborted response") {
   for (const std::int64_t length : {std::int64_t{-1}, std::int64_t{100}}) {
     for (const char* version : {"1.1", "1.0"}) {
       INFO(length << ' ' << version);
-      Bench bench;
-      const auto raw = bench.Say(std::string("GET /x HTTP/") + version + "\r\nHost: h\r\n\r\n");
-      REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 1; }));
-      HttpServer::Begin(bench.sessions[0], 200, {}, length);
-      HttpServer::Write(bench.sessions[0], "abc");
-      REQUIRE(bench.Got(raw, "abc"));
-      HttpServer::Abort(bench.sessions[0]);
-      REQUIRE(RunUntil(bench.io, [&] { return raw->ended; }));
-      CHECK(raw->received.find("0\r\n\r\n", raw->received.find("abc")) == std::string::npos);
-      CHECK(raw->reset);
-      CHECK(bench.gone == 0);
-      CHECK(bench.server.sessions() == 0);
-      HttpServer::Finish(bench.sessions[0]);  // what is late does nothing
+      ServerFixture fixture;
+      const auto connection =
+          fixture.SendBytes(std::string("GET /x HTTP/") + version + "\r\nHost: h\r\n\r\n");
+      REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == 1; }));
+      HttpServer::Begin(fixture.sessions[0], 200, {}, length);
+      HttpServer::Write(fixture.sessions[0], "abc");
+      REQUIRE(fixture.ReceivedText(connection, "abc"));
+      HttpServer::Abort(fixture.sessions[0]);
+      REQUIRE(RunUntil(fixture.io, [&] { return connection->ended; }));
+      CHECK(connection->received.find("0\r\n\r\n", connection->received.find("abc")) == std::string::npos);
+      CHECK(connection->reset);
+      CHECK(fixture.disconnects == 0);
+      CHECK(fixture.server.sessions() == 0);
+      HttpServer::Finish(fixture.sessions[0]);  // has no effect any more
     }
   }
 }
 
-TEST_CASE("a client that leaves while its answer is owed is told once, and late answers do nothing") {
-  Bench bench;
-  const auto raw = bench.Say(Get("/x"));
-  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 1; }));
-  CHECK(bench.server.busy() == 1);
-  raw->Close();
-  REQUIRE(RunUntil(bench.io, [&] { return bench.gone > 0; }));
-  HttpServer::Respond(bench.sessions[0], 200, {}, "late");
-  HttpServer::Abort(bench.sessions[0]);
-  RunFor(bench.io, 20);
-  CHECK(bench.gone == 1);
-  CHECK(bench.server.busy() == 0);
-  CHECK(bench.server.sessions() == 0);
+TEST_CASE("a disconnect with a response pending is reported once, and later responses have no effect") {
+  ServerFixture fixture;
+  const auto connection = fixture.SendBytes(Get("/x"));
+  REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == 1; }));
+  CHECK(fixture.server.busy() == 1);
+  connection->Close();
+  REQUIRE(RunUntil(fixture.io, [&] { return fixture.disconnects > 0; }));
+  HttpServer::Respond(fixture.sessions[0], 200, {}, "late");
+  HttpServer::Abort(fixture.sessions[0]);
+  RunFor(fixture.io, 20);
+  CHECK(fixture.disconnects == 1);
+  CHECK(fixture.server.busy() == 0);
+  CHECK(fixture.server.sessions() == 0);
 
-  // Before its request is whole, or after its answer, nothing is owed.
-  const auto half = bench.Say("GET /x HT");
-  const auto done = bench.Say(Get("/y"));
-  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 2; }));
-  HttpServer::Respond(bench.sessions[1], 200, {}, "");
-  REQUIRE(bench.Got(done, "200 OK"));
-  half->Close();
+  // Not reported without a pending response.
+  const auto incomplete = fixture.SendBytes("GET /x HT");
+  const auto done = fixture.SendBytes(Get("/y"));
+  REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == 2; }));
+  HttpServer::Respond(fixture.sessions[1], 200, {}, "");
+  REQUIRE(fixture.ReceivedText(done, "200 OK"));
+  incomplete->Close();
   done->Close();
-  CHECK(RunUntil(bench.io, [&] { return bench.server.sessions() == 0; }));
-  CHECK(bench.gone == 1);
+  CHECK(RunUntil(fixture.io, [&] { return fixture.server.sessions() == 0; }));
+  CHECK(fixture.disconnects == 1);
 }
 
-TEST_CASE("a header that trickles is ended by 408, a connection that rests without a word") {
+TEST_CASE("a slow header is rejected with 408, and an idle connection is closed silently") {
   HttpServer::Limits limits;
   limits.header_timeout_ms = limits.idle_timeout_ms = 1;
-  Bench bench(limits, Echo);
-  const auto trickles = bench.Say("GET /x HTTP/1.1\r\nHo");
-  const auto rests = bench.Dial();
-  REQUIRE(RunUntil(bench.io, [&] { return trickles->ended && rests->ended; }));
-  CHECK(trickles->received.find("HTTP/1.1 408 ") == 0);
-  CHECK(rests->received.empty());
-  CHECK(bench.requests.empty());
-  CHECK(RunUntil(bench.io, [&] { return bench.server.sessions() == 0; }));
+  ServerFixture fixture(limits, Echo);
+  const auto slow_header = fixture.SendBytes("GET /x HTTP/1.1\r\nHo");
+  const auto idle = fixture.Connect();
+  REQUIRE(RunUntil(fixture.io, [&] { return slow_header->ended && idle->ended; }));
+  CHECK(slow_header->received.find("HTTP/1.1 408 ") == 0);
+  CHECK(idle->received.empty());
+  CHECK(fixture.requests.empty());
+  CHECK(RunUntil(fixture.io, [&] { return fixture.server.sessions() == 0; }));
 }
 
-TEST_CASE("an answer that is owed is not cut by the time limits") {
+TEST_CASE("the timeouts don't apply while a response is pending") {
   HttpServer::Limits limits;
   limits.header_timeout_ms = limits.idle_timeout_ms = 1;
-  Bench bench(limits);
-  const auto raw = bench.Say(Get("/x"));
-  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 1; }));
-  RunFor(bench.io, 600);  // two sweeps
-  HttpServer::Respond(bench.sessions[0], 200, {}, "slow");
-  CHECK(bench.Got(raw, "slow"));
+  ServerFixture fixture(limits);
+  const auto connection = fixture.SendBytes(Get("/x"));
+  REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == 1; }));
+  RunFor(fixture.io, 600);  // two sweeps
+  HttpServer::Respond(fixture.sessions[0], 200, {}, "slow");
+  CHECK(fixture.ReceivedText(connection, "slow"));
 }
 
-TEST_CASE("beyond the most connections the one that rests longest makes room, never a busy one") {
+TEST_CASE("at the connection limit the oldest idle connection is closed, but never a busy one") {
   HttpServer::Limits limits;
   limits.max_connections = 2;
-  Bench bench(limits);
-  const auto busy = bench.Say(Get("/x"));
-  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 1; }));
-  const auto rests = bench.Dial();
-  REQUIRE(RunUntil(bench.io, [&] { return bench.server.sessions() == 2; }));
-  const auto third = bench.Say(Get("/y"));
-  REQUIRE(RunUntil(bench.io, [&] { return bench.requests.size() == 2; }));
-  CHECK(RunUntil(bench.io, [&] { return rests->ended; }));
-  const auto fourth = bench.Dial();
-  CHECK(RunUntil(bench.io, [&] { return fourth->ended; }));
-  HttpServer::Respond(bench.sessions[0], 200, {}, "x");
-  CHECK(bench.Got(busy, "200 OK"));
+  ServerFixture fixture(limits);
+  const auto busy = fixture.SendBytes(Get("/x"));
+  REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == 1; }));
+  const auto idle = fixture.Connect();
+  REQUIRE(RunUntil(fixture.io, [&] { return fixture.server.sessions() == 2; }));
+  const auto third = fixture.SendBytes(Get("/y"));
+  REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == 2; }));
+  CHECK(RunUntil(fixture.io, [&] { return idle->ended; }));
+  const auto fourth = fixture.Connect();
+  CHECK(RunUntil(fixture.io, [&] { return fourth->ended; }));
+  HttpServer::Respond(fixture.sessions[0], 200, {}, "x");
+  CHECK(fixture.ReceivedText(busy, "200 OK"));
 }
 
-TEST_CASE("draining, answers say that they are the last of their connection") {
-  Bench bench({}, Echo);
-  const auto raw = bench.Say(Get("/1"));
-  REQUIRE(bench.Got(raw, "GET /1"));
-  bench.server.SetDraining();
-  CHECK_FALSE(raw->ended);
-  raw->Write(Get("/2"));
-  REQUIRE(bench.Got(raw, "GET /2"));
-  CHECK(raw->received.find("Connection: close\r\n") != std::string::npos);
-  CHECK(RunUntil(bench.io, [&] { return raw->ended; }));
+TEST_CASE("responses carry Connection: close while draining") {
+  ServerFixture fixture({}, Echo);
+  const auto connection = fixture.SendBytes(Get("/1"));
+  REQUIRE(fixture.ReceivedText(connection, "GET /1"));
+  fixture.server.SetDraining();
+  CHECK_FALSE(connection->ended);
+  connection->Write(Get("/2"));
+  REQUIRE(fixture.ReceivedText(connection, "GET /2"));
+  CHECK(connection->received.find("Connection: close\r\n") != std::string::npos);
+  CHECK(RunUntil(fixture.io, [&] { return connection->ended; }));
 }
 
 }  // namespace
--- a/tests/mesh/egress_outbound_test.cpp
+++ b/tests/mesh/egress_outbound_test.cpp
@@ -12,10 +12,10 @@
 namespace fennelhollow::egress {
 namespace {
 
-using ingress::Heard;
-using ingress::Say;
-using ingress::Why;
-using ingress::Word;
+using ingress::Decode;
+using ingress::Encode;
+using ingress::FrameType;
+using ingress::RejectReason;
 using loopback::HeaderValue;
 using loopback::RawConnection;
 using loopback::RawConnectionPtr;
@@ -23,62 +23,64 @@
 using loopback::RunUntil;
 using loopback::ScriptedHttpServer;
 
-// A last hop as the test writes it. Its Hello is sent to whoever says his.
-struct FakeHop {
-  using Script = std::function<void(transport::Link&, Word, std::string_view)>;
-  FakeHop(asio::io_context& io, Script script)
+// Scripted inbound proxy. Answers the first frame on a link, the Hello, with its own Hello.
+struct FakeInboundProxy {
+  using Script = std::function<void(transport::Link&, FrameType, std::string_view)>;
+  FakeInboundProxy(asio::io_context& io, Script script)
       : port(loopback::FreePort(io)), listener(io, "127.0.0.1", port, {}, [this, script](auto link) {
-          auto hello = std::make_shared<bool>(false);
-          link->Start({[this, raw = link.get(), script, hello](std::string_view frame) {
-                         if (std::exchange(*hello, true)) return script(*raw, ingress::WordOf(frame), frame);
-                         if (!greets) return;
-                         transport::Hello mine;
-                         mine.incarnation = life;
-                         raw->Send(Say(Word::kHello, mine));
+          auto hello_received = std::make_shared<bool>(false);
+          link->Start({[this, raw_link = link.get(), script, hello_received](std::string_view frame) {
+                         if (std::exchange(*hello_received, true))
+                           return script(*raw_link, ingress::TypeOf(frame), frame);
+                         if (!sends_hello) return;
+                         transport::Hello own_hello;
+                         own_hello.incarnation = incarnation;
+                         raw_link->Send(Encode(FrameType::kHello, own_hello));
                        },
                        [] {},
                        {}});
           links.push_back(std::move(link));
         }) {}
-  ~FakeHop() {
+  ~FakeInboundProxy() {
     for (const auto& link : links) link->Close();
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(port); }
-  std::uint64_t life = 77;
-  bool greets = true;
+  std::uint64_t incarnation = 77;
+  bool sends_hello = true;
   std::uint16_t port;
   std::vector<std::shared_ptr<transport::Link>> links;
   transport::Listener listener;
 };
 
 struct Outcome {
-  std::optional<Why> turned;
-  std::optional<bool> never_ran;  // of `broken`
+  std::optional<RejectReason> rejected;
+  std::optional<bool> never_ran;  // from on_reset
   int heads = 0, ends = 0;
   std::string body;
 };
 
-struct HopBench {
-  explicit HopBench(FakeHop::Script script) : hop(io, std::move(script)) {}
-  std::shared_ptr<Outcome> Start(bool unsafe, const std::string& address) {
+struct ClientFixture {
+  explicit ClientFixture(FakeInboundProxy::Script script) : inbound_proxy(io, std::move(script)) {}
+  std::shared_ptr<Outcome> StartAttempt(bool unsafe, const std::string& address) {
     auto out = std::make_shared<Outcome>();
     ingress::Attempt attempt;
     attempt.unsafe = unsafe;
     attempt.server = "s";
-    handle = client.Send(address, attempt,
-                         {[out](ingress::Head head) {
-                            ++out->heads;
-                            out->body += head.body;
-                            out->ends += head.end;
-                          },
-                          [out](ingress::Piece piece) { out->body += piece.bytes, out->ends += piece.end; },
-                          [out](Why why) { out->turned = why, ++out->ends; },
-                          [out](bool never_ran, bool) { out->never_ran = never_ran, ++out->ends; }});
-    CHECK(out->ends == 0);  // never from inside the call
+    handle =
+        client.Send(address, attempt,
+                    {[out](ingress::ResponseHead head) {
+                       ++out->heads;
+                       out->body += head.body;
+                       out->ends += head.end;
+                     },
+                     [out](ingress::BodyChunk chunk) { out->body += chunk.bytes, out->ends += chunk.end; },
+                     [out](RejectReason reason) { out->rejected = reason, ++out->ends; },
+                     [out](bool never_ran, bool) { out->never_ran = never_ran, ++out->ends; }});
+    CHECK(out->ends == 0);  // no event from within the call
     return out;
   }
-  Outcome Ask(bool unsafe) {
-    const auto out = Start(unsafe, hop.address());
+  Outcome SendAndWait(bool unsafe) {
+    const auto out = StartAttempt(unsafe, inbound_proxy.address());
     REQUIRE(RunUntil(io, [&] { return out->ends > 0; }));
     RunFor(io, 5);
     CHECK(out->ends == 1);
@@ -86,270 +88,277 @@
   }
   asio::io_context io;
   merlinrun::net::AsioLoop loop{io};
-  FakeHop hop;
+  FakeInboundProxy inbound_proxy;
   InboundProxyClient client{io, loop, {"me", "127.0.0.1:1", 5, 300, 100}};
   InboundProxyClient::Handle handle = 0;
 };
 
-TEST_CASE("an unsafe attempt whose link dies never ran only if the same last hop promises it") {
-  enum { kPassedOn, kNever, kAnotherLife, kSilent, kDiesAgain, kGone };
-  const int what = GENERATE(range(0, 6));
-  INFO(what);
-  std::optional<ingress::Ticket> sent, asked;
-  HopBench* mine = nullptr;
-  HopBench bench([&](transport::Link& link, Word word, std::string_view frame) {
-    if (word == Word::kAttempt) {
-      sent = Heard<ingress::Attempt>(frame)->ticket;
-      if (what == kAnotherLife) ++mine->hop.life;
-      if (what == kGone) mine->hop.listener.Close();
+TEST_CASE(
+    "an unsafe attempt on a lost link is reported as never run only if the same inbound proxy confirms it") {
+  enum { kForwarded, kNotForwarded, kRestarted, kNoReply, kLinkLostAgain, kDown };
+  const int scenario = GENERATE(range(0, 6));
+  INFO(scenario);
+  std::optional<ingress::AttemptKey> sent, queried;
+  ClientFixture* client_fixture = nullptr;
+  ClientFixture fixture([&](transport::Link& link, FrameType type, std::string_view frame) {
+    if (type == FrameType::kAttempt) {
+      sent = Decode<ingress::Attempt>(frame)->attempt_key;
+      if (scenario == kRestarted) ++client_fixture->inbound_proxy.incarnation;
+      if (scenario == kDown) client_fixture->inbound_proxy.listener.Close();
       return link.Close();
     }
-    REQUIRE(word == Word::kAsk);
-    asked = Heard<ingress::Ask>(frame)->ticket;
-    if (what == kDiesAgain) return link.Close();
-    if (what == kPassedOn || what == kNever) link.Send(Say(Word::kTold, ingress::Told{what == kPassedOn}));
+    REQUIRE(type == FrameType::kStatusQuery);
+    queried = Decode<ingress::StatusQuery>(frame)->attempt_key;
+    if (scenario == kLinkLostAgain) return link.Close();
+    if (scenario == kForwarded || scenario == kNotForwarded)
+      link.Send(Encode(FrameType::kStatusReply, ingress::StatusReply{scenario == kForwarded}));
   });
-  mine = &bench;
-  const Outcome out = bench.Ask(true);
-  CHECK_FALSE(out.turned.has_value());
+  client_fixture = &fixture;
+  const Outcome out = fixture.SendAndWait(true);
+  CHECK_FALSE(out.rejected.has_value());
   REQUIRE(out.never_ran.has_value());
-  CHECK(*out.never_ran == (what == kNever));
-  CHECK(sent->life == 5);
-  // Another life does not know: it isn't even asked.
-  CHECK(asked.has_value() == (what != kAnotherLife && what != kGone));
-  if (asked) CHECK(*asked == *sent);
+  CHECK(*out.never_ran == (scenario == kNotForwarded));
+  CHECK(sent->incarnation == 5);
+  // A restarted process can't know, so it is not queried.
+  CHECK(queried.has_value() == (scenario != kRestarted && scenario != kDown));
+  if (queried) CHECK(*queried == *sent);
 }
 
-TEST_CASE("a safe attempt whose link dies is over at once") {
-  HopBench bench([](transport::Link& link, Word, std::string_view) { link.Close(); });
-  CHECK(bench.Ask(false).never_ran == false);
-  CHECK(bench.client.status_queries() == 0);
+TEST_CASE("a safe attempt on a lost link ends without a status query") {
+  ClientFixture fixture([](transport::Link& link, FrameType, std::string_view) { link.Close(); });
+  CHECK(fixture.SendAndWait(false).never_ran == false);
+  CHECK(fixture.client.status_queries() == 0);
 }
 
-TEST_CASE("an unsafe attempt is not asked after once its answer has begun") {
-  HopBench bench([](transport::Link& link, Word, std::string_view) {
-    ingress::Head head;
+TEST_CASE("no status query is sent for an unsafe attempt once its response has started") {
+  ClientFixture fixture([](transport::Link& link, FrameType, std::string_view) {
+    ingress::ResponseHead head;
     head.status = 200;
-    link.Send(Say(Word::kHead, head));
-    link.Send(Say(Word::kHello, transport::Hello{}));  // out of place
+    link.Send(Encode(FrameType::kResponseHead, head));
+    link.Send(Encode(FrameType::kHello, transport::Hello{}));  // unexpected here
   });
-  const auto out = bench.Start(true, bench.hop.address());
-  REQUIRE(RunUntil(bench.io, [&] { return out->ends > 0; }));
+  const auto out = fixture.StartAttempt(true, fixture.inbound_proxy.address());
+  REQUIRE(RunUntil(fixture.io, [&] { return out->ends > 0; }));
   CHECK(out->never_ran == false);
-  CHECK(bench.client.status_queries() == 0);
+  CHECK(fixture.client.status_queries() == 0);
 }
 
-TEST_CASE("an attempt that has not left is turned away: nobody listens, or says no Hello") {
-  HopBench bench([](transport::Link&, Word, std::string_view) {});
-  auto out = bench.Start(true, "127.0.0.1:" + std::to_string(loopback::FreePort(bench.io)));
-  REQUIRE(RunUntil(bench.io, [&] { return out->ends > 0; }));
-  CHECK(out->turned == Why::kUnreachable);
-  bench.hop.greets = false;
-  out = bench.Start(true, bench.hop.address());
-  REQUIRE(RunUntil(bench.io, [&] { return bench.hop.links.size() == 1; }));
-  bench.hop.links[0]->Close();
-  REQUIRE(RunUntil(bench.io, [&] { return out->ends > 0; }));
-  CHECK(out->turned == Why::kUnreachable);
+TEST_CASE("an attempt that was not sent is rejected: connection refused, or no Hello") {
+  ClientFixture fixture([](transport::Link&, FrameType, std::string_view) {});
+  auto out = fixture.StartAttempt(true, "127.0.0.1:" + std::to_string(loopback::FreePort(fixture.io)));
+  REQUIRE(RunUntil(fixture.io, [&] { return out->ends > 0; }));
+  CHECK(out->rejected == RejectReason::kUnreachable);
+  fixture.inbound_proxy.sends_hello = false;
+  out = fixture.StartAttempt(true, fixture.inbound_proxy.address());
+  REQUIRE(RunUntil(fixture.io, [&] { return fixture.inbound_proxy.links.size() == 1; }));
+  fixture.inbound_proxy.links[0]->Close();
+  REQUIRE(RunUntil(fixture.io, [&] { return out->ends > 0; }));
+  CHECK(out->rejected == RejectReason::kUnreachable);
 }
 
-TEST_CASE("a link is used again, but not one whose attempt was given up") {
+TEST_CASE("a link is reused, unless its attempt was cancelled") {
   int attempts = 0;
-  HopBench bench([&](transport::Link& link, Word word, std::string_view) {
-    if (word != Word::kAttempt || ++attempts == 3) return;
-    ingress::Head head;
+  ClientFixture fixture([&](transport::Link& link, FrameType type, std::string_view) {
+    if (type != FrameType::kAttempt || ++attempts == 3) return;
+    ingress::ResponseHead head;
     head.end = true;
-    link.Send(Say(Word::kHead, head));
+    link.Send(Encode(FrameType::kResponseHead, head));
   });
-  bench.Ask(true);
-  bench.Ask(true);
-  CHECK(bench.client.links_dialed() == 1);
-  const auto out = bench.Start(true, bench.hop.address());
-  REQUIRE(RunUntil(bench.io, [&] { return attempts == 3; }));
-  bench.client.GiveUp(bench.handle);
-  RunFor(bench.io, 20);
+  fixture.SendAndWait(true);
+  fixture.SendAndWait(true);
+  CHECK(fixture.client.links_dialed() == 1);
+  const auto out = fixture.StartAttempt(true, fixture.inbound_proxy.address());
+  REQUIRE(RunUntil(fixture.io, [&] { return attempts == 3; }));
+  fixture.client.Cancel(fixture.handle);
+  RunFor(fixture.io, 20);
   CHECK(out->ends == 0);
-  bench.Ask(true);
-  CHECK(bench.client.links_dialed() == 2);
+  fixture.SendAndWait(true);
+  CHECK(fixture.client.links_dialed() == 2);
 }
 
-// A machine: a last hop and its server.
+// An inbound proxy and its server.
 struct Machine {
   Machine(asio::io_context& io, merlinrun::core::Loop& loop, const std::string& id,
           ScriptedHttpServer::Script script)
       : server(io, std::move(script)),
         port(loopback::FreePort(io)),
-        last_hop(io, loop, {port, {}},
-                 {[this](const std::string& wanted) { return wanted == told.id ? &told : nullptr; },
-                  [this](const std::string&) { ++dead; },
-                  [this] { return takes; },
-                  {}}),
+        proxy(
+            io, loop, {port, {}},
+            {[this](const std::string& requested) { return requested == instance.id ? &instance : nullptr; },
+             [this](const std::string&) { ++unreachable_reports; },
+             [this] { return accepts_new; },
+             {}}),
         listener(io, "127.0.0.1", port, {}, [this](std::shared_ptr<transport::Link> link) {
-          transport::Link* raw = link.get();
+          transport::Link* raw_link = link.get();
           links.push_back(std::move(link));
-          raw->Start({[this, raw](std::string_view frame) {
-                        REQUIRE(transport::Unpack<transport::Hello>(frame).ok());
-                        last_hop.Serve(raw->shared_from_this());
-                      },
-                      [] {},
-                      {}});
+          raw_link->Start({[this, raw_link](std::string_view frame) {
+                             REQUIRE(transport::Unpack<transport::Hello>(frame).ok());
+                             proxy.Serve(raw_link->shared_from_this());
+                           },
+                           [] {},
+                           {}});
         }) {
-    told.id = id;
-    told.service = "a";
-    told.address = server.address();
-    told.slots = 4;
-    told.sidecar_address = "127.0.0.1:" + std::to_string(port);
+    instance.id = id;
+    instance.service = "a";
+    instance.address = server.address();
+    instance.slots = 4;
+    instance.sidecar_address = "127.0.0.1:" + std::to_string(port);
   }
   ScriptedHttpServer server;
   std::uint16_t port;
-  registry::Server told;
-  bool takes = true;
-  int dead = 0;
-  ingress::InboundProxy last_hop;
+  registry::Server instance;
+  bool accepts_new = true;
+  int unreachable_reports = 0;
+  ingress::InboundProxy proxy;
   std::vector<std::shared_ptr<transport::Link>> links;
   transport::Listener listener;
 };
 
-void Answer(RawConnection& raw, const std::string& request, const std::string& status,
-            const std::string& more = "", const std::string& body = "done") {
-  raw.Write("HTTP/1.1 " + status + "\r\nAttempt-Id: " + HeaderValue(request, "Attempt-Id") +
-            "\r\nServer-Seal: s\r\n" + more + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-            body);
+void WriteResponse(RawConnection& connection, const std::string& request, const std::string& status,
+                   const std::string& extra_headers = "", const std::string& body = "done") {
+  connection.Write("HTTP/1.1 " + status + "\r\nAttempt-Id: " + HeaderValue(request, "Attempt-Id") +
+                   "\r\nServer-Seal: s\r\n" + extra_headers +
+                   "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
 }
 
-// ---- the last hop, to frames that the test writes ----
+// ---- Inbound proxy, driven by frames from the test ----
 
-struct LastHopBench {
+struct InboundProxyFixture {
   asio::io_context io;
   merlinrun::net::AsioLoop loop{io};
-  Machine machine{io, loop, "s",
-                  [](RawConnection& raw, const std::string& request) { Answer(raw, request, "200 OK"); }};
-  struct End {
+  Machine machine{io, loop, "s", [](RawConnection& connection, const std::string& request) {
+                    WriteResponse(connection, request, "200 OK");
+                  }};
+  struct Peer {
     std::shared_ptr<transport::Link> link;
     std::vector<std::string> frames;
   };
-  std::vector<std::shared_ptr<End>> ends;
-  ~LastHopBench() {
-    for (const auto& end : ends) end->link->Close();
+  std::vector<std::shared_ptr<Peer>> peers;
+  ~InboundProxyFixture() {
+    for (const auto& peer : peers) peer->link->Close();
   }
-  std::shared_ptr<End> Dial() {
-    auto end = std::make_shared<End>();
-    ends.push_back(end);
-    end->link = transport::Link::Dial(io, {asio::ip::address_v4::loopback(), machine.port}, 1000, {});
-    end->link->Start({[raw = end.get()](std::string_view f) { raw->frames.emplace_back(f); }, [] {}, {}});
-    end->link->Send(transport::Pack(transport::Hello{}));
-    Next(end, Word::kHello);
-    REQUIRE(Heard<transport::Hello>(end->frames[0])->incarnation == machine.port);
-    end->frames.clear();
-    return end;
+  std::shared_ptr<Peer> Dial() {
+    auto peer = std::make_shared<Peer>();
+    peers.push_back(peer);
+    peer->link = transport::Link::Dial(io, {asio::ip::address_v4::loopback(), machine.port}, 1000, {});
+    peer->link->Start(
+        {[raw_peer = peer.get()](std::string_view data) { raw_peer->frames.emplace_back(data); }, [] {}, {}});
+    peer->link->Send(transport::Pack(transport::Hello{}));
+    ExpectFrame(peer, FrameType::kHello);
+    REQUIRE(Decode<transport::Hello>(peer->frames[0])->incarnation == machine.port);
+    peer->frames.clear();
+    return peer;
   }
-  // The frame that comes first is such a one.
-  void Next(const std::shared_ptr<End>& end, Word word) {
-    REQUIRE(RunUntil(io, [&] { return !end->frames.empty(); }));
-    REQUIRE(static_cast<int>(ingress::WordOf(end->frames[0])) == static_cast<int>(word));
+  // Waits for the first frame and checks its type.
+  void ExpectFrame(const std::shared_ptr<Peer>& peer, FrameType type) {
+    REQUIRE(RunUntil(io, [&] { return !peer->frames.empty(); }));
+    REQUIRE(static_cast<int>(ingress::TypeOf(peer->frames[0])) == static_cast<int>(type));
   }
-  Why Turned(const ingress::Attempt& attempt) {
-    const auto end = Dial();
-    end->link->Send(Say(Word::kAttempt, attempt));
-    Next(end, Word::kTurned);
-    return static_cast<Why>(Heard<ingress::Turned>(end->frames[0])->why);
+  RejectReason RejectionOf(const ingress::Attempt& attempt) {
+    const auto peer = Dial();
+    peer->link->Send(Encode(FrameType::kAttempt, attempt));
+    ExpectFrame(peer, FrameType::kRejected);
+    return static_cast<RejectReason>(Decode<ingress::Rejected>(peer->frames[0])->reason);
   }
-  bool PassedOn(const ingress::Ticket& ticket) {
-    const auto end = Dial();
-    end->link->Send(Say(Word::kAsk, ingress::Ask{ticket}));
-    Next(end, Word::kTold);
-    return Heard<ingress::Told>(end->frames[0])->passed_on;
+  bool IsForwarded(const ingress::AttemptKey& attempt_key) {
+    const auto peer = Dial();
+    peer->link->Send(Encode(FrameType::kStatusQuery, ingress::StatusQuery{attempt_key}));
+    ExpectFrame(peer, FrameType::kStatusReply);
+    return Decode<ingress::StatusReply>(peer->frames[0])->forwarded;
   }
   static ingress::Attempt Attempt(std::uint64_t number) {
     ingress::Attempt out;
-    out.ticket = {5, number};
+    out.attempt_key = {5, number};
     out.server = "s";
     out.method = "GET";
     out.target = "/";
     out.headers = {{"Host", "h"}, {"Attempt-Id", std::to_string(number)}};
-    out.left_ms = 10'000;
-    out.wait_ms = 5'000;
+    out.remaining_ms = 10'000;
+    out.max_queue_ms = 5'000;
     return out;
   }
 };
 
-TEST_CASE("what is turned away is said why, and is not at the server, now or later") {
-  LastHopBench bench;
-  auto wanted = bench.Attempt(1);
-  SECTION("asked after before it came") {
-    CHECK_FALSE(bench.PassedOn({5, 1}));
-    CHECK(bench.Turned(wanted) == Why::kFull);
+TEST_CASE("a rejected attempt has a reason and never reaches the server") {
+  InboundProxyFixture fixture;
+  auto test_attempt = fixture.Attempt(1);
+  SECTION("status query before its arrival") {
+    CHECK_FALSE(fixture.IsForwarded({5, 1}));
+    CHECK(fixture.RejectionOf(test_attempt) == RejectReason::kQueueFull);
   }
-  SECTION("this process is about to end") {
-    bench.machine.takes = false;
-    CHECK(bench.Turned(wanted) == Why::kLeaving);
+  SECTION("the process is shutting down") {
+    fixture.machine.accepts_new = false;
+    CHECK(fixture.RejectionOf(test_attempt) == RejectReason::kShuttingDown);
   }
-  SECTION("for another life of the server") {
-    wanted.server = "s-before";
-    CHECK(bench.Turned(wanted) == Why::kNotHere);
+  SECTION("for another instance of the server") {
+    test_attempt.server = "s-before";
+    CHECK(fixture.RejectionOf(test_attempt) == RejectReason::kUnknownInstance);
   }
   SECTION("the server is draining") {
-    bench.machine.told.state = registry::State::kDraining;
-    CHECK(bench.Turned(wanted) == Why::kDraining);
+    fixture.machine.instance.state = registry::State::kDraining;
+    CHECK(fixture.RejectionOf(test_attempt) == RejectReason::kDraining);
   }
-  SECTION("its time is over") {
-    wanted.left_ms = 0;
-    CHECK(bench.Turned(wanted) == Why::kLate);
+  SECTION("its deadline has passed") {
+    test_attempt.remaining_ms = 0;
+    CHECK(fixture.RejectionOf(test_attempt) == RejectReason::kDeadlineExceeded);
   }
-  SECTION("nothing listens") {
-    bench.machine.told.address = "127.0.0.1:" + std::to_string(loopback::FreePort(bench.io));
-    CHECK(bench.Turned(wanted) == Why::kUnreachable);
-    CHECK(bench.machine.dead == 1);
+  SECTION("the server does not listen") {
+    fixture.machine.instance.address = "127.0.0.1:" + std::to_string(loopback::FreePort(fixture.io));
+    CHECK(fixture.RejectionOf(test_attempt) == RejectReason::kUnreachable);
+    CHECK(fixture.machine.unreachable_reports == 1);
   }
-  bench.machine.takes = true;
-  bench.machine.told.state = registry::State::kReady;
-  wanted.server = "s";
-  wanted.left_ms = 10'000;
-  bench.Turned(wanted);  // the same ticket again
-  RunFor(bench.io, 20);
-  CHECK(bench.machine.server.requests.empty());
+  fixture.machine.accepts_new = true;
+  fixture.machine.instance.state = registry::State::kReady;
+  test_attempt.server = "s";
+  test_attempt.remaining_ms = 10'000;
+  fixture.RejectionOf(test_attempt);  // the same attempt key again
+  RunFor(fixture.io, 20);
+  CHECK(fixture.machine.server.requests.empty());
 }
 
-TEST_CASE("what is passed on is said to be, from then on, and goes to the server once") {
-  LastHopBench bench;
-  const auto end = bench.Dial();
-  end->link->Send(Say(Word::kAttempt, bench.Attempt(1)));
-  bench.Next(end, Word::kHead);
-  const auto head = Heard<ingress::Head>(end->frames[0]);
+TEST_CASE("a forwarded attempt is reported as forwarded and reaches the server once") {
+  InboundProxyFixture fixture;
+  const auto peer = fixture.Dial();
+  peer->link->Send(Encode(FrameType::kAttempt, fixture.Attempt(1)));
+  fixture.ExpectFrame(peer, FrameType::kResponseHead);
+  const auto head = Decode<ingress::ResponseHead>(peer->frames[0]);
   CHECK(head->status == 200);
   CHECK(head->end);
   CHECK(head->body == "done");
-  CHECK(bench.PassedOn({5, 1}));
-  CHECK_FALSE(bench.PassedOn({6, 1}));  // another life's
-  bench.Turned(bench.Attempt(1));
-  REQUIRE(bench.machine.server.requests.size() == 1);
-  CHECK(HeaderValue(bench.machine.server.requests[0], "Expected-Instance") == "s");
-  CHECK(std::stol(HeaderValue(bench.machine.server.requests[0], "Deadline-Remaining")) <= 10'000);
+  CHECK(fixture.IsForwarded({5, 1}));
+  CHECK_FALSE(fixture.IsForwarded({6, 1}));  // another incarnation
+  fixture.RejectionOf(fixture.Attempt(1));
+  REQUIRE(fixture.machine.server.requests.size() == 1);
+  CHECK(HeaderValue(fixture.machine.server.requests[0], "Expected-Instance") == "s");
+  CHECK(std::stol(HeaderValue(fixture.machine.server.requests[0], "Deadline-Remaining")) <= 10'000);
 }
 
-// ---- the whole way ----
+// ---- Outbound and inbound proxies with scripted servers ----
 
-struct World {
-  // `nth`: of all that have arrived at servers, from 1.
+struct MeshFixture {
+  // `nth`: number of the request at any server, from 1.
   using Script = std::function<void(std::size_t nth, RawConnection&, const std::string& request)>;
-  World(int servers, Script script, int attempts = 2) : port(loopback::FreePort(io)) {
-    registry::Snapshot listing;
-    listing.revision = 1;
+  MeshFixture(int servers, Script script, int attempts = 2) : port(loopback::FreePort(io)) {
+    registry::Snapshot snapshot;
+    snapshot.revision = 1;
     for (int i = 0; i < servers; ++i) {
       machines.push_back(
           std::make_unique<Machine>(io, loop, "s" + std::to_string(i),
-                                    [this, script, i](RawConnection& raw, const std::string& request) {
-                                      arrived.push_back(i);
-                                      script(arrived.size(), raw, request);
+                                    [this, script, i](RawConnection& connection, const std::string& request) {
+                                      arrivals.push_back(i);
+                                      script(arrivals.size(), connection, request);
                                     }));
-      listing.servers.push_back(machines.back()->told);
+      snapshot.servers.push_back(machines.back()->instance);
     }
-    outbound = std::make_unique<OutboundProxy>(
-        loop, OutboundProxy::Settings{"me", "z", {{"z", "r"}}, 1, {}, 0.5, 0}, hops, gauge, request_metrics);
-    front = std::make_unique<HttpServer>(
+    outbound_proxy =
+        std::make_unique<OutboundProxy>(loop, OutboundProxy::Settings{"me", "z", {{"z", "r"}}, 1, {}, 0.5, 0},
+                                        proxy_client, limiter, request_metrics);
+    http_server = std::make_unique<HttpServer>(
         io, settings::Address{"127.0.0.1", port}, HttpServer::Limits{},
-        HttpServer::Handler{
-            [this](const auto& session, HttpRequest in) { outbound->OnRequest(session, std::move(in)); },
-            [this](const auto& session) { outbound->OnClientDisconnect(session); }});
+        HttpServer::Handler{[this](const auto& session, HttpRequest in) {
+                              outbound_proxy->OnRequest(session, std::move(in));
+                            },
+                            [this](const auto& session) { outbound_proxy->OnClientDisconnect(session); }});
     const std::string route =
         R"({"resourceKind":"routes","metadata":{"name":"NAME"},"specification":{"host":"h",
       "pathPrefix":"/NAME/","kind":"NAME","timeoutMs":5000,"targetLatencyMs":500,"service":"a","attempts":)" +
@@ -357,171 +366,173 @@
     std::string text =
         R"({"version":1,"resourceList":[{"resourceKind":"services","metadata":{"name":"a"},"specification":{}})";
     for (const std::string name : {"safe", "unsafe"}) {
-      std::string one = route;
-      for (auto at = one.find("NAME"); at != std::string::npos; at = one.find("NAME"))
-        one.replace(at, 4, name);
-      text += "," + one;
+      std::string route_json = route;
+      for (auto at = route_json.find("NAME"); at != std::string::npos; at = route_json.find("NAME"))
+        route_json.replace(at, 4, name);
+      text += "," + route_json;
     }
-    const auto verdict = configuration::ReplicatedState().Evaluate(false, text + "]}");
-    INFO(verdict.error);
-    REQUIRE(verdict.kind == configuration::ChangeResult::Kind::kAccepted);
-    outbound->OnConfiguration(*configuration::RoutingTables::Build(
-        configuration::ReplicatedState::Parse(verdict.next_state)->newest()));
-    outbound->OnEndpoints(listing, 0, 1);
+    const auto change_result = configuration::ReplicatedState().Evaluate(false, text + "]}");
+    INFO(change_result.error);
+    REQUIRE(change_result.kind == configuration::ChangeResult::Kind::kAccepted);
+    outbound_proxy->OnConfiguration(*configuration::RoutingTables::Build(
+        configuration::ReplicatedState::Parse(change_result.next_state)->newest()));
+    outbound_proxy->OnEndpoints(snapshot, 0, 1);
   }
   RawConnectionPtr Send(const std::string& kind, int deadline_ms = 4000) {
-    const auto raw = RawConnection::Connect(io, port);
-    raw->Write("POST /" + kind + "/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: id-" + std::to_string(++sent) +
-               "\r\nDeadline-Remaining: " + std::to_string(deadline_ms) +
-               "\r\nContent-Length: 4\r\n\r\nbody");
-    return raw;
+    const auto connection = RawConnection::Connect(io, port);
+    connection->Write("POST /" + kind + "/x HTTP/1.1\r\nHost: h\r\nAttempt-Id: id-" + std::to_string(++sent) +
+                      "\r\nDeadline-Remaining: " + std::to_string(deadline_ms) +
+                      "\r\nContent-Length: 4\r\n\r\nbody");
+    return connection;
   }
-  // The status, after which nothing more comes.
-  int Ask(const std::string& kind, int deadline_ms = 4000) {
-    const auto raw = Send(kind, deadline_ms);
-    REQUIRE(RunUntil(io, [&] { return raw->received.find("\r\n\r\n") != std::string::npos; }));
+  // Returns the status of the only response.
+  int SendAndWait(const std::string& kind, int deadline_ms = 4000) {
+    const auto connection = Send(kind, deadline_ms);
+    REQUIRE(RunUntil(io, [&] { return connection->received.find("\r\n\r\n") != std::string::npos; }));
     RunFor(io, 30);
-    answer = raw->received;
-    CHECK(answer.find("HTTP/1.1", 1) == std::string::npos);  // one
-    return std::stoi(answer.substr(9, 3));
+    response = connection->received;
+    CHECK(response.find("HTTP/1.1", 1) == std::string::npos);  // a single response
+    return std::stoi(response.substr(9, 3));
   }
   asio::io_context io;
   merlinrun::net::AsioLoop loop{io};
   std::uint16_t port;
   int sent = 0;
-  std::vector<int> arrived;
-  std::string answer;
+  std::vector<int> arrivals;
+  std::string response;
   std::vector<std::unique_ptr<Machine>> machines;
-  quota::Limiter gauge{{}};
-  InboundProxyClient hops{io, loop, {"me", "127.0.0.1:1", 5, 300, 400}};
+  quota::Limiter limiter{{}};
+  InboundProxyClient proxy_client{io, loop, {"me", "127.0.0.1:1", 5, 300, 400}};
   prometheus::Registry registry;
   metrics::RequestMetrics request_metrics{registry};
-  std::unique_ptr<OutboundProxy> outbound;
-  std::unique_ptr<HttpServer> front;
+  std::unique_ptr<OutboundProxy> outbound_proxy;
+  std::unique_ptr<HttpServer> http_server;
 };
 
-void Serve(std::size_t, RawConnection& raw, const std::string& request) { Answer(raw, request, "200 OK"); }
+void Serve(std::size_t, RawConnection& connection, const std::string& request) {
+  WriteResponse(connection, request, "200 OK");
+}
 
-TEST_CASE("a request goes the whole way, with what the system adds and without what it keeps") {
-  World world(1, Serve);
-  CHECK(world.Ask("unsafe") == 200);
-  CHECK(world.answer.substr(world.answer.size() - 8) == "\r\n\r\ndone");
-  const std::string request = world.machines[0]->server.requests.at(0);
+TEST_CASE("a request reaches the server with the headers that the proxies add") {
+  MeshFixture mesh(1, Serve);
+  CHECK(mesh.SendAndWait("unsafe") == 200);
+  CHECK(mesh.response.substr(mesh.response.size() - 8) == "\r\n\r\ndone");
+  const std::string request = mesh.machines[0]->server.requests.at(0);
   CHECK(HeaderValue(request, "Attempt-Id") == "id-1");
   CHECK(HeaderValue(request, "Calling-Service") == "me");
   CHECK(HeaderValue(request, "Expected-Instance") == "s0");
   CHECK(request.substr(request.size() - 8) == "\r\n\r\nbody");
 }
 
-// The server may be at work on it: 503 would promise that it never ran.
-TEST_CASE("the deadline of an unsafe request passes at a silent server: no promise, and nobody else has it") {
-  World world(2, [](std::size_t, RawConnection&, const std::string&) {});
-  const int status = world.Ask("unsafe", 300);
+// The server may still execute the request, and 503 would state that it was not executed.
+TEST_CASE("an unsafe request that times out at a silent server is not refused with 503 and not retried") {
+  MeshFixture mesh(2, [](std::size_t, RawConnection&, const std::string&) {});
+  const int status = mesh.SendAndWait("unsafe", 300);
   CHECK((status == 502 || status == 504));
-  CHECK(world.arrived.size() == 1);
+  CHECK(mesh.arrivals.size() == 1);
 }
 
-// Found on the bench: a request that came 4 s after SIGTERM was cut with the process.
-TEST_CASE("a sidecar that ends answers all that it has taken, and what still comes by a promise") {
-  World world(1, [](std::size_t, RawConnection&, const std::string&) {});
-  const auto safe = world.Send("safe"), unsafe = world.Send("unsafe");
-  REQUIRE(RunUntil(world.io, [&] { return world.arrived.size() == 2; }));
-  world.outbound->SetShutdownDeadline(world.loop.Now());
-  world.outbound->RefuseNewRequests();
-  world.outbound->FinishInFlight();
-  const auto answered = [](const RawConnectionPtr& raw) {
-    return raw->received.find("\r\n\r\n") != std::string::npos;
+// Regression test: a request that arrived late in the shutdown was cut off when the process ended.
+TEST_CASE("a shutdown responds to all requests in flight and refuses new ones with 503") {
+  MeshFixture mesh(1, [](std::size_t, RawConnection&, const std::string&) {});
+  const auto safe = mesh.Send("safe"), unsafe = mesh.Send("unsafe");
+  REQUIRE(RunUntil(mesh.io, [&] { return mesh.arrivals.size() == 2; }));
+  mesh.outbound_proxy->SetShutdownDeadline(mesh.loop.Now());
+  mesh.outbound_proxy->RefuseNewRequests();
+  mesh.outbound_proxy->FinishInFlight();
+  const auto answered = [](const RawConnectionPtr& connection) {
+    return connection->received.find("\r\n\r\n") != std::string::npos;
   };
-  REQUIRE(RunUntil(world.io, [&] { return answered(safe) && answered(unsafe); }));
+  REQUIRE(RunUntil(mesh.io, [&] { return answered(safe) && answered(unsafe); }));
   CHECK(safe->received.substr(9, 3) == "503");
   CHECK(unsafe->received.substr(9, 3) == "504");
-  CHECK(world.Ask("unsafe") == 503);
-  CHECK(world.arrived.size() == 2);
+  CHECK(mesh.SendAndWait("unsafe") == 503);
+  CHECK(mesh.arrivals.size() == 2);
 }
 
-TEST_CASE("an unsafe request that runs out of time is answered 504") {
-  World world(2, [](std::size_t, RawConnection&, const std::string&) {});
-  CHECK(world.Ask("unsafe", 300) == 504);
+TEST_CASE("an unsafe request that exceeds its deadline gets 504") {
+  MeshFixture mesh(2, [](std::size_t, RawConnection&, const std::string&) {});
+  CHECK(mesh.SendAndWait("unsafe", 300) == 504);
 }
 
-TEST_CASE("an unsafe request that a server has and does not answer: 502, and nobody else has it") {
-  World world(3, [](std::size_t, RawConnection& raw, const std::string&) { raw.Close(); });
-  CHECK(world.Ask("unsafe") == 502);
-  CHECK(world.arrived.size() == 1);
+TEST_CASE("an unsafe request on a connection that the server closes gets 502 and is not retried") {
+  MeshFixture mesh(3, [](std::size_t, RawConnection& connection, const std::string&) { connection.Close(); });
+  CHECK(mesh.SendAndWait("unsafe") == 502);
+  CHECK(mesh.arrivals.size() == 1);
 }
 
-TEST_CASE("a safe request after a reset goes to another server, and is served once") {
-  World world(2, [](std::size_t nth, RawConnection& raw, const std::string& request) {
-    nth == 1 ? raw.Close() : Answer(raw, request, "200 OK");
+TEST_CASE("a safe request is retried at another server after a reset") {
+  MeshFixture mesh(2, [](std::size_t nth, RawConnection& connection, const std::string& request) {
+    nth == 1 ? connection.Close() : WriteResponse(connection, request, "200 OK");
   });
-  CHECK(world.Ask("safe") == 200);
-  REQUIRE(world.arrived.size() == 2);
-  CHECK(world.arrived[0] != world.arrived[1]);
+  CHECK(mesh.SendAndWait("safe") == 200);
+  REQUIRE(mesh.arrivals.size() == 2);
+  CHECK(mesh.arrivals[0] != mesh.arrivals[1]);
 }
 
-TEST_CASE("a server's word that it did not run a request sends it elsewhere, also an unsafe one") {
+TEST_CASE("an unsafe request is retried if the server states that it was not executed") {
   const char* status = GENERATE("503 Busy", "421 Not Here");
-  World world(2, [&](std::size_t nth, RawConnection& raw, const std::string& request) {
+  MeshFixture mesh(2, [&](std::size_t nth, RawConnection& connection, const std::string& request) {
     const bool first = nth == 1;
-    Answer(raw, request, first ? status : "200 OK", first ? "Not-Executed: 1\r\n" : "");
+    WriteResponse(connection, request, first ? status : "200 OK", first ? "Not-Executed: 1\r\n" : "");
   });
-  CHECK(world.Ask("unsafe") == 200);
-  REQUIRE(world.arrived.size() == 2);
-  CHECK(world.arrived[0] != world.arrived[1]);
+  CHECK(mesh.SendAndWait("unsafe") == 200);
+  REQUIRE(mesh.arrivals.size() == 2);
+  CHECK(mesh.arrivals[0] != mesh.arrivals[1]);
 }
 
-TEST_CASE("an unsafe request that no server ran is refused by a promise") {
-  World world(2, [](std::size_t, RawConnection& raw, const std::string& request) {
-    Answer(raw, request, "503 Busy", "Not-Executed: 1\r\n");
+TEST_CASE("an unsafe request that no server executed is refused with 503") {
+  MeshFixture mesh(2, [](std::size_t, RawConnection& connection, const std::string& request) {
+    WriteResponse(connection, request, "503 Busy", "Not-Executed: 1\r\n");
   });
-  CHECK(world.Ask("unsafe") == 503);
+  CHECK(mesh.SendAndWait("unsafe") == 503);
 }
 
-TEST_CASE("a 503 without that word is no promise, and is not passed on as one") {
-  World world(2, [](std::size_t, RawConnection& raw, const std::string& request) {
-    Answer(raw, request, "503 Busy");
+TEST_CASE("a 503 without Not-Executed is returned as 502 and not retried") {
+  MeshFixture mesh(2, [](std::size_t, RawConnection& connection, const std::string& request) {
+    WriteResponse(connection, request, "503 Busy");
   });
-  CHECK(world.Ask("unsafe") == 502);
-  CHECK(world.arrived.size() == 1);
+  CHECK(mesh.SendAndWait("unsafe") == 502);
+  CHECK(mesh.arrivals.size() == 1);
 }
 
-TEST_CASE("an unsafe request's 500 is its answer, unchanged") {
-  World world(2, [](std::size_t, RawConnection& raw, const std::string& request) {
-    Answer(raw, request, "500 Broken", "X-Own: 1\r\n", "why");
+TEST_CASE("an unsafe request's 500 is returned unchanged") {
+  MeshFixture mesh(2, [](std::size_t, RawConnection& connection, const std::string& request) {
+    WriteResponse(connection, request, "500 Broken", "X-Own: 1\r\n", "why");
   });
-  CHECK(world.Ask("unsafe") == 500);
-  CHECK(HeaderValue(world.answer, "X-Own") == "1");
-  CHECK(world.answer.substr(world.answer.size() - 7) == "\r\n\r\nwhy");
-  CHECK(world.arrived.size() == 1);
+  CHECK(mesh.SendAndWait("unsafe") == 500);
+  CHECK(HeaderValue(mesh.response, "X-Own") == "1");
+  CHECK(mesh.response.substr(mesh.response.size() - 7) == "\r\n\r\nwhy");
+  CHECK(mesh.arrivals.size() == 1);
 }
 
-TEST_CASE("the route bounds how many servers have a request") {
+TEST_CASE("the route limits how many servers receive a request") {
   const int attempts = GENERATE(1, 2, 3);
   INFO(attempts);
-  World world(
-      5, [](std::size_t, RawConnection& raw, const std::string&) { raw.Close(); }, attempts);
-  CHECK(world.Ask("safe") >= 500);
-  CHECK(static_cast<int>(world.arrived.size()) == attempts);
-  CHECK(std::set<int>(world.arrived.begin(), world.arrived.end()).size() == world.arrived.size());
+  MeshFixture mesh(
+      5, [](std::size_t, RawConnection& connection, const std::string&) { connection.Close(); }, attempts);
+  CHECK(mesh.SendAndWait("safe") >= 500);
+  CHECK(static_cast<int>(mesh.arrivals.size()) == attempts);
+  CHECK(std::set<int>(mesh.arrivals.begin(), mesh.arrivals.end()).size() == mesh.arrivals.size());
 }
 
-TEST_CASE("where nothing new is taken a request goes elsewhere, or is refused by a promise") {
-  World world(2, Serve);
-  world.machines[0]->takes = false;
-  for (int i = 0; i < 6; ++i) CHECK(world.Ask("unsafe") == 200);
-  CHECK(std::set<int>(world.arrived.begin(), world.arrived.end()) == std::set<int>{1});
-  world.machines[1]->takes = false;
-  CHECK(world.Ask("unsafe", 500) == 503);
-  CHECK(world.arrived.size() == 6);
+TEST_CASE("a request avoids proxies that are shutting down, or is refused with 503") {
+  MeshFixture mesh(2, Serve);
+  mesh.machines[0]->accepts_new = false;
+  for (int i = 0; i < 6; ++i) CHECK(mesh.SendAndWait("unsafe") == 200);
+  CHECK(std::set<int>(mesh.arrivals.begin(), mesh.arrivals.end()) == std::set<int>{1});
+  mesh.machines[1]->accepts_new = false;
+  CHECK(mesh.SendAndWait("unsafe", 500) == 503);
+  CHECK(mesh.arrivals.size() == 6);
 }
 
-TEST_CASE("a refusal can be told by its route, class, hop and cause") {
-  World world(2, Serve);
-  world.machines[0]->takes = world.machines[1]->takes = false;
-  REQUIRE(world.Ask("unsafe", 500) == 503);
-  world.Send("none");
-  RunFor(world.io, 30);
-  const std::string text = prometheus::TextSerializer().Serialize(world.registry.Collect());
+TEST_CASE("refusals are counted by route, class, hop and cause") {
+  MeshFixture mesh(2, Serve);
+  mesh.machines[0]->accepts_new = mesh.machines[1]->accepts_new = false;
+  REQUIRE(mesh.SendAndWait("unsafe", 500) == 503);
+  mesh.Send("none");
+  RunFor(mesh.io, 30);
+  const std::string text = prometheus::TextSerializer().Serialize(mesh.registry.Collect());
   INFO(text);
   const auto counted = [&](const std::string& series) { return text.find(series) != std::string::npos; };
   CHECK(counted(
@@ -529,24 +540,24 @@
   CHECK(counted("refusals_total{cause=\"no_route\",class=\"\",hop=\"outbound\",route=\"\"} 1"));
 }
 
-TEST_CASE("a client that leaves ends its safe request, an unsafe one runs to its end") {
+TEST_CASE("a client disconnect cancels a safe request, while an unsafe one runs to its end") {
   const bool safe = GENERATE(true, false);
-  World world(1, [](std::size_t, RawConnection&, const std::string&) {});
-  const auto raw = world.Send(safe ? "safe" : "unsafe");
-  REQUIRE(RunUntil(world.io, [&] { return world.arrived.size() == 1; }));
-  raw->Close();
-  REQUIRE(RunUntil(world.io, [&] { return world.outbound->in_flight() == 0; }));
-  RunFor(world.io, 50);
-  CHECK(world.machines[0]->server.connections[0]->ended == safe);
+  MeshFixture mesh(1, [](std::size_t, RawConnection&, const std::string&) {});
+  const auto connection = mesh.Send(safe ? "safe" : "unsafe");
+  REQUIRE(RunUntil(mesh.io, [&] { return mesh.arrivals.size() == 1; }));
+  connection->Close();
+  REQUIRE(RunUntil(mesh.io, [&] { return mesh.outbound_proxy->in_flight() == 0; }));
+  RunFor(mesh.io, 50);
+  CHECK(mesh.machines[0]->server.connections[0]->ended == safe);
 }
 
 // For the sanitizers.
-TEST_CASE("it may end with requests under way") {
-  World world(2, [](std::size_t, RawConnection&, const std::string&) {});
-  const auto first = world.Send("safe"), second = world.Send("unsafe");
-  REQUIRE(RunUntil(world.io, [&] { return world.arrived.size() == 2; }));
-  world.front.reset();
-  world.outbound.reset();
+TEST_CASE("the proxy may be destroyed with requests in flight") {
+  MeshFixture mesh(2, [](std::size_t, RawConnection&, const std::string&) {});
+  const auto first = mesh.Send("safe"), second = mesh.Send("unsafe");
+  REQUIRE(RunUntil(mesh.io, [&] { return mesh.arrivals.size() == 2; }));
+  mesh.http_server.reset();
+  mesh.outbound_proxy.reset();
 }
 
 }  // namespace
--- a/tests/mesh/ingress_admission_queue_test.cpp
+++ b/tests/mesh/ingress_admission_queue_test.cpp
@@ -5,268 +5,284 @@
 #include <set>
 
 #include "mesh/ingress/admission_queue.hpp"
-#include "plain_fair_queue.hpp"
+#include "reference_fair_queue.hpp"
 
 namespace fennelhollow::ingress {
 namespace {
 
 using Decision = AdmissionQueue::Decision;
-constexpr Micros kLong = 1'000'000'000'000;
-constexpr AdmissionQueue::Room kRoom{2, 2};
+constexpr Micros kNoDeadline = 1'000'000'000'000;
+constexpr AdmissionQueue::Limits kLimits{2, 2};
 
-AdmissionQueue::Attempt AttemptOf(const Ticket& ticket, const std::string& server, int slots, Micros due,
-                                  Micros until, Flow flow = {"route", 1}) {
-  return {ticket, server, slots, std::move(flow), due, until};
+AdmissionQueue::Attempt AttemptOf(const AttemptKey& attempt_key, const std::string& server, int slots,
+                                  Micros due, Micros queue_deadline, Flow flow = {"route", 1}) {
+  return {attempt_key, server, slots, std::move(flow), due, queue_deadline};
 }
 
-// All of it in plain lists, nothing forgotten. How long runs take is known to it from the shortest to the
-// longest, which bound every average of them.
-struct Model {
+// Reference model: plain containers, no expiry. It knows the shortest and longest duration of the requests,
+// which bound any mean duration.
+struct ReferenceModel {
   struct Upstream {
     int slots = 1;
-    std::map<Ticket, Micros> passed;  // and when
-    PlainFairQueue queue;
-    FlowAccount account;
-    std::map<Ticket, Flow> flows;  // of those passed on
+    std::map<AttemptKey, Micros> forwarded;  // -> when it was forwarded
+    ReferenceFairQueue queue;
+    FlowStats stats;
+    std::map<AttemptKey, Flow> flows;  // of the forwarded attempts
     Micros shortest = 0, longest = 0;
-    double run = 0;  // the average, for what a flow costs
+    double mean_duration = 0;  // for the relative cost of a flow
     double Cost(const Flow& flow) const {
-      const double own = account.RunOf(flow);
-      return own > 0 && run > 0 ? own / run : 1;
+      const double flow_mean = stats.MeanDuration(flow);
+      return flow_mean > 0 && mean_duration > 0 ? flow_mean / mean_duration : 1;
     }
-    int most() const { return slots + kRoom.beyond_slots; }
-    std::size_t most_waiting() const { return static_cast<std::size_t>(kRoom.waiting_per_slot * slots); }
-    bool room() const { return static_cast<int>(passed.size()) < most(); }
+    int max_in_flight() const { return slots + kLimits.extra_in_flight; }
+    std::size_t max_queued() const { return static_cast<std::size_t>(kLimits.queued_per_slot * slots); }
+    bool has_capacity() const { return static_cast<int>(forwarded.size()) < max_in_flight(); }
   };
   std::map<std::string, Upstream> upstreams;
-  std::set<Ticket> known, ever_passed, never;
+  std::set<AttemptKey> seen, ever_forwarded, never_forwarded;
 
-  std::size_t waiting() const {
-    std::size_t n = 0;
-    for (const auto& [id, upstream] : upstreams) n += upstream.queue.entries.size();
-    return n;
+  std::size_t queued() const {
+    std::size_t total = 0;
+    for (const auto& [id, upstream] : upstreams) total += upstream.queue.entries.size();
+    return total;
   }
-  bool Remove(const Ticket& ticket) {
+  bool Remove(const AttemptKey& attempt_key) {
     for (auto& [id, upstream] : upstreams)
-      if (upstream.queue.Remove(ticket)) return never.insert(ticket).second;
+      if (upstream.queue.Remove(attempt_key)) return never_forwarded.insert(attempt_key).second;
     return false;
   }
-  void Pass(Micros now, Upstream& upstream, const Ticket& ticket, const Flow& flow) {
-    REQUIRE(upstream.room());
-    REQUIRE(never.count(ticket) == 0);
-    REQUIRE(ever_passed.insert(ticket).second);  // once
-    upstream.passed[ticket] = now;
-    upstream.flows[ticket] = flow;
-    upstream.account.OnPassed(flow);
+  void Forward(Micros now, Upstream& upstream, const AttemptKey& attempt_key, const Flow& flow) {
+    REQUIRE(upstream.has_capacity());
+    REQUIRE(never_forwarded.count(attempt_key) == 0);
+    REQUIRE(ever_forwarded.insert(attempt_key).second);  // never twice
+    upstream.forwarded[attempt_key] = now;
+    upstream.flows[attempt_key] = flow;
+    upstream.stats.OnForwarded(flow);
   }
-  void OnDone(Micros now, const Ticket& ticket) {
+  void OnDone(Micros now, const AttemptKey& attempt_key) {
     for (auto& [id, upstream] : upstreams) {
-      const auto it = upstream.passed.find(ticket);
-      if (it == upstream.passed.end()) continue;
-      const Micros took = now - it->second;
-      upstream.shortest = upstream.longest == 0 ? took : std::min(upstream.shortest, took);
-      upstream.longest = std::max(upstream.longest, took);
-      upstream.account.OnRan(upstream.flows.at(ticket), took);
-      upstream.run += (static_cast<double>(took) - upstream.run) / (upstream.run > 0 ? 50 : 1);
-      upstream.passed.erase(it);
+      const auto it = upstream.forwarded.find(attempt_key);
+      if (it == upstream.forwarded.end()) continue;
+      const Micros duration = now - it->second;
+      upstream.shortest = upstream.longest == 0 ? duration : std::min(upstream.shortest, duration);
+      upstream.longest = std::max(upstream.longest, duration);
+      upstream.stats.OnFinished(upstream.flows.at(attempt_key), duration);
+      upstream.mean_duration +=
+          (static_cast<double>(duration) - upstream.mean_duration) / (upstream.mean_duration > 0 ? 50 : 1);
+      upstream.forwarded.erase(it);
     }
   }
-  // Takes the queue's decision, which is the queue's own only where it depends on an average.
+  // Checks the queue's decision, and follows it where the mean duration decides.
   void OnAttempt(Micros now, const AdmissionQueue::Attempt& attempt, Decision decision) {
-    if (!known.insert(attempt.ticket).second) {
-      REQUIRE(decision == Decision::kTurnAway);
+    if (!seen.insert(attempt.attempt_key).second) {
+      REQUIRE(decision == Decision::kReject);
       return;
     }
     Upstream& upstream = upstreams[attempt.server];
     upstream.slots = attempt.slots;
-    upstream.account.OnAsked(now, attempt.flow);
-    if (upstream.queue.entries.empty() && upstream.room()) {
-      REQUIRE(decision == Decision::kPass);
-      return Pass(now, upstream, attempt.ticket, attempt.flow);
+    upstream.stats.OnArrival(now, attempt.flow);
+    if (upstream.queue.entries.empty() && upstream.has_capacity()) {
+      REQUIRE(decision == Decision::kForward);
+      return Forward(now, upstream, attempt.attempt_key, attempt.flow);
     }
-    const bool starves = upstream.account.Starves(attempt.flow);
-    const Micros until = starves ? std::max(attempt.until, attempt.due) : attempt.until;
+    const bool starving = upstream.stats.IsStarving(attempt.flow);
+    const Micros queue_deadline =
+        starving ? std::max(attempt.queue_deadline, attempt.due) : attempt.queue_deadline;
     const double cost = upstream.Cost(attempt.flow);
-    const std::size_t ahead = upstream.queue.Ahead(attempt.flow, attempt.due, cost);
-    const auto wait = [&](Micros run) { return static_cast<Micros>(ahead + 1) * run / upstream.most(); };
-    if (ahead >= upstream.most_waiting() || now + wait(upstream.shortest) >= until)
-      REQUIRE(decision == Decision::kTurnAway);
-    else if (now + wait(upstream.longest) + 1 < until)
-      REQUIRE(decision == Decision::kWait);
+    const std::size_t queued_ahead = upstream.queue.CountAhead(attempt.flow, attempt.due, cost);
+    const auto expected_wait = [&](Micros mean_duration) {
+      return static_cast<Micros>(queued_ahead + 1) * mean_duration / upstream.max_in_flight();
+    };
+    if (queued_ahead >= upstream.max_queued() || now + expected_wait(upstream.shortest) >= queue_deadline)
+      REQUIRE(decision == Decision::kReject);
+    else if (now + expected_wait(upstream.longest) + 1 < queue_deadline)
+      REQUIRE(decision == Decision::kQueue);
     else
-      REQUIRE(decision != Decision::kPass);
-    if (decision == Decision::kWait) {
-      upstream.queue.Push({attempt.ticket, attempt.flow, attempt.due, until, cost});
+      REQUIRE(decision != Decision::kForward);
+    if (decision == Decision::kQueue) {
+      upstream.queue.Push({attempt.attempt_key, attempt.flow, attempt.due, queue_deadline, cost});
     } else {
-      upstream.account.OnTurnedAway(attempt.flow);
-      never.insert(attempt.ticket);
+      upstream.stats.OnCapacityRejection(attempt.flow);
+      never_forwarded.insert(attempt.attempt_key);
     }
   }
 };
 
-TEST_CASE("the admission queue does what a plain model does, whatever comes") {
+TEST_CASE("the admission queue matches the reference model under random operations") {
   std::map<Decision, int> decisions;
-  int left_waiting = 0, gave_way = 0;
+  int dequeued = 0, evictions = 0;
   for (unsigned seed = 1; seed <= 60; ++seed) {
     INFO("seed " << seed);
     std::mt19937 random(seed);
-    const auto draw = [&](std::size_t n) { return random() % n; };
-    AdmissionQueue queue(kRoom);
-    Model model;
-    std::vector<Ticket> tickets;
+    const auto random_below = [&](std::size_t limit) { return random() % limit; };
+    AdmissionQueue queue(kLimits);
+    ReferenceModel reference;
+    std::vector<AttemptKey> attempt_keys;
     const std::vector<std::string> servers = {"a", "b", "c"};
     const std::map<std::string, int> slots = {{"a", 1}, {"b", 3}, {"c", 8}};
     Micros now = 1'000'000;
     for (std::size_t step = 0; step < 2000; ++step) {
-      now += static_cast<Micros>(draw(4000));
-      const auto any = [&] {
-        return tickets.empty() || draw(20) == 0 ? Ticket{9, draw(50)} : tickets[draw(tickets.size())];
+      now += static_cast<Micros>(random_below(4000));
+      const auto random_key = [&] {
+        return attempt_keys.empty() || random_below(20) == 0
+                   ? AttemptKey{9, random_below(50)}
+                   : attempt_keys[random_below(attempt_keys.size())];
       };
-      const std::string& server = servers[draw(3)];
-      const auto overdue = [&] {
-        std::map<Ticket, Why> expected;
-        for (auto& [id, upstream] : model.upstreams) {
+      const std::string& server = servers[random_below(3)];
+      const auto check_rejections = [&] {
+        std::map<AttemptKey, RejectReason> expected;
+        for (auto& [id, upstream] : reference.upstreams) {
           for (const auto& entry : upstream.queue.entries)
-            if (entry.until <= now) expected[entry.ticket] = Why::kWaitedOut;
-          if (const auto evicted = upstream.queue.Overflow(upstream.most_waiting()))
-            expected[*evicted] = Why::kEvicted;
+            if (entry.queue_deadline <= now) expected[entry.attempt_key] = RejectReason::kQueueTimeout;
+          if (const auto evicted = upstream.queue.PickEviction(upstream.max_queued()))
+            expected[*evicted] = RejectReason::kEvicted;
         }
-        std::map<Ticket, Why> told;
-        for (const auto& turned : queue.Overdue(now)) REQUIRE(told.emplace(turned.ticket, turned.why).second);
-        REQUIRE(told == expected);
-        for (const auto& [ticket, why] : told) {
-          for (auto& [id, upstream] : model.upstreams)
-            if (const auto flow = upstream.queue.FlowOf(ticket)) upstream.account.OnTurnedAway(*flow);
-          gave_way += why == Why::kEvicted;
-          model.Remove(ticket);
+        std::map<AttemptKey, RejectReason> rejected;
+        for (const auto& rejection : queue.TakeRejected(now))
+          REQUIRE(rejected.emplace(rejection.attempt_key, rejection.reason).second);
+        REQUIRE(rejected == expected);
+        for (const auto& [attempt_key, reason] : rejected) {
+          for (auto& [id, upstream] : reference.upstreams)
+            if (const auto flow = upstream.queue.FlowOf(attempt_key))
+              upstream.stats.OnCapacityRejection(*flow);
+          evictions += reason == RejectReason::kEvicted;
+          reference.Remove(attempt_key);
         }
       };
-      switch (draw(9)) {
+      switch (random_below(9)) {
         case 0:
         case 1:
         case 2:
         case 3: {
-          const Ticket ticket = draw(10) == 0 ? any() : Ticket{1 + draw(2), step};
-          const Micros due = now + static_cast<Micros>(draw(4) * 100'000);
-          const Micros until = now + static_cast<Micros>(draw(400'000)) - 1000;
-          tickets.push_back(ticket);
-          const Flow flow{std::string(1, static_cast<char>('r' + draw(3))), static_cast<int>(draw(5))};
-          const auto attempt = AttemptOf(ticket, server, slots.at(server), due, until, flow);
+          const AttemptKey attempt_key =
+              random_below(10) == 0 ? random_key() : AttemptKey{1 + random_below(2), step};
+          const Micros due = now + static_cast<Micros>(random_below(4) * 100'000);
+          const Micros queue_deadline = now + static_cast<Micros>(random_below(400'000)) - 1000;
+          attempt_keys.push_back(attempt_key);
+          const Flow flow{std::string(1, static_cast<char>('r' + random_below(3))),
+                          static_cast<int>(random_below(5))};
+          const auto attempt = AttemptOf(attempt_key, server, slots.at(server), due, queue_deadline, flow);
           const Decision decision = queue.OnAttempt(now, attempt);
-          model.OnAttempt(now, attempt, decision);
+          reference.OnAttempt(now, attempt, decision);
           ++decisions[decision];
-          overdue();
+          check_rejections();
           break;
         }
         case 4:
         case 5: {
-          const auto& passed = model.upstreams[server].passed;
-          const Ticket ticket = passed.empty() || draw(4) == 0 ? any() : passed.begin()->first;
-          queue.OnDone(now, ticket);
-          model.OnDone(now, ticket);
+          const auto& forwarded = reference.upstreams[server].forwarded;
+          const AttemptKey attempt_key =
+              forwarded.empty() || random_below(4) == 0 ? random_key() : forwarded.begin()->first;
+          queue.OnDone(now, attempt_key);
+          reference.OnDone(now, attempt_key);
           break;
         }
         case 6: {
-          const Ticket ticket = any();
-          REQUIRE(queue.OnCancel(ticket) == model.Remove(ticket));
+          const AttemptKey attempt_key = random_key();
+          REQUIRE(queue.OnCancel(attempt_key) == reference.Remove(attempt_key));
           break;
         }
         case 7: {
-          const Ticket ticket = any();
-          model.Remove(ticket);
-          if (model.known.insert(ticket).second) model.never.insert(ticket);
-          REQUIRE(queue.OnAsk(now, ticket) == (model.ever_passed.count(ticket) > 0));
+          const AttemptKey attempt_key = random_key();
+          reference.Remove(attempt_key);
+          if (reference.seen.insert(attempt_key).second) reference.never_forwarded.insert(attempt_key);
+          REQUIRE(queue.OnStatusQuery(now, attempt_key) == (reference.ever_forwarded.count(attempt_key) > 0));
           break;
         }
         case 8: {
-          if (draw(20) > 0) break;
-          const auto gone = queue.OnServerNotReady(server);
-          REQUIRE(gone.size() == model.upstreams[server].queue.entries.size());
-          for (const Ticket& ticket : gone) REQUIRE(model.Remove(ticket));
+          if (random_below(20) > 0) break;
+          const auto removed = queue.OnServerNotReady(server);
+          REQUIRE(removed.size() == reference.upstreams[server].queue.entries.size());
+          for (const AttemptKey& attempt_key : removed) REQUIRE(reference.Remove(attempt_key));
           break;
         }
       }
-      if (draw(2) == 0) {
-        overdue();
-        while (const auto next = queue.Next(now)) {
-          const auto at = std::find_if(model.upstreams.begin(), model.upstreams.end(), [&](auto& entry) {
-            return entry.second.queue.FlowOf(*next).has_value();
-          });
-          REQUIRE(at != model.upstreams.end());
+      if (random_below(2) == 0) {
+        check_rejections();
+        while (const auto next = queue.NextToForward(now)) {
+          const auto at =
+              std::find_if(reference.upstreams.begin(), reference.upstreams.end(),
+                           [&](auto& entry) { return entry.second.queue.FlowOf(*next).has_value(); });
+          REQUIRE(at != reference.upstreams.end());
           const auto expected = at->second.queue.Pop(now);
           REQUIRE(expected.has_value());
-          REQUIRE(expected->ticket == *next);
-          model.Pass(now, at->second, *next, expected->flow);
-          ++left_waiting;
+          REQUIRE(expected->attempt_key == *next);
+          reference.Forward(now, at->second, *next, expected->flow);
+          ++dequeued;
         }
-        for (auto& [id, upstream] : model.upstreams)
-          REQUIRE((upstream.queue.entries.empty() || !upstream.room()));
+        for (auto& [id, upstream] : reference.upstreams)
+          REQUIRE((upstream.queue.entries.empty() || !upstream.has_capacity()));
       }
-      REQUIRE(queue.waiting() == model.waiting());
-      for (const auto& id : servers) REQUIRE(queue.passed(id) == model.upstreams[id].passed.size());
+      REQUIRE(queue.queued() == reference.queued());
+      for (const auto& id : servers) REQUIRE(queue.in_flight(id) == reference.upstreams[id].forwarded.size());
     }
   }
-  // All of it has happened.
-  CHECK(decisions[Decision::kPass] > 1000);
-  CHECK(decisions[Decision::kWait] > 1000);
-  CHECK(decisions[Decision::kTurnAway] > 1000);
-  CHECK(left_waiting > 1000);
-  CHECK(gave_way > 1000);
+  // Every kind of event has occurred often.
+  CHECK(decisions[Decision::kForward] > 1000);
+  CHECK(decisions[Decision::kQueue] > 1000);
+  CHECK(decisions[Decision::kReject] > 1000);
+  CHECK(dequeued > 1000);
+  CHECK(evictions > 1000);
 }
 
-TEST_CASE("what would not have room in time is turned away at once, by the time that runs take") {
+TEST_CASE("an attempt that would exceed its queue deadline is rejected at once, based on the mean duration") {
   AdmissionQueue queue({0, 2});
-  REQUIRE(queue.OnAttempt(0, AttemptOf({1, 1}, "a", 1, 0, kLong)) == Decision::kPass);
+  REQUIRE(queue.OnAttempt(0, AttemptOf({1, 1}, "a", 1, 0, kNoDeadline)) == Decision::kForward);
   queue.OnDone(100'000, {1, 1});
-  REQUIRE(queue.OnAttempt(100'000, AttemptOf({1, 2}, "a", 1, 0, kLong)) == Decision::kPass);
-  CHECK(queue.OnAttempt(100'000, AttemptOf({1, 3}, "a", 1, 0, 200'000)) == Decision::kTurnAway);
-  CHECK(queue.OnAttempt(100'000, AttemptOf({1, 4}, "a", 1, 5, 200'001)) == Decision::kWait);
+  REQUIRE(queue.OnAttempt(100'000, AttemptOf({1, 2}, "a", 1, 0, kNoDeadline)) == Decision::kForward);
+  CHECK(queue.OnAttempt(100'000, AttemptOf({1, 3}, "a", 1, 0, 200'000)) == Decision::kReject);
+  CHECK(queue.OnAttempt(100'000, AttemptOf({1, 4}, "a", 1, 5, 200'001)) == Decision::kQueue);
   CHECK(queue.OnAttempt(100'000, AttemptOf({1, 5}, "a", 1, 9, 300'000)) ==
-        Decision::kTurnAway);  // behind the one before
-  CHECK(queue.OnAttempt(100'000, AttemptOf({1, 6}, "a", 1, 1, 300'000)) == Decision::kWait);  // before it
+        Decision::kReject);  // queued behind the previous one
+  CHECK(queue.OnAttempt(100'000, AttemptOf({1, 6}, "a", 1, 1, 300'000)) ==
+        Decision::kQueue);  // queued ahead of it
   queue.OnDone(150'000, {1, 2});
-  CHECK(queue.Next(150'000) == Ticket{1, 6});
+  CHECK(queue.NextToForward(150'000) == AttemptKey{1, 6});
 }
 
-TEST_CASE("what waits beyond its time is never passed on") {
+TEST_CASE("an attempt past its queue deadline is never forwarded") {
   AdmissionQueue queue({0, 2});
-  REQUIRE(queue.OnAttempt(0, AttemptOf({1, 1}, "a", 1, 0, kLong)) == Decision::kPass);
-  REQUIRE(queue.OnAttempt(0, AttemptOf({1, 2}, "a", 1, 0, 10)) == Decision::kWait);
+  REQUIRE(queue.OnAttempt(0, AttemptOf({1, 1}, "a", 1, 0, kNoDeadline)) == Decision::kForward);
+  REQUIRE(queue.OnAttempt(0, AttemptOf({1, 2}, "a", 1, 0, 10)) == Decision::kQueue);
   queue.OnDone(5, {1, 1});
-  CHECK_FALSE(queue.Next(10).has_value());
-  CHECK(queue.Overdue(10) == std::vector<AdmissionQueue::TurnedAway>{{{1, 2}, Why::kWaitedOut}});
-  CHECK_FALSE(queue.OnAsk(10, {1, 2}));
+  CHECK_FALSE(queue.NextToForward(10).has_value());
+  CHECK(queue.TakeRejected(10) ==
+        std::vector<AdmissionQueue::Rejection>{{{1, 2}, RejectReason::kQueueTimeout}});
+  CHECK_FALSE(queue.OnStatusQuery(10, {1, 2}));
 }
 
-TEST_CASE("an attempt withdrawn before it came is turned away") {
-  AdmissionQueue queue(kRoom);
-  CHECK_FALSE(queue.OnAsk(0, {1, 5}));
-  CHECK(queue.OnAttempt(1, AttemptOf({1, 5}, "a", 4, 0, kLong)) == Decision::kTurnAway);
-  CHECK(queue.OnAttempt(1, AttemptOf({2, 5}, "a", 4, 0, kLong)) == Decision::kPass);  // another life's number
+TEST_CASE("an attempt withdrawn before its arrival is rejected") {
+  AdmissionQueue queue(kLimits);
+  CHECK_FALSE(queue.OnStatusQuery(0, {1, 5}));
+  CHECK(queue.OnAttempt(1, AttemptOf({1, 5}, "a", 4, 0, kNoDeadline)) == Decision::kReject);
+  CHECK(queue.OnAttempt(1, AttemptOf({2, 5}, "a", 4, 0, kNoDeadline)) ==
+        Decision::kForward);  // another incarnation
 }
 
-TEST_CASE("records are bounded in number and time, and what is under way stays on record") {
-  AdmissionQueue queue(kRoom);
-  REQUIRE(queue.OnAttempt(0, AttemptOf({1, 1}, "long", 1, 0, kLong)) == Decision::kPass);
-  for (std::uint64_t n = 2; n < 4 * kMostRecords; ++n) {
-    queue.OnAttempt(1, AttemptOf({1, n}, "a", 1, 0, kLong));
-    queue.OnDone(1, {1, n});
-    REQUIRE(queue.records() <= kMostRecords + 1);
+TEST_CASE("records are bounded in number and age, and records of attempts in flight are kept") {
+  AdmissionQueue queue(kLimits);
+  REQUIRE(queue.OnAttempt(0, AttemptOf({1, 1}, "long", 1, 0, kNoDeadline)) == Decision::kForward);
+  for (std::uint64_t sequence = 2; sequence < 4 * kMaxRecords; ++sequence) {
+    queue.OnAttempt(1, AttemptOf({1, sequence}, "a", 1, 0, kNoDeadline));
+    queue.OnDone(1, {1, sequence});
+    REQUIRE(queue.records() <= kMaxRecords + 1);
   }
-  CHECK(queue.OnAsk(1, {1, 1}));
-  CHECK(queue.passed("long") == 1);
-  for (std::uint64_t n = 0; n < kMostRecords; ++n) queue.OnAsk(kRecordFor + 2, {2, n % 2});
+  CHECK(queue.OnStatusQuery(1, {1, 1}));
+  CHECK(queue.in_flight("long") == 1);
+  for (std::uint64_t sequence = 0; sequence < kMaxRecords; ++sequence)
+    queue.OnStatusQuery(kRecordTtl + 2, {2, sequence % 2});
   CHECK(queue.records() <= 3);
-  CHECK(queue.OnAsk(3 * kRecordFor, {1, 1}));
+  CHECK(queue.OnStatusQuery(3 * kRecordTtl, {1, 1}));
 }
 
-// "Was it passed on? If not it never will be": a no has to be known, not guessed.
-TEST_CASE("what was passed on and has lost its record for want of room is not said to be never") {
-  AdmissionQueue queue(kRoom);
-  REQUIRE(queue.OnAttempt(0, AttemptOf({1, 1}, "a", 1, 0, kLong)) == Decision::kPass);
+// A negative status reply is binding, so it must not be given for an attempt whose record has expired.
+TEST_CASE("a forwarded attempt whose record has expired is not reported as never forwarded") {
+  AdmissionQueue queue(kLimits);
+  REQUIRE(queue.OnAttempt(0, AttemptOf({1, 1}, "a", 1, 0, kNoDeadline)) == Decision::kForward);
   queue.OnDone(0, {1, 1});
-  for (std::uint64_t n = 2; n < 2 * kMostRecords; ++n) queue.OnAsk(1, {1, n});
-  CHECK(queue.OnAsk(2, {1, 1}));
+  for (std::uint64_t sequence = 2; sequence < 2 * kMaxRecords; ++sequence)
+    queue.OnStatusQuery(1, {1, sequence});
+  CHECK(queue.OnStatusQuery(2, {1, 1}));
 }
 
 }  // namespace
--- a/tests/mesh/ingress_server_pool_test.cpp
+++ b/tests/mesh/ingress_server_pool_test.cpp
@@ -15,7 +15,7 @@
 
 namespace asio = merlinrun::net::asio;
 using merlinrun::net::ErrorCode;
-using Failure = ServerPool::Failure;
+using Failure = ServerConnectionPool::Failure;
 using loopback::HeaderValue;
 using loopback::RawConnection;
 using loopback::RunFor;
@@ -28,16 +28,17 @@
   Headers headers;
   std::string body;
   std::optional<Failure> failure;
-  bool over() const { return ends + failures > 0; }
+  bool done() const { return ends + failures > 0; }
 };
 
-std::string Whole(const std::string& id, const std::string& body, const std::string& more = "") {
-  return "HTTP/1.1 200 OK\r\nAttempt-Id: " + id + "\r\nServer-Seal: s\r\n" + more +
+std::string OkResponse(const std::string& id, const std::string& body,
+                       const std::string& extra_headers = "") {
+  return "HTTP/1.1 200 OK\r\nAttempt-Id: " + id + "\r\nServer-Seal: s\r\n" + extra_headers +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-struct Bench {
-  explicit Bench(ScriptedHttpServer::Script script) : server(io, std::move(script)) {}
+struct PoolFixture {
+  explicit PoolFixture(ScriptedHttpServer::Script script) : server(io, std::move(script)) {}
   std::shared_ptr<Outcome> Send(const std::string& id, const std::string& method = "GET",
                                 const std::string& body = "") {
     return SendTo(server.address(), id, method, body);
@@ -45,171 +46,172 @@
   std::shared_ptr<Outcome> SendTo(const std::string& address, const std::string& id,
                                   const std::string& method = "GET", const std::string& body = "") {
     auto out = std::make_shared<Outcome>();
-    ServerPool::Events events;
-    events.head = [out](std::uint16_t status, Headers headers, std::int64_t length) {
+    ServerConnectionPool::Events events;
+    events.on_head = [out](std::uint16_t status, Headers headers, std::int64_t length) {
       ++out->heads;
       out->status = status;
       out->headers = std::move(headers);
       out->length = length;
     };
-    events.piece = [out](std::string bytes) { out->body += bytes; };
-    events.end = [out] { ++out->ends; };
-    events.failed = [out](Failure why) { ++out->failures, out->failure = why; };
+    events.on_body = [out](std::string bytes) { out->body += bytes; };
+    events.on_end = [out] { ++out->ends; };
+    events.on_failure = [out](Failure kind) { ++out->failures, out->failure = kind; };
     handle =
         pool.Send(address, {id, method, "/x", {{"Host", "h"}, {"Attempt-Id", id}}, body}, std::move(events));
-    CHECK_FALSE(out->over());  // never from inside the call
+    CHECK_FALSE(out->done());  // no event from within the call
     return out;
   }
-  // Sends, and runs until its one end.
-  Outcome Ask(const std::string& id, const std::string& method = "GET", const std::string& body = "") {
+  // Sends a request and waits for its only end.
+  Outcome SendAndWait(const std::string& id, const std::string& method = "GET",
+                      const std::string& body = "") {
     const auto out = Send(id, method, body);
-    REQUIRE(RunUntil(io, [&] { return out->over(); }));
+    REQUIRE(RunUntil(io, [&] { return out->done(); }));
     RunFor(io, 5);
     CHECK(out->ends + out->failures == 1);
     return *out;
   }
   asio::io_context io;
   ScriptedHttpServer server;
-  ServerPool pool{io};
-  ServerPool::Handle handle = 0;
+  ServerConnectionPool pool{io};
+  ServerConnectionPool::Handle handle = 0;
 };
 
-Outcome AskOne(const std::string& answer, bool close = false, const std::string& method = "GET") {
-  Bench bench([&](RawConnection& raw, const std::string&) {
-    raw.Write(answer);
-    if (close) raw.CloseWhenWritten();
+Outcome SendToStub(const std::string& response, bool close = false, const std::string& method = "GET") {
+  PoolFixture fixture([&](RawConnection& peer, const std::string&) {
+    peer.Write(response);
+    if (close) peer.CloseWhenWritten();
   });
-  return bench.Ask("a", method);
+  return fixture.SendAndWait("a", method);
 }
 
-TEST_CASE("whole answers, with a length and in chunks, over one kept connection") {
-  Bench bench([](RawConnection& raw, const std::string& request) {
+TEST_CASE("responses with Content-Length and in chunks over one keep-alive connection") {
+  PoolFixture fixture([](RawConnection& peer, const std::string& request) {
     if (HeaderValue(request, "Attempt-Id") == "a")
-      return raw.Write(Whole("a", "hello", "X-Own: 1\r\nConnection: keep-alive\r\n"));
-    raw.Write(
+      return peer.Write(OkResponse("a", "hello", "X-Own: 1\r\nConnection: keep-alive\r\n"));
+    peer.Write(
         "HTTP/1.1 200 OK\r\nAttempt-Id: b\r\nServer-Seal: s\r\nTransfer-Encoding: "
         "chunked\r\n\r\n3\r\nabc\r\n");
-    raw.Write("2\r\nde\r\n0\r\n\r\n");
+    peer.Write("2\r\nde\r\n0\r\n\r\n");
   });
-  const Outcome a = bench.Ask("a", "POST", "the body");
+  const Outcome a = fixture.SendAndWait("a", "POST", "the body");
   CHECK(a.ends == 1);
   CHECK(a.status == 200);
   CHECK(a.length == 5);
   CHECK(a.body == "hello");
   CHECK(a.headers ==
-        Headers{{"Attempt-Id", "a"}, {"Server-Seal", "s"}, {"X-Own", "1"}});  // none of the framing
-  REQUIRE(bench.server.requests.size() == 1);
-  CHECK(bench.server.requests[0].find("POST /x HTTP/1.1\r\n") == 0);
-  CHECK(bench.server.requests[0].find("\r\n\r\nthe body") != std::string::npos);
-  const Outcome b = bench.Ask("b");
+        Headers{{"Attempt-Id", "a"}, {"Server-Seal", "s"}, {"X-Own", "1"}});  // without framing headers
+  REQUIRE(fixture.server.requests.size() == 1);
+  CHECK(fixture.server.requests[0].find("POST /x HTTP/1.1\r\n") == 0);
+  CHECK(fixture.server.requests[0].find("\r\n\r\nthe body") != std::string::npos);
+  const Outcome b = fixture.SendAndWait("b");
   CHECK(b.ends == 1);
   CHECK(b.length == -1);
   CHECK(b.body == "abcde");
-  CHECK(bench.pool.connections_opened() == 1);
-  CHECK(bench.server.connections.size() == 1);
+  CHECK(fixture.pool.connections_opened() == 1);
+  CHECK(fixture.server.connections.size() == 1);
 }
 
-TEST_CASE("two at a time have a connection each, and both are kept") {
-  Bench bench([](RawConnection& raw, const std::string& request) {
-    raw.Write(Whole(HeaderValue(request, "Attempt-Id"), "x"));
+TEST_CASE("concurrent requests use a connection each, and both are kept alive") {
+  PoolFixture fixture([](RawConnection& peer, const std::string& request) {
+    peer.Write(OkResponse(HeaderValue(request, "Attempt-Id"), "x"));
   });
-  const auto a = bench.Send("a"), b = bench.Send("b");
-  REQUIRE(RunUntil(bench.io, [&] { return a->over() && b->over(); }));
-  CHECK(bench.pool.connections_opened() == 2);
-  const auto c = bench.Send("c"), d = bench.Send("d");
-  REQUIRE(RunUntil(bench.io, [&] { return c->over() && d->over(); }));
-  CHECK(bench.pool.connections_opened() == 2);
+  const auto a = fixture.Send("a"), b = fixture.Send("b");
+  REQUIRE(RunUntil(fixture.io, [&] { return a->done() && b->done(); }));
+  CHECK(fixture.pool.connections_opened() == 2);
+  const auto c = fixture.Send("c"), d = fixture.Send("d");
+  REQUIRE(RunUntil(fixture.io, [&] { return c->done() && d->done(); }));
+  CHECK(fixture.pool.connections_opened() == 2);
   CHECK(c->ends + d->ends == 2);
 }
 
-// A surplus answer is another's, whether it comes with the first, after it, or once the next has been sent.
-TEST_CASE("a second answer is nobody's, and the next request gets its own") {
+// An unsolicited second response may arrive together with the first, after it, or after the next request.
+TEST_CASE("an unsolicited second response is discarded, and the next request gets its own") {
   const int when = GENERATE(0, 1, 2);
   INFO(when);
-  Bench bench([&](RawConnection& raw, const std::string& request) {
+  PoolFixture fixture([&](RawConnection& peer, const std::string& request) {
     const std::string id = HeaderValue(request, "Attempt-Id");
-    if (id == "a" && when == 0) return raw.Write(Whole("a", "first") + Whole("a", "stale"));
-    if (id == "b" && when == 2) raw.Write(Whole("a", "stale"));
-    raw.Write(Whole(id, id == "a" ? "first" : "own"));
+    if (id == "a" && when == 0) return peer.Write(OkResponse("a", "first") + OkResponse("a", "stale"));
+    if (id == "b" && when == 2) peer.Write(OkResponse("a", "stale"));
+    peer.Write(OkResponse(id, id == "a" ? "first" : "own"));
   });
-  CHECK(bench.Ask("a").body == "first");
+  CHECK(fixture.SendAndWait("a").body == "first");
   if (when == 1) {
-    bench.server.connections[0]->Write(Whole("a", "stale"));
-    REQUIRE(RunUntil(bench.io, [&] { return bench.pool.stray_responses() > 0; }));
+    fixture.server.connections[0]->Write(OkResponse("a", "stale"));
+    REQUIRE(RunUntil(fixture.io, [&] { return fixture.pool.stray_responses() > 0; }));
   }
-  const Outcome b = bench.Ask("b");
+  const Outcome b = fixture.SendAndWait("b");
   CHECK(b.ends == 1);
   CHECK(b.body == "own");
-  CHECK(bench.pool.stray_responses() == 1);
-  CHECK(bench.Ask("c").body == "own");
+  CHECK(fixture.pool.stray_responses() == 1);
+  CHECK(fixture.SendAndWait("c").body == "own");
 }
 
-TEST_CASE("a late answer that is already in the socket when the next request is sent is nobody's") {
-  Bench bench([](RawConnection& raw, const std::string& request) {
-    raw.Write(Whole(HeaderValue(request, "Attempt-Id"), HeaderValue(request, "Attempt-Id")));
+TEST_CASE("a late response that is already in the socket buffer is not taken for the next request's") {
+  PoolFixture fixture([](RawConnection& peer, const std::string& request) {
+    peer.Write(OkResponse(HeaderValue(request, "Attempt-Id"), HeaderValue(request, "Attempt-Id")));
   });
-  CHECK(bench.Ask("a").body == "a");
-  bench.server.connections[0]->WriteNow(Whole("a", "stale"));
-  const Outcome b = bench.Ask("b");  // the loop has not turned in between
+  CHECK(fixture.SendAndWait("a").body == "a");
+  fixture.server.connections[0]->WriteNow(OkResponse("a", "stale"));
+  const Outcome b = fixture.SendAndWait("b");  // the event loop has not run in between
   CHECK((b.failures == 1 || b.body == "b"));
   CHECK(b.body != "stale");
-  CHECK(bench.Ask("c").body == "c");
+  CHECK(fixture.SendAndWait("c").body == "c");
 }
 
-TEST_CASE("answers of others are read over up to the right one") {
-  const Outcome out =
-      AskOne(Whole("z", "other") + "HTTP/1.1 500 No\r\nAttempt-Id: y\r\nContent-Length: 2\r\n\r\nno" +
-             "HTTP/1.1 103 Early\r\n\r\n" + Whole("a", "mine"));
+TEST_CASE("responses with another id are skipped until the matching one") {
+  const Outcome out = SendToStub(OkResponse("z", "other") +
+                                 "HTTP/1.1 500 No\r\nAttempt-Id: y\r\nContent-Length: 2\r\n\r\nno" +
+                                 "HTTP/1.1 103 Early\r\n\r\n" + OkResponse("a", "mine"));
   CHECK(out.ends == 1);
   CHECK(out.heads == 1);
   CHECK(out.body == "mine");
   CHECK(out.status == 200);
 }
 
-TEST_CASE("answers of others without end are no answer") {
+TEST_CASE("too many responses with another id are a failure") {
   std::string many;
-  for (int i = 0; i < 20; ++i) many += Whole("z", "other");
-  CHECK(AskOne(many + Whole("a", "mine")).failure == Failure::kGarbled);
+  for (int i = 0; i < 20; ++i) many += OkResponse("z", "other");
+  CHECK(SendToStub(many + OkResponse("a", "mine")).failure == Failure::kMalformed);
 }
 
-TEST_CASE("what is no whole answer of this request's is told for what it is") {
+TEST_CASE("invalid and incomplete responses are reported with their kind of failure") {
   const std::string sealed = "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\n";
   struct Case {
     const char* name;
-    std::string answer;
-    Failure want;
+    std::string response;
+    Failure expected;
     int heads;
   };
   const std::vector<Case> cases = {
-      {"no seal", "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nContent-Length: 1\r\n\r\nx", Failure::kGarbled, 0},
-      {"coded", sealed + "Content-Encoding: gzip\r\nContent-Length: 1\r\n\r\nx", Failure::kGarbled, 0},
-      {"no id", "HTTP/1.1 200 OK\r\nServer-Seal: s\r\nContent-Length: 1\r\n\r\nx", Failure::kBroken, 0},
+      {"no seal", "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nContent-Length: 1\r\n\r\nx", Failure::kMalformed, 0},
+      {"coded", sealed + "Content-Encoding: gzip\r\nContent-Length: 1\r\n\r\nx", Failure::kMalformed, 0},
+      {"no id", "HTTP/1.1 200 OK\r\nServer-Seal: s\r\nContent-Length: 1\r\n\r\nx", Failure::kReset, 0},
       {"two ids",
        "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nAttempt-Id: a\r\nServer-Seal: s\r\nContent-Length: 1\r\n\r\nx",
-       Failure::kBroken, 0},
-      {"end not told", sealed + "\r\nbody", Failure::kGarbled, 0},
+       Failure::kReset, 0},
+      {"end not told", sealed + "\r\nbody", Failure::kMalformed, 0},
       {"both framings", sealed + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-       Failure::kGarbled, 0},
-      {"no HTTP", "\x16\x03garbage\r\n\r\n", Failure::kGarbled, 0},
-      {"bad chunk", sealed + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", Failure::kGarbled, 1},
-      {"body cut short", sealed + "Content-Length: 10\r\n\r\nfour", Failure::kBroken, 1},
-      {"chunks cut short", sealed + "Transfer-Encoding: chunked\r\n\r\n4\r\nfour\r\n", Failure::kBroken, 1},
-      {"head cut short", sealed, Failure::kBroken, 0},
-      {"nothing", "", Failure::kBroken, 0},
+       Failure::kMalformed, 0},
+      {"no HTTP", "\x16\x03garbage\r\n\r\n", Failure::kMalformed, 0},
+      {"bad chunk", sealed + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", Failure::kMalformed, 1},
+      {"body cut short", sealed + "Content-Length: 10\r\n\r\nfour", Failure::kReset, 1},
+      {"chunks cut short", sealed + "Transfer-Encoding: chunked\r\n\r\n4\r\nfour\r\n", Failure::kReset, 1},
+      {"head cut short", sealed, Failure::kReset, 0},
+      {"nothing", "", Failure::kReset, 0},
   };
   for (const Case& c : cases) {
     INFO(c.name);
-    const Outcome out = AskOne(c.answer, true);
+    const Outcome out = SendToStub(c.response, true);
     CHECK(out.ends == 0);
     REQUIRE(out.failure.has_value());
-    CHECK(*out.failure == c.want);
-    CHECK(out.heads <= c.heads);  // 1: the cut comes after a good head
+    CHECK(*out.failure == c.expected);
+    CHECK(out.heads <= c.heads);  // 1 if a valid head precedes the failure
   }
 }
 
-// It answers when it has the head, keeps the connection and reads on later: what is due there is the rest of
-// the first body and nothing else.
-TEST_CASE("an answer that comes before a long body is written ends the connection") {
+// The server responds after the request head and keeps the connection. It still expects the rest of the body,
+// so the connection must not be reused.
+TEST_CASE("a connection is closed if the response arrives before the request body is written") {
   asio::io_context io;
   asio::ip::tcp::acceptor acceptor(io, {asio::ip::address_v4::loopback(), 0});
   struct Connection {
@@ -219,40 +221,40 @@
   };
   std::vector<std::unique_ptr<Connection>> connections;
   std::array<char, 4096> buffer{};
-  const auto answer = [&](Connection& connection) {
+  const auto respond = [&](Connection& connection) {
     connection.socket.async_read_some(asio::buffer(buffer), [&](ErrorCode error, std::size_t n) {
       if (error) return;
       connection.in.append(buffer.data(), n);
       const std::string id = HeaderValue(connection.in, "Attempt-Id");
-      asio::write(connection.socket, asio::buffer(Whole(id, "early")));
+      asio::write(connection.socket, asio::buffer(OkResponse(id, "early")));
     });
   };
   const std::function<void()> accept = [&] {
     connections.push_back(std::make_unique<Connection>(io));
     acceptor.async_accept(connections.back()->socket, [&](ErrorCode error) {
       if (error) return;
-      answer(*connections.back());
+      respond(*connections.back());
       accept();
     });
   };
   accept();
-  ServerPool pool(io);
+  ServerConnectionPool pool(io);
   const std::string address = "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
   int ends = 0;
-  const auto ask = [&](const std::string& id, const std::string& body) {
-    ServerPool::Events events;
-    events.head = [](std::uint16_t, Headers, std::int64_t) {};
-    events.piece = [](std::string) {};
-    events.end = [&] { ++ends; };
-    events.failed = [&](Failure) { ++ends; };
+  const auto send_request = [&](const std::string& id, const std::string& body) {
+    ServerConnectionPool::Events events;
+    events.on_head = [](std::uint16_t, Headers, std::int64_t) {};
+    events.on_body = [](std::string) {};
+    events.on_end = [&] { ++ends; };
+    events.on_failure = [&](Failure) { ++ends; };
     pool.Send(address, {id, "POST", "/x", {{"Host", "h"}, {"Attempt-Id", id}}, body}, std::move(events));
   };
-  ask("a", std::string(std::size_t{64} << 20, 'x'));
+  send_request("a", std::string(std::size_t{64} << 20, 'x'));
   REQUIRE(RunUntil(io, [&] { return ends == 1; }));
-  ask("b", "");
+  send_request("b", "");
   REQUIRE(RunUntil(io, [&] { return ends == 2; }));
-  REQUIRE(connections.size() == 3);  // the last one waits
-  // All that the first connection ever got is its own request.
+  REQUIRE(connections.size() == 3);  // the third one is waiting to be accepted
+  // The first connection has received nothing but its own request.
   Connection& first = *connections[0];
   ErrorCode error;
   while (!error) {
@@ -262,70 +264,71 @@
   CHECK(first.in.find("Attempt-Id: b") == std::string::npos);
 }
 
-TEST_CASE("answers without a body end with their head") {
-  CHECK(AskOne("HTTP/1.1 204 No Content\r\nAttempt-Id: a\r\nServer-Seal: s\r\n\r\n").ends == 1);
-  const Outcome head = AskOne(
+TEST_CASE("a response without a body ends with its head") {
+  CHECK(SendToStub("HTTP/1.1 204 No Content\r\nAttempt-Id: a\r\nServer-Seal: s\r\n\r\n").ends == 1);
+  const Outcome head = SendToStub(
       "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\nContent-Length: 5\r\n\r\n", false, "HEAD");
   CHECK(head.ends == 1);
   CHECK(head.body.empty());
 }
 
-TEST_CASE("an error answer needs no seal") {
-  const Outcome out = AskOne("HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n");
+TEST_CASE("an error response needs no Server-Seal") {
+  const Outcome out = SendToStub("HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n");
   CHECK(out.ends == 1);
   CHECK(out.status == 503);
 }
 
-TEST_CASE("where nothing listens nothing is sent") {
-  Bench bench([](RawConnection&, const std::string&) {});
-  for (const std::string& address : {"127.0.0.1:" + std::to_string(loopback::FreePort(bench.io)),
+TEST_CASE("a failed connect is reported as not sent") {
+  PoolFixture fixture([](RawConnection&, const std::string&) {});
+  for (const std::string& address : {"127.0.0.1:" + std::to_string(loopback::FreePort(fixture.io)),
                                      std::string("no address"), std::string("127.0.0.1:0")}) {
     INFO(address);
-    const auto out = bench.SendTo(address, "a");
-    REQUIRE(RunUntil(bench.io, [&] { return out->over(); }));
+    const auto out = fixture.SendTo(address, "a");
+    REQUIRE(RunUntil(fixture.io, [&] { return out->done(); }));
     CHECK(out->failure == Failure::kNotSent);
   }
 }
 
-TEST_CASE("a connection that the server closes is not used again") {
-  const bool says_so = GENERATE(true, false);
-  Bench bench([&](RawConnection& raw, const std::string& request) {
-    raw.Write(Whole(HeaderValue(request, "Attempt-Id"), "x", says_so ? "Connection: close\r\n" : ""));
-    if (!says_so) raw.CloseWhenWritten();
+TEST_CASE("a connection that the server closes is not reused") {
+  const bool announces_close = GENERATE(true, false);
+  PoolFixture fixture([&](RawConnection& peer, const std::string& request) {
+    peer.Write(
+        OkResponse(HeaderValue(request, "Attempt-Id"), "x", announces_close ? "Connection: close\r\n" : ""));
+    if (!announces_close) peer.CloseWhenWritten();
   });
-  CHECK(bench.Ask("a").ends == 1);
-  RunFor(bench.io, 10);
-  CHECK(bench.Ask("b").ends == 1);
-  CHECK(bench.pool.connections_opened() == 2);
+  CHECK(fixture.SendAndWait("a").ends == 1);
+  RunFor(fixture.io, 10);
+  CHECK(fixture.SendAndWait("b").ends == 1);
+  CHECK(fixture.pool.connections_opened() == 2);
 }
 
-TEST_CASE("a request on a kept connection that the server closes at it may have run") {
-  Bench bench([](RawConnection& raw, const std::string& request) {
-    if (HeaderValue(request, "Attempt-Id") == "b") return raw.Close();
-    raw.Write(Whole(HeaderValue(request, "Attempt-Id"), "x"));
+TEST_CASE("a request may have run if the server closes the keep-alive connection on receiving it") {
+  PoolFixture fixture([](RawConnection& peer, const std::string& request) {
+    if (HeaderValue(request, "Attempt-Id") == "b") return peer.Close();
+    peer.Write(OkResponse(HeaderValue(request, "Attempt-Id"), "x"));
   });
-  CHECK(bench.Ask("a").ends == 1);
-  CHECK(bench.Ask("b").failure == Failure::kBroken);
-  CHECK(bench.Ask("c").ends == 1);
+  CHECK(fixture.SendAndWait("a").ends == 1);
+  CHECK(fixture.SendAndWait("b").failure == Failure::kReset);
+  CHECK(fixture.SendAndWait("c").ends == 1);
 }
 
-TEST_CASE("what is cancelled tells nothing, and its connection ends") {
-  Bench bench([](RawConnection&, const std::string&) {});
-  const auto out = bench.Send("a");
-  REQUIRE(RunUntil(bench.io, [&] { return bench.server.requests.size() == 1; }));
-  bench.pool.Cancel(bench.handle);
-  REQUIRE(RunUntil(bench.io, [&] { return bench.server.connections[0]->ended; }));
-  CHECK_FALSE(out->over());
-  CHECK(RunUntil(bench.io, [&] { return bench.pool.open() == 0; }));
+TEST_CASE("a cancelled request calls no event, and its connection is closed") {
+  PoolFixture fixture([](RawConnection&, const std::string&) {});
+  const auto out = fixture.Send("a");
+  REQUIRE(RunUntil(fixture.io, [&] { return fixture.server.requests.size() == 1; }));
+  fixture.pool.Cancel(fixture.handle);
+  REQUIRE(RunUntil(fixture.io, [&] { return fixture.server.connections[0]->ended; }));
+  CHECK_FALSE(out->done());
+  CHECK(RunUntil(fixture.io, [&] { return fixture.pool.open_connections() == 0; }));
 }
 
-// For the sanitizers: what the loop still holds of a connection must not reach for a pool that is no more.
-TEST_CASE("a pool may end before its loop, whatever is under way") {
+// For the sanitizers: pending handlers of a connection must not access a destroyed pool.
+TEST_CASE("a pool may be destroyed before its event loop, with requests in flight") {
   asio::io_context io;
-  ScriptedHttpServer server(io, [](RawConnection& raw, const std::string& request) {
-    if (HeaderValue(request, "Attempt-Id") == "a") raw.Write(Whole("a", "x"));
+  ScriptedHttpServer server(io, [](RawConnection& peer, const std::string& request) {
+    if (HeaderValue(request, "Attempt-Id") == "a") peer.Write(OkResponse("a", "x"));
   });
-  auto pool = std::make_unique<ServerPool>(io);
+  auto pool = std::make_unique<ServerConnectionPool>(io);
   int ends = 0;
   const auto send = [&](const std::string& id) {
     pool->Send(server.address(), {id, "GET", "/", {{"Host", "h"}, {"Attempt-Id", id}}, ""},
@@ -341,19 +344,19 @@
   CHECK(ends == 1);
 }
 
-TEST_CASE("a paused answer is held up, and comes whole after") {
+TEST_CASE("a paused response stops, and is completed after Resume") {
   const std::string big(std::size_t{8} * 1024 * 1024, 'x');
-  Bench bench([&](RawConnection& raw, const std::string&) { raw.Write(Whole("a", big)); });
-  const auto out = bench.Send("a");
-  REQUIRE(RunUntil(bench.io, [&] { return out->heads == 1; }));
-  bench.pool.Pause(bench.handle);
-  RunFor(bench.io, 50);
+  PoolFixture fixture([&](RawConnection& peer, const std::string&) { peer.Write(OkResponse("a", big)); });
+  const auto out = fixture.Send("a");
+  REQUIRE(RunUntil(fixture.io, [&] { return out->heads == 1; }));
+  fixture.pool.Pause(fixture.handle);
+  RunFor(fixture.io, 50);
   const std::size_t held = out->body.size();
-  RunFor(bench.io, 50);
+  RunFor(fixture.io, 50);
   CHECK(out->body.size() == held);
-  REQUIRE_FALSE(out->over());
-  bench.pool.Resume(bench.handle);
-  REQUIRE(RunUntil(bench.io, [&] { return out->over(); }));
+  REQUIRE_FALSE(out->done());
+  fixture.pool.Resume(fixture.handle);
+  REQUIRE(RunUntil(fixture.io, [&] { return out->done(); }));
   CHECK(out->ends == 1);
   CHECK(out->body.size() == big.size());
 }
