--- a/tests/mesh/loopback.hpp
+++ b/tests/mesh/loopback.hpp
@@ -1,5 +1,5 @@
-// Peers over loopback for tests: raw connections and scripted HTTP servers on the test's own io_context. No
-// threads; waits are turns of the loop until something holds.
+// Loopback peers for tests: raw connections and scripted HTTP servers on the test's io_context. No threads;
+// to wait, a test runs the event loop.
 #ifndef FENNELHOLLOW_TESTS_MESH_LOOPBACK_HPP_
 #define FENNELHOLLOW_TESTS_MESH_LOOPBACK_HPP_
 
@@ -20,23 +20,24 @@
 using Tcp = asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-// Runs the loop until `holds`; false if it doesn't within `most`, which is no measure but an end.
-template <class Holds>
-bool RunUntil(asio::io_context& io, Holds holds, std::chrono::milliseconds most = std::chrono::seconds(10)) {
-  const auto end = std::chrono::steady_clock::now() + most;
-  while (!holds() && std::chrono::steady_clock::now() < end) {
+// Runs the event loop until `condition` holds. Returns false if it doesn't within `timeout`.
+template <class Condition>
+bool RunUntil(asio::io_context& io, Condition condition,
+              std::chrono::milliseconds timeout = std::chrono::seconds(10)) {
+  const auto end = std::chrono::steady_clock::now() + timeout;
+  while (!condition() && std::chrono::steady_clock::now() < end) {
     io.restart();
     io.run_one_for(std::chrono::milliseconds(20));
   }
-  return holds();
+  return condition();
 }
-// So long, for what must not come.
+// Runs the event loop for this long, to check that something does not happen.
 inline void RunFor(asio::io_context& io, int ms) {
   RunUntil(
       io, [] { return false; }, std::chrono::milliseconds(ms));
 }
 
-// One end of a connection that keeps what comes.
+// A TCP connection that records everything it receives.
 class RawConnection : public std::enable_shared_from_this<RawConnection> {
  public:
   explicit RawConnection(Tcp::socket socket) : socket_(std::move(socket)) {}
@@ -44,9 +45,9 @@
     Tcp::socket socket(io);
     socket.connect({asio::ip::make_address("127.0.0.1"), port});
     socket.set_option(Tcp::no_delay(true));
-    auto raw = std::make_shared<RawConnection>(std::move(socket));
-    raw->Read();
-    return raw;
+    auto connection = std::make_shared<RawConnection>(std::move(socket));
+    connection->Read();
+    return connection;
   }
   void Read() {
     socket_.async_read_some(asio::buffer(buffer_),
@@ -62,13 +63,13 @@
                             });
   }
   void Write(std::string bytes) {
-    out_ += bytes;
+    write_queue_ += bytes;
     Flush();
   }
-  // In the kernel when it returns; for what is small.
+  // Blocks until the bytes are in the socket buffer; for small writes.
   void WriteNow(const std::string& bytes) { asio::write(socket_, asio::buffer(bytes)); }
   void CloseWhenWritten() {
-    last_ = true;
+    close_when_written_ = true;
     Flush();
   }
   void Close() {
@@ -84,26 +85,26 @@
  private:
   void Flush() {
     if (writing_) return;
-    if (out_.empty()) {
-      if (last_) Close();
+    if (write_queue_.empty()) {
+      if (close_when_written_) Close();
       return;
     }
     writing_ = true;
-    going_ = std::exchange(out_, {});
-    asio::async_write(socket_, asio::buffer(going_),
+    writing_buffer_ = std::exchange(write_queue_, {});
+    asio::async_write(socket_, asio::buffer(writing_buffer_),
                       [self = shared_from_this()](ErrorCode error, std::size_t) {
                         self->writing_ = false;
                         if (!error) self->Flush();
                       });
   }
   Tcp::socket socket_;
-  std::string out_, going_;
-  bool writing_ = false, last_ = false;
+  std::string write_queue_, writing_buffer_;
+  bool writing_ = false, close_when_written_ = false;
   char buffer_[65536];
 };
 using RawConnectionPtr = std::shared_ptr<RawConnection>;
 
-// Listens at a port of its own choice.
+// Listens on a free port.
 class Acceptor {
  public:
   Acceptor(asio::io_context& io, std::function<void(Tcp::socket)> accepted)
@@ -125,12 +126,12 @@
   std::function<void(Tcp::socket)> accepted_;
 };
 
-// A port at which nothing listens.
+// A port on which nothing listens.
 inline std::uint16_t FreePort(asio::io_context& io) {
   return Tcp::acceptor(io, {asio::ip::make_address("127.0.0.1"), 0}).local_endpoint().port();
 }
 
-// Value of a header field of a request's head as it was written; empty if it has none.
+// Value of a header in a request or response head; the name must match in case. Empty if there is none.
 inline std::string HeaderValue(const std::string& head, const std::string& name) {
   const auto at = head.find("\r\n" + name + ": ");
   if (at == std::string::npos) return {};
@@ -138,19 +139,19 @@
   return head.substr(from, head.find("\r\n", from) - from);
 }
 
-// Hands each request whole to `script`, which writes what it likes.
+// HTTP server that passes each complete request to `script`, which writes the response.
 class ScriptedHttpServer {
  public:
   using Script = std::function<void(RawConnection&, const std::string& request)>;
   ScriptedHttpServer(asio::io_context& io, Script script)
       : script_(std::move(script)), acceptor_(io, [this](Tcp::socket socket) {
-          auto raw = std::make_shared<RawConnection>(std::move(socket));
-          raw->on_bytes = [this](RawConnection& mine) { OnBytes(mine); };
-          raw->Read();
-          connections.push_back(raw);
+          auto connection = std::make_shared<RawConnection>(std::move(socket));
+          connection->on_bytes = [this](RawConnection& mine) { OnBytes(mine); };
+          connection->Read();
+          connections.push_back(connection);
         }) {}
   ~ScriptedHttpServer() {
-    for (const RawConnectionPtr& raw : connections) raw->Close();
+    for (const RawConnectionPtr& connection : connections) connection->Close();
   }
   std::string address() const { return acceptor_.address(); }
 
@@ -158,17 +159,18 @@
   std::vector<std::string> requests;
 
  private:
-  void OnBytes(RawConnection& raw) {
+  void OnBytes(RawConnection& connection) {
     for (;;) {
-      const auto end = raw.received.find("\r\n\r\n");
+      const auto end = connection.received.find("\r\n\r\n");
       if (end == std::string::npos) return;
-      const std::string length = HeaderValue(raw.received.substr(0, end + 2), "Content-Length");
-      const std::size_t whole = end + 4 + (length.empty() ? 0 : static_cast<std::size_t>(std::stoul(length)));
-      if (raw.received.size() < whole) return;
-      const std::string request = raw.received.substr(0, whole);
-      raw.received.erase(0, whole);
+      const std::string length = HeaderValue(connection.received.substr(0, end + 2), "Content-Length");
+      const std::size_t request_size =
+          end + 4 + (length.empty() ? 0 : static_cast<std::size_t>(std::stoul(length)));
+      if (connection.received.size() < request_size) return;
+      const std::string request = connection.received.substr(0, request_size);
+      connection.received.erase(0, request_size);
       requests.push_back(request);
-      script_(raw, request);
+      script_(connection, request);
     }
   }
   Script script_;
