--- a/src/mesh/quota/quota.hpp
+++ b/src/mesh/quota/quota.hpp
@@ -155,6 +155,7 @@
   static bool ExceedsBase(const SidecarState& state, double base);
   static double RoundToWholeRequests(Micros now, double per_window, double free, double base,
                                      const SidecarState& state);
+  // Requests that a share admits in a window.
   double PerWindow(const Share& share) const;
   double Bound(const TenantLimit& limit) const;
   double Base(const TenantLimit& limit) const;
--- a/tests/mesh/egress_http_server_test.cpp
+++ b/tests/mesh/egress_http_server_test.cpp
@@ -38,7 +38,8 @@
     REQUIRE(RunUntil(io, [&] { return connection->ended; }));
     return connection->received;
   }
-  bool ReceivedText(const RawConnectionPtr& connection, const std::string& text) {
+  // Waits until the text has been received.
+  bool WaitForText(const RawConnectionPtr& connection, const std::string& text) {
     return RunUntil(io, [&] { return connection->received.find(text) != std::string::npos; });
   }
   asio::io_context io;
@@ -68,16 +69,16 @@
   const auto connection = fixture.SendBytes(Get(
       "/a",
       "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nX-Own: 2\r\nTE: trailers\r\n"));
-  REQUIRE(fixture.ReceivedText(connection, "GET /a "));
+  REQUIRE(fixture.WaitForText(connection, "GET /a "));
   CHECK(connection->received.find("HTTP/1.1 200 OK\r\nX-Own: 1\r\nContent-Length: 7\r\n\r\n") == 0);
   CHECK(fixture.requests[0].headers == Headers{{"Host", "h"}, {"X-Own", "2"}});
   CHECK(fixture.requests[0].host == "h");
   connection->Write("POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody");
-  REQUIRE(fixture.ReceivedText(connection, "POST /b body"));
+  REQUIRE(fixture.WaitForText(connection, "POST /b body"));
   connection->Write(
       "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: "
       "chunked\r\n\r\n2\r\nch\r\n3;x=y\r\nunk\r\n0\r\n\r\n");
-  REQUIRE(fixture.ReceivedText(connection, "POST /c chunk"));
+  REQUIRE(fixture.WaitForText(connection, "POST /c chunk"));
   for (const HttpRequest& in : fixture.requests)
     for (const auto& [name, value] : in.headers) CHECK((name == "Host" || name == "X-Own"));
   CHECK_FALSE(connection->ended);
@@ -95,7 +96,7 @@
     REQUIRE(fixture.requests.size() == i + 1);  // the next one waits for this response
     HttpServer::Respond(fixture.sessions[i], 200, {}, "<" + fixture.requests[i].target + ">");
   }
-  REQUIRE(fixture.ReceivedText(connection, "</3>"));
+  REQUIRE(fixture.WaitForText(connection, "</3>"));
   CHECK(connection->received.find("</1>") < connection->received.find("</2>"));
   CHECK(connection->received.find("</2>") < connection->received.find("</3>"));
   CHECK(Count(connection->received, "HTTP/1.1 200") == 3);
@@ -110,7 +111,7 @@
     connection->WriteNow(bytes.substr(0, split_at));
     for (int turn = 0; turn < 4; ++turn) fixture.io.restart(), fixture.io.poll();
     connection->WriteNow(bytes.substr(split_at));
-    REQUIRE(fixture.ReceivedText(connection, "POST /c chunk"));
+    REQUIRE(fixture.WaitForText(connection, "POST /c chunk"));
     connection->Close();
   }
   CHECK(fixture.requests.size() == bytes.size() - 1);
@@ -152,7 +153,7 @@
     INFO(name);
     ServerFixture fixture({}, Echo);
     const auto connection = fixture.SendBytes(bytes + smuggled);
-    REQUIRE(fixture.ReceivedText(connection, "HTTP/1.1 "));
+    REQUIRE(fixture.WaitForText(connection, "HTTP/1.1 "));
     CHECK(connection->received.find("HTTP/1.1 400 ") == 0);
     CHECK(connection->received.find("Connection: close\r\n") != std::string::npos);
     REQUIRE(RunUntil(fixture.io, [&] { return connection->ended; }));
@@ -166,7 +167,7 @@
   ServerFixture fixture({}, Echo);
   const auto connection =
       fixture.SendBytes("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 3, 3\r\n\r\nabc" + Get("/2"));
-  REQUIRE(fixture.ReceivedText(connection, "\r\n\r\n"));
+  REQUIRE(fixture.WaitForText(connection, "\r\n\r\n"));
   if (connection->received.find("HTTP/1.1 400 ") == 0) {
     CHECK(fixture.requests.empty());
   } else {
@@ -181,7 +182,7 @@
   ServerFixture fixture({}, Echo);
   const auto connection =
       fixture.SendBytes("GET /x HTTP/1.1\r\nHost: h\r\nX-Own: a\r\n Content-Length: 5\r\n\r\n" + Get("/2"));
-  REQUIRE(fixture.ReceivedText(connection, "\r\n\r\n"));
+  REQUIRE(fixture.WaitForText(connection, "\r\n\r\n"));
   if (!fixture.requests.empty()) {
     CHECK(fixture.requests[0].body.empty());
     for (const auto& [name, value] : fixture.requests[0].headers)
@@ -209,7 +210,7 @@
   CHECK(fixture.SendAndReceive(Get("/x", many)).find("HTTP/1.1 431 ") == 0);
   CHECK(fixture.requests.empty());
   const auto connection = fixture.SendBytes(post + "Content-Length: 1000\r\n\r\n" + std::string(1000, 'x'));
-  REQUIRE(fixture.ReceivedText(connection, "POST /x x"));
+  REQUIRE(fixture.WaitForText(connection, "POST /x x"));
 }
 
 TEST_CASE("the buffered bodies of all connections are bounded, and finished requests release theirs") {
@@ -222,7 +223,7 @@
   REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == 1; }));
   CHECK(fixture.SendAndReceive(post).find("HTTP/1.1 503 ") == 0);
   HttpServer::Respond(fixture.sessions[0], 200, {}, "");
-  REQUIRE(fixture.ReceivedText(first, "200 OK"));
+  REQUIRE(fixture.WaitForText(first, "200 OK"));
   const auto third = fixture.SendBytes(post);
   CHECK(RunUntil(fixture.io, [&] { return fixture.requests.size() == 2; }));
 }
@@ -231,10 +232,10 @@
   ServerFixture fixture({}, Echo);
   const auto connection =
       fixture.SendBytes("POST /x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n");
-  REQUIRE(fixture.ReceivedText(connection, "HTTP/1.1 100 Continue\r\n\r\n"));
+  REQUIRE(fixture.WaitForText(connection, "HTTP/1.1 100 Continue\r\n\r\n"));
   CHECK(fixture.requests.empty());
   connection->Write("body");
-  REQUIRE(fixture.ReceivedText(connection, "POST /x body"));
+  REQUIRE(fixture.WaitForText(connection, "POST /x body"));
   CHECK(Count(connection->received, "HTTP/1.1 100") == 1);
   CHECK(fixture.requests[0].headers == Headers{{"Host", "h"}});
 }
@@ -264,11 +265,11 @@
   HttpServer::Begin(fixture.sessions[0], 200, {}, -1);
   HttpServer::Write(fixture.sessions[0], "abc");
   HttpServer::Write(fixture.sessions[0], "");  // must not be sent as the final chunk
-  REQUIRE(fixture.ReceivedText(connection, "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"));
+  REQUIRE(fixture.WaitForText(connection, "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"));
   CHECK(fixture.requests.size() == 1);
   HttpServer::Write(fixture.sessions[0], std::string(20, 'd'));
   HttpServer::Finish(fixture.sessions[0]);
-  REQUIRE(fixture.ReceivedText(connection, "14\r\n" + std::string(20, 'd') + "\r\n0\r\n\r\n"));
+  REQUIRE(fixture.WaitForText(connection, "14\r\n" + std::string(20, 'd') + "\r\n0\r\n\r\n"));
   REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == 2; }));
   HttpServer::Begin(fixture.sessions[1], 200, {}, 6);
   HttpServer::Write(fixture.sessions[1], "abc");
@@ -302,7 +303,7 @@
       REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == 1; }));
       HttpServer::Begin(fixture.sessions[0], 200, {}, length);
       HttpServer::Write(fixture.sessions[0], "abc");
-      REQUIRE(fixture.ReceivedText(connection, "abc"));
+      REQUIRE(fixture.WaitForText(connection, "abc"));
       HttpServer::Abort(fixture.sessions[0]);
       REQUIRE(RunUntil(fixture.io, [&] { return connection->ended; }));
       CHECK(connection->received.find("0\r\n\r\n", connection->received.find("abc")) == std::string::npos);
@@ -333,7 +334,7 @@
   const auto done = fixture.SendBytes(Get("/y"));
   REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == 2; }));
   HttpServer::Respond(fixture.sessions[1], 200, {}, "");
-  REQUIRE(fixture.ReceivedText(done, "200 OK"));
+  REQUIRE(fixture.WaitForText(done, "200 OK"));
   incomplete->Close();
   done->Close();
   CHECK(RunUntil(fixture.io, [&] { return fixture.server.sessions() == 0; }));
@@ -361,7 +362,7 @@
   REQUIRE(RunUntil(fixture.io, [&] { return fixture.requests.size() == 1; }));
   RunFor(fixture.io, 600);  // two sweeps
   HttpServer::Respond(fixture.sessions[0], 200, {}, "slow");
-  CHECK(fixture.ReceivedText(connection, "slow"));
+  CHECK(fixture.WaitForText(connection, "slow"));
 }
 
 TEST_CASE("at the connection limit the oldest idle connection is closed, but never a busy one") {
@@ -378,17 +379,17 @@
   const auto fourth = fixture.Connect();
   CHECK(RunUntil(fixture.io, [&] { return fourth->ended; }));
   HttpServer::Respond(fixture.sessions[0], 200, {}, "x");
-  CHECK(fixture.ReceivedText(busy, "200 OK"));
+  CHECK(fixture.WaitForText(busy, "200 OK"));
 }
 
 TEST_CASE("responses carry Connection: close while draining") {
   ServerFixture fixture({}, Echo);
   const auto connection = fixture.SendBytes(Get("/1"));
-  REQUIRE(fixture.ReceivedText(connection, "GET /1"));
+  REQUIRE(fixture.WaitForText(connection, "GET /1"));
   fixture.server.SetDraining();
   CHECK_FALSE(connection->ended);
   connection->Write(Get("/2"));
-  REQUIRE(fixture.ReceivedText(connection, "GET /2"));
+  REQUIRE(fixture.WaitForText(connection, "GET /2"));
   CHECK(connection->received.find("Connection: close\r\n") != std::string::npos);
   CHECK(RunUntil(fixture.io, [&] { return connection->ended; }));
 }
--- a/tests/mesh/quota_test.cpp
+++ b/tests/mesh/quota_test.cpp
@@ -206,8 +206,8 @@
       const Micros since = fleet.now;
       fleet.Run(4, [&](const std::string& tenant, std::size_t i) {
         const double moved = std::min(1.0, static_cast<double>(fleet.now - since) / 1e6);
-        const double even = NormalDemand(tenant) * 0.6 / 14, max_allowed = NormalDemand(tenant) * 0.4;
-        return even + (i == from ? max_allowed * (1 - moved) : i == to ? max_allowed * moved : 0);
+        const double even = NormalDemand(tenant) * 0.6 / 14, moving_demand = NormalDemand(tenant) * 0.4;
+        return even + (i == from ? moving_demand * (1 - moved) : i == to ? moving_demand * moved : 0);
       });
     }
     phase("moving");
@@ -266,10 +266,10 @@
       if (tenant != "large") return SkewedDemand(tenant, i);
       return at_one ? (i == 5 ? 10 * NormalDemand(tenant) : 0) : 10 * SkewedDemand(tenant, i);
     });
-    const double part = static_cast<double>(fleet.Admitted("large", since)) / (10 * 324.0);
-    INFO("one " << at_one << " admitted " << part << " fullest " << fleet.FullestWindow("large") << " others "
-                << fleet.RejectedFraction("middle") << " " << fleet.RejectedFraction("small"));
-    CHECK(part >= 0.9);
+    const double admitted_fraction = static_cast<double>(fleet.Admitted("large", since)) / (10 * 324.0);
+    INFO("one " << at_one << " admitted " << admitted_fraction << " fullest " << fleet.FullestWindow("large")
+                << " others " << fleet.RejectedFraction("middle") << " " << fleet.RejectedFraction("small"));
+    CHECK(admitted_fraction >= 0.9);
     CHECK(fleet.FullestWindow("large") <= 1);
     CHECK(fleet.RejectedFraction("middle") <= 0.005);
     CHECK(fleet.RejectedFraction("small") <= 0.005);
