--- a/bench/fronts_bench.cpp
+++ b/bench/fronts_bench.cpp
@@ -23,7 +23,7 @@
 };
 
 // Requests that cost the server next to nothing, so that what is seen is the way there and back.
-std::vector<WorkClass> LightClasses() { return {{"sim-lookup", Repeat::kSafe, 1, 3'000'000, 1}}; }
+std::vector<WorkClass> LightClasses() { return {{"sim-lookup", RetrySafety::kSafe, 1, 3'000'000, 1}}; }
 
 template <typename StartClients>
 Figures Measure(World& world, const Process* sidecar, const StartClients& start) {
--- a/bench/start_bench.cpp
+++ b/bench/start_bench.cpp
@@ -46,7 +46,8 @@
 }
 
 int Compare(const char* const* programs) {
-  World world({{"sim-lookup", Repeat::kSafe, 1, 3'000'000, 1}}, 4, {}, ExampleDiameterFile("127.0.0.1:0"));
+  World world({{"sim-lookup", RetrySafety::kSafe, 1, 3'000'000, 1}}, 4, {},
+              ExampleDiameterFile("127.0.0.1:0"));
   std::vector<Start> all[2];
   for (int round = 0; round < kRounds; ++round)
     for (int which = 0; which < 2; ++which) {
--- a/examples/main.cpp
+++ b/examples/main.cpp
@@ -21,7 +21,9 @@
     std::printf("refuse  %s, back after %lld us\n", std::string(request).c_str(),
                 static_cast<long long>(after));
   }
-  void Fail(std::string_view request, merlinrun::Cause) override { std::printf("fail    %s\n", std::string(request).c_str()); }
+  void Fail(std::string_view request, merlinrun::Cause) override {
+    std::printf("fail    %s\n", std::string(request).c_str());
+  }
   void SetTimer(merlinrun::Micros delay, std::uint64_t token) override { timers[token] = delay; }
   void Subscribe() override {}
   void Log(std::string_view) override {}
@@ -37,9 +39,9 @@
   Settings settings;
   RequestClass look;
   look.name = "look";
-  look.aim = 500'000;
+  look.latency_target = 500'000;
   look.deadline = 2'000'000;
-  look.repeat = Repeat::kSafe;
+  look.retry_safety = RetrySafety::kSafe;
   settings.classes = {look};
   settings.max_attempts = 4;
 
@@ -71,8 +73,8 @@
       outcome.attempt = attempt;
       outcome.elapsed = 20'000;
       outcome.result = server == servers[0].id ? Result::kRefused : Result::kSuccess;
-      outcome.settled = outcome.result == Result::kSuccess;  // a success reaches the client and ends it
-      served += outcome.settled;
+      outcome.request_done = outcome.result == Result::kSuccess;  // a success reaches the client and ends it
+      served += outcome.request_done;
       now += outcome.elapsed;
       balancer->OnOutcome(now, outcome);
       for (const auto& [token, delay] : std::exchange(sink.timers, {}))
--- a/model/adapter.cpp
+++ b/model/adapter.cpp
@@ -33,25 +33,25 @@
   return std::string(text, end);
 }
 
-const char* Word(Repeat repeat) {
+const char* Word(RetrySafety repeat) {
   switch (repeat) {
-    case Repeat::kSafe:
+    case RetrySafety::kSafe:
       return "idempotent";
-    case Repeat::kDeduplicated:
+    case RetrySafety::kDeduplicated:
       return "deduplicated";
-    case Repeat::kNever:
+    case RetrySafety::kNever:
       return "at_most_once";
   }
   return "";
 }
 
-const char* Word(DedupGroup group) {
+const char* Word(DedupScope group) {
   switch (group) {
-    case DedupGroup::kAll:
+    case DedupScope::kAll:
       return "all";
-    case DedupGroup::kZone:
+    case DedupScope::kZone:
       return "zone";
-    case DedupGroup::kCell:
+    case DedupScope::kCell:
       return "cell";
   }
   return "";
@@ -215,7 +215,7 @@
   void OnServers(std::uint32_t sidecar, Micros, const ListUpdate& update) override {
     std::string rows;
     for (const ServerInfo& info : update.servers) {
-      rows += "ROW kind-" + std::to_string(info.machine) + " " + ZoneName(info.zone) + " " +
+      rows += "ROW kind-" + std::to_string(info.machine_type) + " " + ZoneName(info.zone) + " " +
               Text(info.weight) + " " + std::to_string(info.started) + " " + std::to_string(info.cell) + " " +
               info.id + " " + Word(info.state) + "\n";
     }
@@ -224,7 +224,7 @@
     Line("DISCOVERY", sidecar).Add(Word(update.kind)).Add(std::to_string(update.version)).Add("0").End();
   }
   void OnRequest(std::uint32_t sidecar, Micros, const Request& request) override {
-    const int options = (request.repeated ? 2 : 0) + (request.write ? 4 : 0);
+    const int options = (request.is_retry ? 2 : 0) + (request.write ? 4 : 0);
     Line("ARRIVAL", sidecar).Add(request.id).Add("-").Add(std::to_string(request.budget)).Add("-");
     Add(std::to_string(options))
         .Add(classes_.at(static_cast<std::size_t>(request.request_class)))
@@ -235,7 +235,7 @@
     Line("RESOLVED", sidecar).Add(outcome.request).Add(std::to_string(outcome.attempt)).Add(server);
     Add(Word(outcome.result))
         .Add(std::to_string(outcome.elapsed))
-        .Add(outcome.settled ? "1" : "0")
+        .Add(outcome.request_done ? "1" : "0")
         .Add("-")
         .End();
   }
@@ -363,17 +363,17 @@
     const RequestClass& c = s.classes[i];
     const std::string at = "grades." + std::to_string(i) + ".";
     add(at + "name", c.name);
-    whole(at + "aim_us", c.aim);
+    whole(at + "aim_us", c.latency_target);
     whole(at + "hard_limit_us", c.deadline);
-    number(at + "importance", c.worth);
-    number(at + "late_value", c.late_worth);
-    add(at + "repeat", Word(c.repeat));
-    add(at + "group", Word(c.group));
+    number(at + "importance", c.value);
+    number(at + "late_value", c.late_value);
+    add(at + "repeat", Word(c.retry_safety));
+    add(at + "group", Word(c.dedup_scope));
     whole(at + "window_us", c.dedup_window);
     flag(at + "stream", false);
   }
-  whole("rank", s.rank);
-  whole("siblings", s.siblings);
+  whole("rank", s.sidecar_index);
+  whole("siblings", s.sidecar_count);
   whole("quantum_us", s.tick);
   whole("allowed.max_attempts", s.max_attempts);
   flag("allowed.cancel", s.cancel);
@@ -382,16 +382,16 @@
   whole("allowed.dial_timeout_us", s.dial_timeout);
   add("membership_mode", "automatic");
   whole("rules.drain_grace_us", s.drain_grace);
-  number("rules.cold_from", s.cold_share);
-  whole("rules.warm_after_us", s.warm_after);
+  number("rules.cold_from", s.cold_start_capacity);
+  whole("rules.warm_after_us", s.warmup_time);
   number("rules.overload_factor", s.overload_factor);
-  whole("rules.fall_us", s.fall_window);
-  number("costs.cross_zone", s.price_crossing);
-  number("costs.waste", s.price_waste);
-  number("costs.connection", s.price_connection);
-  number("costs.late_fail", s.price_late);
-  number("costs.handshake", s.price_handshake);
-  number("goal.whole", s.goal_whole);
+  whole("rules.fall_us", s.overload_crash_time);
+  number("costs.cross_zone", s.cost_cross_zone);
+  number("costs.waste", s.cost_wasted_work);
+  number("costs.connection", s.cost_connection);
+  number("costs.late_fail", s.cost_late_failure);
+  number("costs.handshake", s.cost_handshake);
+  number("goal.whole", s.goal_total);
   number("goal.worst_window", s.goal_worst_window);
   number("goal.worst_class", s.goal_worst_class);
   add("value_by", "request");
--- a/model/scenario.cpp
+++ b/model/scenario.cpp
@@ -168,10 +168,10 @@
   Enum value;
 };
 
-constexpr Word<Repeat> kRepeats[] = {
-    {"safe", Repeat::kSafe}, {"keyed", Repeat::kDeduplicated}, {"unsafe", Repeat::kNever}};
-constexpr Word<DedupGroup> kGroupWords[] = {
-    {"all", DedupGroup::kAll}, {"zone", DedupGroup::kZone}, {"cell", DedupGroup::kCell}};
+constexpr Word<RetrySafety> kRepeats[] = {
+    {"safe", RetrySafety::kSafe}, {"keyed", RetrySafety::kDeduplicated}, {"unsafe", RetrySafety::kNever}};
+constexpr Word<DedupScope> kGroupWords[] = {
+    {"all", DedupScope::kAll}, {"zone", DedupScope::kZone}, {"cell", DedupScope::kCell}};
 constexpr Word<Trouble::Kind> kTroubles[] = {
     {"servers-lost", T::Kind::kServersLost}, {"servers-stall", T::Kind::kServersStall},
     {"class-dear", T::Kind::kClassDear},     {"list-down", T::Kind::kListDown},
@@ -359,7 +359,7 @@
 }
 
 TrafficClass Class(const char* name, Range share, Range work, Range wait, Range cv, Range noise, double aim,
-                   double deadline, double worth, double late, Repeat repeat) {
+                   double deadline, double worth, double late, RetrySafety repeat) {
   TrafficClass out;
   out.name = name;
   out.share = share;
@@ -401,13 +401,13 @@
   slow.cold_s = {4.9, 8};
   out.kinds = {standard, slow};
   out.classes = {Class("sim-lookup", {0.29, 0.43}, {45, 82}, {110, 200}, {1.9, 2.7}, {0.1, 0.55}, 1'000,
-                       3'000, 1, 0.25, Repeat::kSafe),
+                       3'000, 1, 0.25, RetrySafety::kSafe),
                  Class("plan-check", {0.19, 0.29}, {57, 100}, {69, 130}, {1.7, 2.7}, {0.11, 0.46}, 1'200,
-                       6'000, 1, 0.2, Repeat::kSafe),
+                       6'000, 1, 0.2, RetrySafety::kSafe),
                  Class("activate", {0.18, 0.26}, {63, 110}, {230, 430}, {1.6, 2.8}, {0.1, 0.53}, 2'000, 6'000,
-                       10, 0.5, Repeat::kDeduplicated),
+                       10, 0.5, RetrySafety::kDeduplicated),
                  Class("number-port", {0.14, 0.22}, {100, 190}, {130, 230}, {1.4, 2.6}, {0.18, 0.59}, 2'500,
-                       5'000, 5, 0.25, Repeat::kNever)};
+                       5'000, 5, 0.25, RetrySafety::kNever)};
   return out;
 }
 
@@ -470,35 +470,35 @@
   for (const TrafficClass& c : day.classes) {
     RequestClass to;
     to.name = c.name;
-    to.aim = MicrosOf(c.aim_ms, kMillisecond);
+    to.latency_target = MicrosOf(c.aim_ms, kMillisecond);
     to.deadline = MicrosOf(c.deadline_ms, kMillisecond);
-    to.worth = c.worth.low;
-    to.late_worth = c.late_worth.low;
-    to.repeat = c.repeat;
-    to.group = c.group;
+    to.value = c.worth.low;
+    to.late_value = c.late_worth.low;
+    to.retry_safety = c.repeat;
+    to.dedup_scope = c.group;
     to.dedup_window = MicrosOf(c.window_s, kSecond);
     out.classes.push_back(std::move(to));
   }
-  out.siblings = static_cast<std::uint32_t>(day.sidecars.low);
+  out.sidecar_count = static_cast<std::uint32_t>(day.sidecars.low);
   out.tick = MicrosOf(day.tick_ms, kMillisecond);
   out.max_attempts = static_cast<int>(day.max_attempts.low);
   out.cancel = true;
   out.max_retry_after = MicrosOf(day.max_retry_after_ms, kMillisecond);
   out.dial_timeout = MicrosOf(day.connect_timeout_ms, kMillisecond);
   out.drain_grace = MicrosOf(day.drain_grace_ms, kMillisecond);
-  out.cold_share = day.cold_from.low;
-  out.warm_after = MicrosOf(day.warm_after_s, kSecond);
+  out.cold_start_capacity = day.cold_from.low;
+  out.warmup_time = MicrosOf(day.warm_after_s, kSecond);
   out.overload_factor = day.overload_factor.low;
-  out.fall_window = MicrosOf(day.fall_s, kSecond);
+  out.overload_crash_time = MicrosOf(day.fall_s, kSecond);
   out.warm_keys = day.keys.low >= 1 && day.warm_gain.low > 0;
   if (day.sizes.low >= 1) out.weights = Settings::Weights::kRough;
   // As the deployment states them (prices, in shares of the result).
-  out.price_crossing = day.crossing.low;
-  out.price_connection = day.connection.low;
-  out.price_handshake = 0.05;
-  out.price_waste = 0.04;
-  out.price_late = 0.05;
-  out.goal_whole = day.whole.low;
+  out.cost_cross_zone = day.crossing.low;
+  out.cost_connection = day.connection.low;
+  out.cost_handshake = 0.05;
+  out.cost_wasted_work = 0.04;
+  out.cost_late_failure = 0.05;
+  out.goal_total = day.whole.low;
   out.goal_worst_window = day.worst_window.low;
   out.goal_worst_class = day.worst_class.low;
   return out;
--- a/model/scenario.hpp
+++ b/model/scenario.hpp
@@ -54,8 +54,8 @@
   Range deadline_ms{3'000, 3'000};
   Range worth{1, 1};
   Range late_worth{0, 0};  // share of the worth of an answer after the aim
-  Repeat repeat = Repeat::kSafe;
-  DedupGroup group = DedupGroup::kZone;
+  RetrySafety repeat = RetrySafety::kSafe;
+  DedupScope group = DedupScope::kZone;
   Range window_s{12, 12};  // in which servers drop a repeat, if it is keyed
 };
 
--- a/model/side.cpp
+++ b/model/side.cpp
@@ -28,8 +28,8 @@
      [](const Side& s) { return s.tuning.windows_per_server; },
      [](Side& s, double v) { s.tuning.windows_per_server = v; }},
     {"servers_per_out", 0, 10, "window servers for each attempt that is out at once",
-     [](const Side& s) { return s.tuning.servers_per_out; },
-     [](Side& s, double v) { s.tuning.servers_per_out = v; }},
+     [](const Side& s) { return s.tuning.servers_per_in_flight; },
+     [](Side& s, double v) { s.tuning.servers_per_in_flight = v; }},
     {"retry_base_ms", 0, 60'000, "the first wait's most",
      [](const Side& s) { return static_cast<double>(s.tuning.retry_base) / kMillisecond; },
      [](Side& s, double v) { s.tuning.retry_base = static_cast<Micros>(v * kMillisecond); }},
@@ -39,11 +39,14 @@
     {"jitter", 0, 1, "share of a wait that chance decides", [](const Side& s) { return s.tuning.jitter; },
      [](Side& s, double v) { s.tuning.jitter = v; }},
     {"out_from", 0.1, 100, "times the usual attempts out from which less is let in",
-     [](const Side& s) { return s.tuning.out_from; }, [](Side& s, double v) { s.tuning.out_from = v; }},
-    {"out_full", 0.2, 1'000, "... and at which the least is", [](const Side& s) { return s.tuning.out_full; },
-     [](Side& s, double v) { s.tuning.out_full = v; }},
+     [](const Side& s) { return s.tuning.in_flight_shed_start; },
+     [](Side& s, double v) { s.tuning.in_flight_shed_start = v; }},
+    {"out_full", 0.2, 1'000, "... and at which the least is",
+     [](const Side& s) { return s.tuning.in_flight_shed_full; },
+     [](Side& s, double v) { s.tuning.in_flight_shed_full = v; }},
     {"most_away", 0, 1, "share of the window that may be left alone; 0: no outlier ejection",
-     [](const Side& s) { return s.tuning.most_away; }, [](Side& s, double v) { s.tuning.most_away = v; }},
+     [](const Side& s) { return s.tuning.max_ejected_share; },
+     [](Side& s, double v) { s.tuning.max_ejected_share = v; }},
     {"cold_care", 0, 1, "0: not told that servers start cold",
      [](const Side& s) { return s.cold_care ? 1.0 : 0.0; }, [](Side& s, double v) { s.cold_care = v != 0; },
      false},
@@ -113,7 +116,8 @@
   if (other && std::any_of(std::begin(kSettings), std::end(kSettings),
                            [&](const Setting& s) { return s.tuning && s.get(side) != s.get(Side()); }))
     return fail("a program's tuning can't be set");
-  if (!(side.tuning.out_full > side.tuning.out_from)) return fail("out_full has to be above out_from");
+  if (!(side.tuning.in_flight_shed_full > side.tuning.in_flight_shed_start))
+    return fail("out_full has to be above out_from");
   return side;
 }
 
--- a/model/world.cpp
+++ b/model/world.cpp
@@ -241,7 +241,7 @@
         listing_(std::max<Micros>(MicrosOf(day_.period_ms, kMillisecond), 1)),
         keys_(static_cast<std::size_t>(day_.keys.low), day_.key_skew.low) {
     settings_.tuning = side.tuning;
-    if (!side.cold_care) settings_.cold_share = 1;
+    if (!side.cold_care) settings_.cold_start_capacity = 1;
     if (!side.warm_care) settings_.warm_keys = false;
   }
 
@@ -374,7 +374,7 @@
     ServerInfo info;
     info.id = machine.id;
     info.zone = machine.zone;
-    info.machine = static_cast<int>(machine.kind);
+    info.machine_type = static_cast<int>(machine.kind);
     info.cell = machine.cell;
     if (day_.sizes.low >= 1) info.weight = machine.figures.cores;
     info.started = std::max<Micros>(machine.server->started(), 0);
@@ -570,7 +570,7 @@
     request.id = id.text();
     request.request_class = static_cast<int>(ask.its_class);
     request.budget = t.deadline - now_;
-    request.write = c.repeat != Repeat::kSafe;
+    request.write = c.repeat != RetrySafety::kSafe;
     const Id object(ask.object, 1);
     if (ask.object > 0) request.key = object.text();
     sidecars_->OnRequest(ask.sidecar, now_, request);
@@ -614,8 +614,8 @@
     if (t == nullptr || t->answered) return;
     Ask& ask = asks_[t->ask];
     const TrafficClass& c = day_.classes[ask.its_class];
-    const bool harmless = !t->may_have_run || c.repeat == Repeat::kSafe ||
-                          (c.repeat == Repeat::kDeduplicated && c.group == DedupGroup::kAll &&
+    const bool harmless = !t->may_have_run || c.repeat == RetrySafety::kSafe ||
+                          (c.repeat == RetrySafety::kDeduplicated && c.group == DedupScope::kAll &&
                            now_ < t->ran_sent + MicrosOf(c.window_s, kSecond));
     if (!harmless) judge_.Break(2, c.name + " was refused after it may have run");
     ++judge_.result().refused;
@@ -632,8 +632,8 @@
     ++judge_.result().failed;
     Ask& ask = asks_[t.ask];
     const TrafficClass& c = day_.classes[ask.its_class];
-    const bool may_retry =
-        c.repeat == Repeat::kSafe || (c.repeat == Repeat::kDeduplicated && c.group == DedupGroup::kAll);
+    const bool may_retry = c.repeat == RetrySafety::kSafe ||
+                           (c.repeat == RetrySafety::kDeduplicated && c.group == DedupScope::kAll);
     const std::uint32_t ask_place = t.ask;
     Answered(place, t);
     ClientLoses(ask_place, ask, may_retry, 0);
@@ -709,14 +709,14 @@
     const TrafficClass& c = day_.classes[asks_[t.ask].its_class];
     if (t.answered) judge_.Break(1, c.name + " was sent after its answer");
     if (t.out > 0) judge_.Break(2, c.name + " had two attempts out at once");
-    if (t.may_have_run && c.repeat == Repeat::kNever)
+    if (t.may_have_run && c.repeat == RetrySafety::kNever)
       judge_.Break(2, c.name + " was sent again after it may have run");
-    if (t.may_have_run && c.repeat == Repeat::kDeduplicated) {
+    if (t.may_have_run && c.repeat == RetrySafety::kDeduplicated) {
       const Machine& first = machines_[t.ran_at];
       const Machine& now = machines_[index];
-      const bool same = c.group == DedupGroup::kAll ||
-                        (c.group == DedupGroup::kZone && first.zone == now.zone) ||
-                        (c.group == DedupGroup::kCell && first.cell == now.cell);
+      const bool same = c.group == DedupScope::kAll ||
+                        (c.group == DedupScope::kZone && first.zone == now.zone) ||
+                        (c.group == DedupScope::kCell && first.cell == now.cell);
       if (!same || now_ >= t.ran_sent + MicrosOf(c.window_s, kSecond))
         judge_.Break(2, c.name + " was sent outside its group or window after it may have run");
     }
@@ -817,7 +817,7 @@
     outcome.attempt = was.number;
     outcome.result = was.result;
     outcome.elapsed = now_ - was.sent;
-    outcome.settled = t->answered;
+    outcome.request_done = t->answered;
     const bool up = all_[was.sidecar].up && t->sidecar_life == all_[was.sidecar].life;
     FreeIfOver(try_place, *t);
     if (up) sidecars_->OnOutcome(was.sidecar, now_, outcome, machines_[was.server].id);
@@ -908,7 +908,7 @@
 
   bool Dropped(const Try& t, const Attempt& attempt) const {
     const TrafficClass& c = day_.classes[attempt.its_class];
-    return c.repeat == Repeat::kDeduplicated && t.began_zone == machines_[attempt.server].zone &&
+    return c.repeat == RetrySafety::kDeduplicated && t.began_zone == machines_[attempt.server].zone &&
            now_ < t.began_at + MicrosOf(c.window_s, kSecond);
   }
 
@@ -1110,7 +1110,7 @@
     sidecar.up = true;
     ++sidecar.life;
     Settings settings = settings_;
-    settings.rank = index;
+    settings.sidecar_index = index;
     settings.zone = sidecar.zone;
     sidecars_->Start(index, settings, Draws(seed_ ^ side_.salt, Purpose::kEngine, index, sidecar.life).Next(),
                      now_);
--- a/rig/clients.cpp
+++ b/rig/clients.cpp
@@ -79,7 +79,7 @@
   idle_ = its_class == nullptr;
   if (idle_) return;
   const std::string id = name_ + "-" + std::to_string(++last_);
-  const bool safe = its_class->repeat == Repeat::kSafe;
+  const bool safe = its_class->repeat == RetrySafety::kSafe;
   const auto session = session_;
   session->request = {safe ? http::verb::get : http::verb::post, "/api", 11};
   session->request.set(http::field::host, "origin.svc");
@@ -88,7 +88,8 @@
   char deadline[32];
   std::snprintf(deadline, sizeof deadline, "%.3f", static_cast<double>(its_class->deadline) / 1e6);
   session->request.set(net::kDeadlineHeader, deadline);
-  if (its_class->repeat == Repeat::kDeduplicated) session->request.set(net::kIdempotencyHeader, "k" + id);
+  if (its_class->repeat == RetrySafety::kDeduplicated)
+    session->request.set(net::kIdempotencyHeader, "k" + id);
   if (!safe) session->request.body() = "a port or an activation";
   session->request.prepare_payload();
   ledger_.Asked(id, *its_class, loop_.Now());
@@ -212,7 +213,7 @@
   avps.Add(kClassCode, its_class.name, diameter::kMandatoryBit, kVendor);
   avps.AddU32(kDeadlineCode, static_cast<std::uint32_t>(its_class.deadline / 1000), 0, kVendor);
   avps.Add(kIdCode, id, 0, kVendor);
-  if (its_class.repeat == Repeat::kDeduplicated) avps.Add(kKeyCode, "k" + id, 0, kVendor);
+  if (its_class.repeat == RetrySafety::kDeduplicated) avps.Add(kKeyCode, "k" + id, 0, kVendor);
   request.avps = avps.Take();
   ledger_.Asked(id, its_class, loop_.Now());
   under_way_[last_hop_] = {id, request};
--- a/rig/ledger.cpp
+++ b/rig/ledger.cpp
@@ -44,7 +44,7 @@
     Break(1, id + " (" + entry.its_class.name + ") was answered " +
                  std::to_string((now - entry.asked - entry.its_class.deadline) / 1000) +
                  " ms after its deadline");
-  const bool unsafe = entry.its_class.repeat != Repeat::kSafe;
+  const bool unsafe = entry.its_class.repeat != RetrySafety::kSafe;
   if (!entry.outcomes.empty() && entry.outcomes.front() != outcome && unsafe)
     Break(1, id + " had two outcomes");
   entry.outcomes.push_back(outcome);
@@ -65,7 +65,7 @@
   Entry& entry = it->second;
   if (entry.running++ > 0) Break(2, id + " was out twice at once, the second time at " + server);
   entry.tokens.push_back(token);
-  if (entry.tokens.size() > 1 && entry.its_class.repeat != Repeat::kSafe)
+  if (entry.tokens.size() > 1 && entry.its_class.repeat != RetrySafety::kSafe)
     Break(2, id + " (" + entry.its_class.name + ") ran twice, the second time at " + server);
 }
 
--- a/rig/ledger.hpp
+++ b/rig/ledger.hpp
@@ -16,7 +16,7 @@
 // A class of requests as the stand-ins know it.
 struct WorkClass {
   std::string name;
-  Repeat repeat = Repeat::kSafe;
+  RetrySafety repeat = RetrySafety::kSafe;
   Micros work = 10'000;  // on a core of a server
   Micros deadline = 2'000'000;
   int share = 1;  // of the requests, in proportion to the others'
--- a/rig/sim/world.cpp
+++ b/rig/sim/world.cpp
@@ -393,7 +393,7 @@
 // ---- judgement
 
 void World::Mark(std::uint64_t what) {
-  fingerprint_ = merlinrun::Mixed(fingerprint_ ^ what ^ static_cast<std::uint64_t>(events_.now()) * 31);
+  fingerprint_ = merlinrun::MixBits(fingerprint_ ^ what ^ static_cast<std::uint64_t>(events_.now()) * 31);
 }
 
 void World::OnStep(const CoreProcess& process) {
--- a/rig/world.cpp
+++ b/rig/world.cpp
@@ -35,10 +35,10 @@
 }  // namespace
 
 std::vector<WorkClass> ShortClasses() {
-  return {{"sim-lookup", Repeat::kSafe, 4'000, 3'000'000, 40},
-          {"plan-check", Repeat::kSafe, 6'000, 6'000'000, 28},
-          {"activate", Repeat::kDeduplicated, 8'000, 6'000'000, 22},
-          {"number-port", Repeat::kNever, 12'000, 5'000'000, 10}};
+  return {{"sim-lookup", RetrySafety::kSafe, 4'000, 3'000'000, 40},
+          {"plan-check", RetrySafety::kSafe, 6'000, 6'000'000, 28},
+          {"activate", RetrySafety::kDeduplicated, 8'000, 6'000'000, 22},
+          {"number-port", RetrySafety::kNever, 12'000, 5'000'000, 10}};
 }
 
 // Each call has a loopback address of its own, by process and number. Guards against a port that another
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -12,23 +12,25 @@
  public:
   using Requests::Requests;
 
-  void OnZoneOrders(std::span<const ZoneOrder> orders) {
+  void OnZoneOverrides(std::span<const ZoneOverride> orders) {
     c_.zones.OnOrders(c_.now, orders);
     c_.ExpireCapacity();
   }
   std::uint64_t zones_epoch() const { return c_.zones.epoch(); }
-  std::vector<Beliefs::Zone> ZonesBelieved(Micros now) const { return c_.zones.Believed(now); }
-  Beliefs Believed(Micros now) const {
-    Beliefs out;
-    for (std::size_t i = 0; i < out.pools.size(); ++i) out.pools[i] = admission_.Believed(i, now);
-    out.zones = c_.zones.Believed(now);
+  std::vector<BalancerSnapshot::Zone> TakeZoneSnapshots(Micros now) const {
+    return c_.zones.TakeSnapshot(now);
+  }
+  BalancerSnapshot TakeSnapshot(Micros now) const {
+    BalancerSnapshot out;
+    for (std::size_t i = 0; i < out.pools.size(); ++i) out.pools[i] = admission_.TakeSnapshot(i, now);
+    out.zones = c_.zones.TakeSnapshot(now);
     out.zones_epoch = c_.zones.epoch();
     for (const auto& [id, server] : servers_.all()) {
       if (!server.listed) continue;
-      Beliefs::Server to{id,          server.info.state, false,         server.out,
-                         server.slow, server.failing,    server.strikes};
-      to.left_alone = std::max<Micros>(server.away_until - now, 0);
-      to.warmth = cold_start_.Warmth(server);
+      BalancerSnapshot::Server to{id,          server.info.state, false,         server.out,
+                                  server.slow, server.failing,    server.strikes};
+      to.ejected_for = std::max<Micros>(server.away_until - now, 0);
+      to.capacity_share = cold_start_.Warmth(server);
       const Pool& pool = c_.pools[server.pool];
       for (std::size_t i = 0; i < Width(pool, c_.set); ++i) to.in_window |= &pool.InWindow(i) == &server;
       out.servers.push_back(to);
@@ -42,23 +44,27 @@
   error.clear();
   if (s.classes.empty()) error = "no request classes";
   for (const RequestClass& c : s.classes) {
-    if (c.aim < 0 || c.deadline < 0 || c.dedup_window < 0) error = "negative time in class " + c.name;
-    if (c.repeat < Repeat::kSafe || c.repeat > Repeat::kNever)
+    if (c.latency_target < 0 || c.deadline < 0 || c.dedup_window < 0)
+      error = "negative time in class " + c.name;
+    if (c.retry_safety < RetrySafety::kSafe || c.retry_safety > RetrySafety::kNever)
       error = "unknown repeat kind in class " + c.name;
-    if (c.group < DedupGroup::kAll || c.group > DedupGroup::kCell) error = "unknown group in class " + c.name;
-    if (!(c.worth >= 0)) error = "negative worth in class " + c.name;
+    if (c.dedup_scope < DedupScope::kAll || c.dedup_scope > DedupScope::kCell)
+      error = "unknown group in class " + c.name;
+    if (!(c.value >= 0)) error = "negative worth in class " + c.name;
   }
   if (s.max_attempts < 1) error = "max_attempts under 1";
   if (s.tuning.window_width < 1 || s.tuning.retry_base < 0 || s.tuning.retry_cap < 0)
     error = "tuning: below its least";
   if (!(s.tuning.windows_per_server >= 0)) error = "tuning: windows_per_server under 0";
   if (!(s.tuning.jitter >= 0 && s.tuning.jitter <= 1)) error = "tuning: jitter outside [0, 1]";
-  if (!(s.tuning.out_full > s.tuning.out_from)) error = "tuning: out_full not above out_from";
-  if (s.siblings < 1 || s.rank >= s.siblings) error = "rank outside the number of sidecars";
-  if (!(s.cold_share > 0 && s.cold_share <= 1)) error = "cold_share outside (0, 1]";
+  if (!(s.tuning.in_flight_shed_full > s.tuning.in_flight_shed_start))
+    error = "tuning: out_full not above out_from";
+  if (s.sidecar_count < 1 || s.sidecar_index >= s.sidecar_count)
+    error = "rank outside the number of sidecars";
+  if (!(s.cold_start_capacity > 0 && s.cold_start_capacity <= 1)) error = "cold_share outside (0, 1]";
   if (!(s.overload_factor > 0)) error = "overload_factor not above 0";
-  if (s.warm_after < 0 || s.drain_grace < 0 || s.fall_window < 0 || s.tick < 0 || s.ask_within < 0 ||
-      s.max_retry_after < 0 || s.settle_after_doubt < 0)
+  if (s.warmup_time < 0 || s.drain_grace < 0 || s.overload_crash_time < 0 || s.tick < 0 ||
+      s.list_retry_cap < 0 || s.max_retry_after < 0 || s.hold_after_uncertain_outcome < 0)
     error = "negative time";
   if (!error.empty()) return nullptr;
   return std::unique_ptr<Balancer>(new Balancer(std::make_unique<State>(s, seed, now, sink)));
@@ -75,9 +81,9 @@
   state_->Advance(now);
   state_->OnRequest(request);
 }
-void Balancer::OnRequestWhole(Micros now, std::string_view request, Micros budget) {
+void Balancer::OnUploadComplete(Micros now, std::string_view request, Micros budget) {
   state_->Advance(now);
-  state_->OnRequestWhole(request, budget);
+  state_->OnUploadComplete(request, budget);
 }
 void Balancer::OnResponseStarted(Micros now, std::string_view, int) {
   state_->Advance(now);  // the attempt is the client's now; its outcome still comes
@@ -94,19 +100,21 @@
   state_->Advance(now);
   state_->OnTimer(token);
 }
-void Balancer::OnProbed(Micros now, const ProbeResult&) { state_->Advance(now); }
+void Balancer::OnProbeResult(Micros now, const ProbeResult&) { state_->Advance(now); }
 void Balancer::OnPeerMessage(Micros now, std::uint32_t, std::string_view) { state_->Advance(now); }
-void Balancer::OnZoneTold(Micros now, const ZoneTold& told) {
+void Balancer::OnZonePeerReport(Micros now, const ZonePeerReport& told) {
   state_->Advance(now);
-  state_->OnZoneTold(told);
+  state_->OnZonePeerReport(told);
 }
-void Balancer::OnZoneOrders(Micros now, std::span<const ZoneOrder> orders) {
+void Balancer::OnZoneOverrides(Micros now, std::span<const ZoneOverride> orders) {
   state_->Advance(now);
-  state_->OnZoneOrders(orders);
+  state_->OnZoneOverrides(orders);
+}
+std::vector<BalancerSnapshot::Zone> Balancer::TakeZoneSnapshots(Micros now) const {
+  return state_->TakeZoneSnapshots(now);
 }
-std::vector<Beliefs::Zone> Balancer::ZonesBelieved(Micros now) const { return state_->ZonesBelieved(now); }
 std::uint64_t Balancer::zones_epoch() const { return state_->zones_epoch(); }
-Beliefs Balancer::Believed(Micros now) const { return state_->Believed(now); }
+BalancerSnapshot Balancer::TakeSnapshot(Micros now) const { return state_->TakeSnapshot(now); }
 std::size_t Balancer::requests_held() const { return state_->size(); }
 
 }  // namespace merlinrun
--- a/src/base/backoff.hpp
+++ b/src/base/backoff.hpp
@@ -9,7 +9,7 @@
 namespace merlinrun {
 
 // min(cap, base * 2^n), n from 0.
-inline Micros Doubled(Micros base, int n, Micros cap) {
+inline Micros ExponentialBackoff(Micros base, int n, Micros cap) {
   return std::min(cap, base << std::min(n, 20));  // 20: far past any cap, short of overflow
 }
 
--- a/src/base/mix.hpp
+++ b/src/base/mix.hpp
@@ -38,7 +38,7 @@
   }
   // Of a request of the class, and of a unit of its work.
   double Worth(std::size_t i) const {
-    return set_.classes[i].worth * (set_.worth_by_work ? classes_[i].work : 1);
+    return set_.classes[i].value * (set_.value_by_work ? classes_[i].work : 1);
   }
   double Density(std::size_t i) const { return Worth(i) / classes_[i].work; }
   double mean_worth() const { return mean_worth_; }  // of an arriving request
--- a/src/core/request_manager.cpp
+++ b/src/core/request_manager.cpp
@@ -73,12 +73,12 @@
   in.request_class = incoming.request_class;
   in.tenant = incoming.tenant;
   in.budget = budget;
-  in.upload = incoming.upload_time;
-  in.repeated = incoming.is_retry;
+  in.upload_time = incoming.upload_time;
+  in.is_retry = incoming.is_retry;
   in.write = incoming.write;
   in.cost = incoming.cost;
   in.key = incoming.key;
-  in.front = incoming.protocol;
+  in.protocol = incoming.protocol;
   balancer_->OnRequest(now, in);
   EraseIfComplete(id);
 }
@@ -96,7 +96,7 @@
     attempt.expires = active.deadline;
   }
   ArmTimer(id, active);
-  balancer_->OnRequestWhole(now, id, active.budget);
+  balancer_->OnUploadComplete(now, id, active.budget);
 }
 
 void RequestManager::OnClientGone(const std::string& id) {
@@ -131,8 +131,8 @@
   outcome.attempt = attempt;
   outcome.result = result;
   outcome.elapsed = std::max<Micros>(now - ended.sent, 0);
-  outcome.settled = it->second.response_sink == nullptr;
-  outcome.spent = cannot_retry;
+  outcome.request_done = it->second.response_sink == nullptr;
+  outcome.body_consumed = cannot_retry;
   if (on_attempt_completed_)
     on_attempt_completed_({ended.server, result, outcome.elapsed, it->second.request_class});
   balancer_->OnOutcome(now, outcome);
--- a/src/core/request_manager.hpp
+++ b/src/core/request_manager.hpp
@@ -147,11 +147,15 @@
     on_attempt_completed_ = std::move(completed);
   }
   std::size_t active_requests() const { return requests_.size(); }
-  Beliefs Believed() const { return balancer_->Believed(loop_.Now()); }
-  std::vector<Beliefs::Zone> ZonesBelieved() const { return balancer_->ZonesBelieved(loop_.Now()); }
+  BalancerSnapshot TakeSnapshot() const { return balancer_->TakeSnapshot(loop_.Now()); }
+  std::vector<BalancerSnapshot::Zone> TakeZoneSnapshots() const {
+    return balancer_->TakeZoneSnapshots(loop_.Now());
+  }
   std::uint64_t zones_epoch() const { return balancer_->zones_epoch(); }
-  void OnZoneOrders(std::span<const ZoneOrder> orders) { balancer_->OnZoneOrders(loop_.Now(), orders); }
-  void OnZoneTold(const ZoneTold& told) { balancer_->OnZoneTold(loop_.Now(), told); }
+  void OnZoneOverrides(std::span<const ZoneOverride> orders) {
+    balancer_->OnZoneOverrides(loop_.Now(), orders);
+  }
+  void OnZonePeerReport(const ZonePeerReport& told) { balancer_->OnZonePeerReport(loop_.Now(), told); }
 
   const Settings& settings() const { return settings_; }
 
--- a/src/diameter/application.cpp
+++ b/src/diameter/application.cpp
@@ -30,9 +30,9 @@
 
 // That the request carries a key if its class is keyed, and none else: guards against a client that believes
 // its request safe to repeat where servers do not look at its key.
-std::optional<Fault> CheckKey(const CommandMap& map, Repeat repeat, const Message& request) {
+std::optional<Fault> CheckKey(const CommandMap& map, RetrySafety repeat, const Message& request) {
   const auto key = At(request, map.idempotency);
-  if (repeat != Repeat::kDeduplicated) {
+  if (repeat != RetrySafety::kDeduplicated) {
     if (!key) return std::nullopt;
     return Fault{ResultCode::kAvpNotAllowed, AvpWriter().Copy(*key).Take(),
                  "a key that the class has no use for"};
@@ -74,7 +74,7 @@
   out.request_class = core::ClassIndex(settings, class_name ? class_name->data : map->fixed_class);
   if (out.request_class < 0) return Invalid(*class_name, "an unknown class");
   const RequestClass& its_class = settings.classes[static_cast<std::size_t>(out.request_class)];
-  if (auto fault = CheckKey(*map, its_class.repeat, request)) return *fault;
+  if (auto fault = CheckKey(*map, its_class.retry_safety, request)) return *fault;
   if (const auto tenant = At(request, map->tenant)) out.tenant = core::TenantIndex(settings, tenant->data);
   if (const auto object = At(request, map->object)) {
     if (object->data.size() > kMostObject) return Invalid(*object, "what the request concerns is too long");
--- a/src/diameter/application_file.cpp
+++ b/src/diameter/application_file.cpp
@@ -267,7 +267,7 @@
 
 // What no command could be sent with: a keyed class and no AVP for the key.
 void CheckKeys(const Section& root, const Settings& settings, const Application& out) {
-  const auto keyed = [](const RequestClass& c) { return c.repeat == Repeat::kDeduplicated; };
+  const auto keyed = [](const RequestClass& c) { return c.retry_safety == RetrySafety::kDeduplicated; };
   for (std::size_t i = 0; i < out.commands.size(); ++i) {
     const CommandMap& map = out.commands[i];
     if (map.idempotency) continue;
--- a/src/diameter/io/front.cpp
+++ b/src/diameter/io/front.cpp
@@ -42,12 +42,13 @@
 // Brings a request's final answer to whoever waits for it, which need not be who asked first.
 class Front::Caller : public core::ResponseSink {
  public:
-  Caller(Front& front, RequestKey key, const diameter::Message& request, Repeat repeat, int request_class)
+  Caller(Front& front, RequestKey key, const diameter::Message& request, RetrySafety repeat,
+         int request_class)
       : front_(front),
         key_(std::move(key)),
         header_(request.header),
         proxy_info_(ProxyInfoOf(request)),
-        keep_(repeat != Repeat::kSafe),
+        keep_(repeat != RetrySafety::kSafe),
         taken_(front.counters_, request_class) {
     if (const auto session = Find(request.avps, avp::kSessionId))
       session_ = AvpWriter().Copy(*session).Take();
@@ -279,7 +280,7 @@
   const bool resend = (request.header.flags & kResendBit) != 0;
   // Sent before, by another way or before this sidecar began, and its outcome is not known here: it may have
   // run. Guards against the second run of a port whose first went through a sidecar that is gone.
-  if (resend && its_class.repeat != Repeat::kSafe)
+  if (resend && its_class.retry_safety != RetrySafety::kSafe)
     return say(ResultCode::kUnableToComply, "sent before, with an outcome that is not known here");
   if (!reading.id.empty() && exchanges_.Contains(reading.id))
     return say(ResultCode::kUnableToComply, "a request of this id is under way");
@@ -297,11 +298,11 @@
   arrival.tenant = reading.tenant;
   arrival.client_timeout = reading.deadline;
   arrival.is_retry = resend;
-  arrival.write = its_class.repeat != Repeat::kSafe;
+  arrival.write = its_class.retry_safety != RetrySafety::kSafe;
   arrival.key = reading.object;
   arrival.protocol = kDiameterFront;
   arrival.response_sink =
-      std::make_unique<Caller>(*this, key, request, its_class.repeat, reading.request_class);
+      std::make_unique<Caller>(*this, key, request, its_class.retry_safety, reading.request_class);
   arrival.egress = &upstream_;
   message->deadline = application_.FindCommand(request.header.command)->deadline;
   message->from = client.host;
--- a/src/drill/host.cpp
+++ b/src/drill/host.cpp
@@ -87,7 +87,7 @@
       for (const Row& row : *rows) {
         servers.push_back(row.info);
         servers.back().zone = IndexOf(wire_.zones, row.zone);
-        servers.back().machine = IndexOf(wire_.machines, row.machine);
+        servers.back().machine_type = IndexOf(wire_.machines, row.machine);
       }
     }
     Run([&](Balancer& b) { b.OnServers(now, {kind, version, servers}); });
@@ -159,7 +159,7 @@
     fields.End();
     if (cost && *cost < 0) throw WireError("cost_us: negative");
     if (options & 1) request.cost = cost;
-    request.repeated = (options & 2) != 0;
+    request.is_retry = (options & 2) != 0;
     request.write = (options & 4) != 0;
     if (key != "-") request.key = key;
     request.tenant = instance.TenantIndex(tenant);
@@ -173,7 +173,7 @@
     fields.Word("server");
     outcome.result = ParseResult(fields.Word("outcome"));
     outcome.elapsed = fields.NonNegative("wait_time_us");
-    outcome.settled = fields.Bool("settled");
+    outcome.request_done = fields.Bool("settled");
     outcome.load = ParseLoad(fields.Word("stats"));
     fields.End();
     instance.Run([&](Balancer& b) { b.OnOutcome(now_, outcome); });
@@ -220,7 +220,7 @@
     probe.elapsed = fields.NonNegative("wait_time_us");
     probe.load = ParseLoad(fields.Word("stats"));
     fields.End();
-    instance.Run([&](Balancer& b) { b.OnProbed(now_, probe); });
+    instance.Run([&](Balancer& b) { b.OnProbeResult(now_, probe); });
   } else if (verb == "MESSAGE") {
     Instance& instance = Find(fields);
     const auto sender =
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -98,21 +98,21 @@
   RequestClass c;
   c.name = pairs.Text(at + "name", "");
   if (c.name.empty()) Bad(at + "name", "", "a class needs a name");
-  c.aim = pairs.Int(at + "aim_us", 0);
-  c.aim_stretch = pairs.Number(at + "aim_stretch", 0);
+  c.latency_target = pairs.Int(at + "aim_us", 0);
+  c.latency_target_work_factor = pairs.Number(at + "aim_stretch", 0);
   c.deadline = pairs.Int(at + "hard_limit_us", 0);
-  c.worth = pairs.Number(at + "importance", 1);
-  c.late_worth = pairs.Number(at + "late_value", 0);
+  c.value = pairs.Number(at + "importance", 1);
+  c.late_value = pairs.Number(at + "late_value", 0);
   c.dedup_window = pairs.Int(at + "window_us", 0);
   c.streamed = pairs.Bool(at + "stream", false);
   c.sequential = pairs.Bool(at + "sequential", false);
-  c.repeat = OneOf<Repeat>(pairs.Text(at + "repeat", ""), at + "repeat", "unknown repeat kind",
-                           {{"idempotent", Repeat::kSafe},
-                            {"deduplicated", Repeat::kDeduplicated},
-                            {"at_most_once", Repeat::kNever}});
-  c.group = OneOf<DedupGroup>(
+  c.retry_safety = OneOf<RetrySafety>(pairs.Text(at + "repeat", ""), at + "repeat", "unknown repeat kind",
+                                      {{"idempotent", RetrySafety::kSafe},
+                                       {"deduplicated", RetrySafety::kDeduplicated},
+                                       {"at_most_once", RetrySafety::kNever}});
+  c.dedup_scope = OneOf<DedupScope>(
       pairs.Text(at + "group", "all"), at + "group", "unknown group",
-      {{"all", DedupGroup::kAll}, {"zone", DedupGroup::kZone}, {"cell", DedupGroup::kCell}});
+      {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}, {"cell", DedupScope::kCell}});
   return c;
 }
 
@@ -205,8 +205,8 @@
     s.tenants.push_back(std::move(tenant));
   }
   s.zone = IndexOf(out.zones, pairs.Text("my_zone", ""));
-  s.rank = static_cast<std::uint32_t>(pairs.Small("rank", 0));
-  s.siblings = static_cast<std::uint32_t>(pairs.Small("siblings", 1));
+  s.sidecar_index = static_cast<std::uint32_t>(pairs.Small("rank", 0));
+  s.sidecar_count = static_cast<std::uint32_t>(pairs.Small("siblings", 1));
   s.tick = pairs.Int("quantum_us", 0);
   s.max_attempts = pairs.Small("allowed.max_attempts", 1);
   s.parallel_attempts = pairs.Bool("allowed.parallel_tries", false);
@@ -216,16 +216,17 @@
   s.max_retry_after =
       pairs.Bool("allowed.retry_after", false) ? pairs.Int("allowed.max_retry_after_us", 0) : 0;
   s.streams_per_connection = pairs.Small("allowed.streams_per_conn", 1);
-  s.connection_idle = pairs.Int("allowed.conn_idle_us", 0);
+  s.connection_idle_timeout = pairs.Int("allowed.conn_idle_us", 0);
   s.dial_timeout = pairs.Int("allowed.dial_timeout_us", 0);
-  s.most_open = pairs.Int("allowed.open_cap", 0);
+  s.max_open_requests = pairs.Int("allowed.open_cap", 0);
   s.cpu_per_s = pairs.Int("allowed.cpu_us_per_s", 0);
   s.cpu_per_request = pairs.Number("allowed.cpu_us_per_request", 0);
-  s.clients_mark_repeats = pairs.Bool("callers.marks_retry", false);
-  s.reports = OneOf<Settings::Reports>(pairs.Text("telemetry.via", "none"), "telemetry.via", "unknown",
-                                       {{"none", Settings::Reports::kNone},
-                                        {"answers", Settings::Reports::kInAnswers},
-                                        {"probe", Settings::Reports::kInProbes}});
+  s.clients_mark_retries = pairs.Bool("callers.marks_retry", false);
+  s.load_reporting =
+      OneOf<Settings::LoadReporting>(pairs.Text("telemetry.via", "none"), "telemetry.via", "unknown",
+                                     {{"none", Settings::LoadReporting::kNone},
+                                      {"answers", Settings::LoadReporting::kInResponses},
+                                      {"probe", Settings::LoadReporting::kInProbes}});
   s.report_fields = SplitCommas(pairs.Text("telemetry.fields", ""));
   s.weights = OneOf<Settings::Weights>(pairs.Text("weights", "none"), "weights", "unknown",
                                        {{"none", Settings::Weights::kNone},
@@ -234,30 +235,30 @@
                                         {"live", Settings::Weights::kLive}});
   s.warm_keys = pairs.Bool("domain.warm_keys", false);
   s.must_subscribe = pairs.Text("membership_mode", "automatic") == "subscribe";
-  s.ask_within = pairs.Int("rules.ask_within_us", 0);
+  s.list_retry_cap = pairs.Int("rules.ask_within_us", 0);
   s.drain_grace = pairs.Int("rules.drain_grace_us", 0);
-  s.cold_share = pairs.Number("rules.cold_from", 1);
-  s.warm_after = pairs.Int("rules.warm_after_us", 0);
+  s.cold_start_capacity = pairs.Number("rules.cold_from", 1);
+  s.warmup_time = pairs.Int("rules.warm_after_us", 0);
   s.overload_factor = pairs.Number("rules.overload_factor", 1);
-  s.fall_window = pairs.Int("rules.fall_us", 0);
+  s.overload_crash_time = pairs.Int("rules.fall_us", 0);
   s.refused_may_have_run = pairs.Bool("rules.late_shedding", false);
-  s.settle_after_doubt = pairs.Int("rules.settle_after_doubt_us", 0);
-  s.price_crossing = pairs.Number("costs.cross_zone", 0);
-  s.price_waste = pairs.Number("costs.waste", 0);
-  s.price_connection = pairs.Number("costs.connection", 0);
-  s.price_late = pairs.Number("costs.late_fail", 0);
-  s.price_handshake = pairs.Number("costs.handshake", 0);
-  s.price_probe = pairs.Number("costs.probe", 0);
-  s.price_peer = pairs.Number("costs.peer", 0);
-  s.price_discovery = pairs.Number("costs.membership_mode", 0);
-  s.price_moves = pairs.Number("costs.moves", 0);
-  s.price_origin = pairs.Number("costs.origin", 0);
-  s.goal_whole = pairs.Number("goal.whole", 1);
+  s.hold_after_uncertain_outcome = pairs.Int("rules.settle_after_doubt_us", 0);
+  s.cost_cross_zone = pairs.Number("costs.cross_zone", 0);
+  s.cost_wasted_work = pairs.Number("costs.waste", 0);
+  s.cost_connection = pairs.Number("costs.connection", 0);
+  s.cost_late_failure = pairs.Number("costs.late_fail", 0);
+  s.cost_handshake = pairs.Number("costs.handshake", 0);
+  s.cost_probe = pairs.Number("costs.probe", 0);
+  s.cost_peer_traffic = pairs.Number("costs.peer", 0);
+  s.cost_discovery = pairs.Number("costs.membership_mode", 0);
+  s.cost_moves = pairs.Number("costs.moves", 0);
+  s.cost_origin = pairs.Number("costs.origin", 0);
+  s.goal_total = pairs.Number("goal.whole", 1);
   s.goal_worst_window = pairs.Number("goal.worst_window", 0);
   s.goal_worst_class = pairs.Number("goal.worst_class", 0);
   s.goal_worst_tenant = pairs.Number("goal.worst_tenant", 0);
-  s.worth_by_work = pairs.Text("value_by", "request") == "work";
-  s.over_share_worth = pairs.Number("over_share_worth", 1);
+  s.value_by_work = pairs.Text("value_by", "request") == "work";
+  s.over_share_value = pairs.Number("over_share_worth", 1);
   return out;
 }
 
--- a/src/fleet/conversation.cpp
+++ b/src/fleet/conversation.cpp
@@ -31,8 +31,8 @@
   }
 }
 
-Conversation::Saying Conversation::Say(Micros now, const std::vector<Beliefs::Zone>& own, std::uint64_t epoch,
-                                       std::int64_t generation) {
+Conversation::Saying Conversation::Say(Micros now, const std::vector<BalancerSnapshot::Zone>& own,
+                                       std::uint64_t epoch, std::int64_t generation) {
   Words words = Own(own, epoch, generation);
   const bool news = News(now, words);
   if (!speaker_.Due(now, news)) return {};  // twenty times for each that is: nothing is written for it
@@ -47,14 +47,15 @@
   return out;
 }
 
-Words Conversation::Own(const std::vector<Beliefs::Zone>& own, std::uint64_t epoch,
+Words Conversation::Own(const std::vector<BalancerSnapshot::Zone>& own, std::uint64_t epoch,
                         std::int64_t generation) const {
   Words words{own_, incarnation_, sequence_ + 1, generation, {}};
-  for (const Beliefs::Zone& zone : own) {
+  for (const BalancerSnapshot::Zone& zone : own) {
     if (words.zones.size() == kMostZones) break;
-    words.zones.push_back({zone.zone, zone.stage, epoch, static_cast<unsigned>(zone.dead),
-                           zone.last < 0 ? kMostAge : std::min(zone.last / 1000, kMostAge),
-                           std::min(zone.in_stage / 1000, kMostAge)});
+    words.zones.push_back(
+        {zone.zone, zone.stage, epoch, static_cast<unsigned>(zone.dead_servers),
+         zone.since_last_evidence < 0 ? kMostAge : std::min(zone.since_last_evidence / 1000, kMostAge),
+         std::min(zone.time_in_stage / 1000, kMostAge)});
   }
   return words;
 }
@@ -68,11 +69,11 @@
     const bool lost = word.dead >= Members::kNews;
     const bool back = word.stage == zones::Stage::kReturning;
     // A loss is told over and over for a while: most have to hear it from several, and words get lost.
-    const bool still = lost && word.stage != zones::Stage::kOnTrial && word.last_ms * 1000 < kTellFor;
+    const bool still = lost && word.stage != zones::Stage::kProbing && word.last_ms * 1000 < kTellFor;
     // Whoever sees otherwise says so as loudly. Guards against a zone with some dead servers that looks lost,
     // as those alone speak up who have just met them.
     const bool otherwise = word.dead == 0 && word.last_ms * 1000 < Members::kSpeaksFor &&
-                           members_.Of(now, word.zone).lost >= zones::kQuorum;
+                           members_.Of(now, word.zone).reporting_lost >= zones::kQuorum;
     return still || otherwise || lost != was_lost || (back && !was_back);
   });
 }
--- a/src/fleet/conversation.hpp
+++ b/src/fleet/conversation.hpp
@@ -41,15 +41,17 @@
   // A datagram from the address of that peer; none: from no peer's.
   void Hear(Micros now, std::optional<std::uint32_t> from, std::string_view bytes);
   // What is to be said now, given what this sidecar itself has met; nobody to say it to if nothing is.
-  Saying Say(Micros now, const std::vector<Beliefs::Zone>& own, std::uint64_t epoch, std::int64_t generation);
+  Saying Say(Micros now, const std::vector<BalancerSnapshot::Zone>& own, std::uint64_t epoch,
+             std::int64_t generation);
   // What others say of a zone.
-  ZoneTold Of(Micros now, int zone) const { return members_.Of(now, zone); }
+  ZonePeerReport Of(Micros now, int zone) const { return members_.Of(now, zone); }
 
   const Members& members() const { return members_; }
   const Tally& tally() const { return tally_; }
 
  private:
-  Words Own(const std::vector<Beliefs::Zone>& own, std::uint64_t epoch, std::int64_t generation) const;
+  Words Own(const std::vector<BalancerSnapshot::Zone>& own, std::uint64_t epoch,
+            std::int64_t generation) const;
   // What others act on: who calls which zone lost, and which stage it is in.
   bool News(Micros now, const Words& own) const;
   // A loss is told again and again for so long after its last sign.
--- a/src/fleet/io/talk.cpp
+++ b/src/fleet/io/talk.cpp
@@ -24,7 +24,7 @@
       peers_(std::move(peers)),
       generation_(std::move(generation)),
       socket_(io),
-      conversation_(manners, exchanges.settings().rank, exchanges.settings().siblings,
+      conversation_(manners, exchanges.settings().sidecar_index, exchanges.settings().sidecar_count,
                     static_cast<std::uint64_t>(loop.Now() / 1000), loop.Now(), DrawFrom(seed)),
       timer_(loop.NewTimer()) {
   for (std::uint32_t i = 0; i < peers_.all.size(); ++i) numbers_.emplace(peers_.all[i], i);
@@ -60,11 +60,12 @@
 }
 
 void Talk::Tick() {
-  const std::vector<Beliefs::Zone> own = exchanges_.ZonesBelieved();
-  for (const Beliefs::Zone& zone : own) exchanges_.OnZoneTold(conversation_.Of(loop_.Now(), zone.zone));
+  const std::vector<BalancerSnapshot::Zone> own = exchanges_.TakeZoneSnapshots();
+  for (const BalancerSnapshot::Zone& zone : own)
+    exchanges_.OnZonePeerReport(conversation_.Of(loop_.Now(), zone.zone));
   // Asked once more: what others say may have moved a zone.
   const auto saying =
-      conversation_.Say(loop_.Now(), exchanges_.ZonesBelieved(), exchanges_.zones_epoch(), generation_());
+      conversation_.Say(loop_.Now(), exchanges_.TakeZoneSnapshots(), exchanges_.zones_epoch(), generation_());
   for (const std::uint32_t to : saying.to) {
     ErrorCode ignored;  // a word may be lost anywhere
     socket_.send_to(boost::asio::buffer(saying.bytes), peers_.all[to], 0, ignored);
--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -25,7 +25,7 @@
 // What a word said `since` ago says of the zone now.
 Says SaysOf(const ZoneWord& word, Micros since) {
   if (word.last_ms * 1000 + since >=
-      (zones::IsLeft(word.stage) ? Members::kLeftSpeaksFor : Members::kSpeaksFor))
+      (zones::IsEjected(word.stage) ? Members::kLeftSpeaksFor : Members::kSpeaksFor))
     return Says::kNothing;
   return word.dead > 0 ? Says::kLost : Says::kWell;
 }
@@ -69,10 +69,10 @@
       lately_.begin(), lately_.end(), [&](const Member* member) { return now - member->heard_at < kFresh; }));
 }
 
-ZoneTold Members::Of(Micros now, int zone) const { return Without(now, zone, nullptr); }
+ZonePeerReport Members::Of(Micros now, int zone) const { return Without(now, zone, nullptr); }
 
-ZoneTold Members::Without(Micros now, int zone, const Member* without) const {
-  ZoneTold out;
+ZonePeerReport Members::Without(Micros now, int zone, const Member* without) const {
+  ZonePeerReport out;
   out.zone = zone;
   std::vector<Micros> returned;
   for (const Member* member : lately_) {
@@ -80,10 +80,10 @@
     if (member == without || member->belief < kBelieved || since >= kFresh) continue;
     const ZoneWord* word = member->words.Of(zone);
     if (word == nullptr) continue;
-    ++out.heard;
+    ++out.reporting;
     const Says says = SaysOf(*word, since);
-    out.lost += says == Says::kLost;
-    out.well += says == Says::kWell;
+    out.reporting_lost += says == Says::kLost;
+    out.reporting_healthy += says == Says::kWell;
     if (word->stage == zones::Stage::kReturning) returned.push_back(word->in_stage_ms * 1000 + since);
   }
   // What a quorum has outlived: one that lies can't make a cold zone warm.
@@ -100,11 +100,12 @@
 void Members::Believe(Micros now, Member& member) const {
   bool against = false;
   for (const ZoneWord& word : member.words.zones) {
-    const ZoneTold others = Without(now, word.zone, &member);
+    const ZonePeerReport others = Without(now, word.zone, &member);
     const Says says = SaysOf(word, 0);
-    against |= says == Says::kLost && others.well >= zones::kQuorum && others.well > 4 * others.lost &&
-               word.dead > kMostByChance;
-    against |= says == Says::kWell && others.lost >= zones::kQuorum && others.lost > 4 * others.well;
+    against |= says == Says::kLost && others.reporting_healthy >= zones::kQuorum &&
+               others.reporting_healthy > 4 * others.reporting_lost && word.dead > kMostByChance;
+    against |= says == Says::kWell && others.reporting_lost >= zones::kQuorum &&
+               others.reporting_lost > 4 * others.reporting_healthy;
   }
   member.belief = std::clamp(member.belief + (against ? -kAgainst : kWith), 0.0, 1.0);
 }
--- a/src/fleet/members.hpp
+++ b/src/fleet/members.hpp
@@ -38,7 +38,7 @@
   Members& operator=(const Members&) = delete;
   Heard Hear(Micros now, const Words& words);
   // What others say of the zone now, those alone who are heard and believed.
-  ZoneTold Of(Micros now, int zone) const;
+  ZonePeerReport Of(Micros now, int zone) const;
   // Senders heard lately.
   std::size_t Lately(Micros now) const;
   // Starts of others that were seen: words of a new incarnation after an older one.
@@ -54,7 +54,7 @@
     double belief = 1;  // falls with each word that goes against what everybody else says
     bool lately = false;
   };
-  ZoneTold Without(Micros now, int zone, const Member* member) const;
+  ZonePeerReport Without(Micros now, int zone, const Member* member) const;
   void Believe(Micros now, Member& member) const;
 
   const std::uint32_t own_;
--- a/src/membership/asking.hpp
+++ b/src/membership/asking.hpp
@@ -21,8 +21,9 @@
   // What came of the last call, or of the list known at the start. Returns the wait before the next call, or
   // nothing if none is due or one is under way.
   std::optional<Micros> OnHeard(ListUpdate::Kind kind, const Settings& set) {
-    if (kind == ListUpdate::Kind::kFailed) return In(Doubled(kBase, failed_++, set.ask_within), set);
-    if (kind == ListUpdate::Kind::kStale) return In(set.ask_within / 2, set);
+    if (kind == ListUpdate::Kind::kFailed)
+      return In(ExponentialBackoff(kBase, failed_++, set.list_retry_cap), set);
+    if (kind == ListUpdate::Kind::kStale) return In(set.list_retry_cap / 2, set);
     failed_ = 0;
     return std::nullopt;
   }
--- a/src/mesh/configuration/replicated_state.cpp
+++ b/src/mesh/configuration/replicated_state.cpp
@@ -81,7 +81,7 @@
 std::uint64_t HashByMix(std::string_view bytes) {  // the finalizer of SplitMix64, chained
   std::uint64_t hash = bytes.size();
   for (const char c : bytes)
-    hash = merlinrun::Mixed(hash + 0x9e3779b97f4a7c15 + static_cast<unsigned char>(c));
+    hash = merlinrun::MixBits(hash + 0x9e3779b97f4a7c15 + static_cast<unsigned char>(c));
   return hash;
 }
 
--- a/src/mesh/consensus/election.cpp
+++ b/src/mesh/consensus/election.cpp
@@ -12,7 +12,7 @@
 }
 
 std::uint64_t Replica::Impl::TermAbove(std::uint64_t term) const {
-  const std::uint64_t name = merlinrun::HashOf(settings_.self) & ((std::uint64_t{1} << kNameBits) - 1);
+  const std::uint64_t name = merlinrun::StableHash(settings_.self) & ((std::uint64_t{1} << kNameBits) - 1);
   return (((term >> kNameBits) + 1) << kNameBits) | name;
 }
 
--- a/src/mesh/consensus/replica.cpp
+++ b/src/mesh/consensus/replica.cpp
@@ -39,7 +39,10 @@
 }
 
 Replica::Impl::Impl(const ReplicaSettings& settings, Micros now, Sink& sink)
-    : settings_(settings), sink_(sink), random_(settings.seed ^ merlinrun::HashOf(settings.self)), now_(now) {
+    : settings_(settings),
+      sink_(sink),
+      random_(settings.seed ^ merlinrun::StableHash(settings.self)),
+      now_(now) {
   const auto& initial_voters = settings_.initial_voters;
   if (settings_.persisted.has_value()) {
     durable_ = *settings_.persisted;
--- a/src/mesh/egress/lookup.cpp
+++ b/src/mesh/egress/lookup.cpp
@@ -9,7 +9,7 @@
 namespace fennelhollow::egress {
 namespace {
 
-using merlinrun::Repeat;
+using merlinrun::RetrySafety;
 
 constexpr std::int64_t kLatencyTargetsMs[] = {50,  75,  100, 150,  200,  250,  300,
                                               400, 500, 700, 1000, 1500, 2500, 5000};
@@ -136,17 +136,17 @@
 
 std::vector<merlinrun::RequestClass> RequestClasses() {
   std::vector<merlinrun::RequestClass> out;
-  for (const Repeat repeat : {Repeat::kSafe, Repeat::kNever})
+  for (const RetrySafety repeat : {RetrySafety::kSafe, RetrySafety::kNever})
     for (int priority = 0; priority < kPriorities; ++priority)
       for (const std::int64_t target_ms : kLatencyTargetsMs) {
         merlinrun::RequestClass c;
-        c.name = std::string(repeat == Repeat::kSafe ? "safe" : "unsafe") + "-" + std::to_string(priority) +
-                 "-" + std::to_string(target_ms);
-        c.aim = target_ms * 1000;
+        c.name = std::string(repeat == RetrySafety::kSafe ? "safe" : "unsafe") + "-" +
+                 std::to_string(priority) + "-" + std::to_string(target_ms);
+        c.latency_target = target_ms * 1000;
         c.deadline = kMaxDeadlineMs * 1000;
-        c.worth = kWorth[priority];
-        c.late_worth = kLateWorth;
-        c.repeat = repeat;
+        c.value = kWorth[priority];
+        c.late_value = kLateWorth;
+        c.retry_safety = repeat;
         out.push_back(c);
       }
   return out;
--- a/src/mesh/egress/outbound_proxy.cpp
+++ b/src/mesh/egress/outbound_proxy.cpp
@@ -403,22 +403,23 @@
   balancer_settings.classes = RequestClasses();
   const auto zone = zone_index_.find(settings_.zone);
   balancer_settings.zone = zone == zone_index_.end() ? -1 : zone->second;
-  balancer_settings.rank = static_cast<std::uint32_t>(rank_);
-  balancer_settings.siblings = static_cast<std::uint32_t>(std::max<std::size_t>(sidecar_count_, rank_ + 1));
+  balancer_settings.sidecar_index = static_cast<std::uint32_t>(rank_);
+  balancer_settings.sidecar_count =
+      static_cast<std::uint32_t>(std::max<std::size_t>(sidecar_count_, rank_ + 1));
   balancer_settings.max_attempts = kMaxBalancerAttempts;
   balancer_settings.cancel = true;
   balancer_settings.max_retry_after = 1000 * kMs;
-  balancer_settings.cold_share = settings_.cold_share;
-  balancer_settings.warm_after = settings_.warm_after;
-  balancer_settings.price_connection = 0.001;
+  balancer_settings.cold_start_capacity = settings_.cold_share;
+  balancer_settings.warmup_time = settings_.warm_after;
+  balancer_settings.cost_connection = 0.001;
   // Admission is decided by the inbound proxy, which knows the load of its server. The balancer's own
   // admission control is off: it estimates the load from the small share of traffic that one sidecar sees.
-  balancer_settings.tuning.admit_target = balancer_settings.tuning.out_from =
-      balancer_settings.tuning.loss_from = kDisabled;
+  balancer_settings.tuning.admission_target = balancer_settings.tuning.in_flight_shed_start =
+      balancer_settings.tuning.capacity_loss_shed_start = kDisabled;
   balancer_settings.tuning.retry_base = kRetryBase;
   // Only the server's own sidecar connects to it, so a large subset costs a few links and improves balance.
   balancer_settings.tuning.windows_per_server = kWindowsPerServer;
-  balancer_settings.tuning.out_full = 2 * kDisabled;
+  balancer_settings.tuning.in_flight_shed_full = 2 * kDisabled;
   auto service_context = std::make_unique<ServiceContext>(
       ServiceContext{service, nullptr, nullptr, quota::RetryBudget(settings_.retry_budget)});
   service_context->budget.SetSidecarCount(sidecar_count_);
@@ -452,7 +453,7 @@
   if (pending == nullptr) return;
   request_metrics_.OnEnded(pending->labels, ResultName(completed.disposition));
   if (completed.disposition != core::CompletedRequest::Disposition::kRefused || !completed.end_cause) return;
-  const bool rejected_by_peer = *completed.end_cause == merlinrun::Cause::kTurnedAway;
+  const bool rejected_by_peer = *completed.end_cause == merlinrun::Cause::kRejected;
   if (rejected_by_peer && pending->reject_reason)
     return request_metrics_.OnRefused(pending->labels, metrics::Hop::kLastHop,
                                       ingress::NameOf(*pending->reject_reason));
@@ -517,8 +518,8 @@
   update.kind = merlinrun::ListUpdate::Kind::kFull;
   update.version = static_cast<std::int64_t>(snapshot_.revision);
   update.servers = servers;
-  update.rank = static_cast<std::uint32_t>(rank_);
-  update.siblings = static_cast<std::uint32_t>(std::max(sidecar_count_, rank_ + 1));
+  update.sidecar_index = static_cast<std::uint32_t>(rank_);
+  update.sidecar_count = static_cast<std::uint32_t>(std::max(sidecar_count_, rank_ + 1));
   service_context.budget.SetSidecarCount(sidecar_count_);
   service_context.request_manager->OnServers(update);
 }
--- a/src/mesh/gossip/message.cpp
+++ b/src/mesh/gossip/message.cpp
@@ -55,7 +55,7 @@
 std::string Serialize(const Message& message) {
   Envelope envelope;
   envelope.body = transport::Pack(message);
-  envelope.checksum = merlinrun::HashOf(envelope.body);
+  envelope.checksum = merlinrun::StableHash(envelope.body);
   return transport::Pack(envelope);
 }
 
@@ -64,7 +64,7 @@
   const auto envelope = transport::Unpack<Envelope>(bytes);
   if (!envelope.ok()) return envelope.status();
   if (envelope->magic != kMagic || envelope->version != kVersion ||
-      envelope->checksum != merlinrun::HashOf(envelope->body))
+      envelope->checksum != merlinrun::StableHash(envelope->body))
     return absl::DataLossError("not a datagram of this version, or changed on the way");
   auto message = transport::Unpack<Message>(envelope->body);
   if (!message.ok()) return message;
--- a/src/mesh/push/client.cpp
+++ b/src/mesh/push/client.cpp
@@ -87,7 +87,7 @@
 Client::Core& Client::Add(const std::string& address) {
   const auto [at, fresh] = core_states_.try_emplace(address);
   // Its place in this sidecar's own order of cores (rendezvous hashing); no name has such a byte in it.
-  if (fresh) at->second.rank = merlinrun::HashOf(settings_.sidecar.name + '\xff' + address + '\xff');
+  if (fresh) at->second.rank = merlinrun::StableHash(settings_.sidecar.name + '\xff' + address + '\xff');
   return at->second;
 }
 
--- a/src/mesh/storage/store.cpp
+++ b/src/mesh/storage/store.cpp
@@ -35,7 +35,7 @@
 };
 
 std::uint64_t ChecksumOf(const Header& header, std::string_view body) {
-  return merlinrun::Mixed(merlinrun::HashOf(body) ^ merlinrun::Mixed(header.number) ^ header.size);
+  return merlinrun::MixBits(merlinrun::StableHash(body) ^ merlinrun::MixBits(header.number) ^ header.size);
 }
 
 absl::Status StatusOf(int code, const char* what) {
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -43,7 +43,7 @@
     if (!out.diameter) error = "a diameterHostPort that is no address";
   }
   out.info.zone = drill::IndexOf(names.zones, json.value("zone", std::string()));
-  out.info.machine = drill::IndexOf(names.machines, json.value("machineType", std::string()));
+  out.info.machine_type = drill::IndexOf(names.machines, json.value("machineType", std::string()));
   out.info.cell = json.value("cell", std::int64_t{-1});
   out.info.weight = json.value("weight", 1.0);
   const auto started = json.value("startedAtMs", std::int64_t{0});
@@ -243,7 +243,7 @@
   events_.on_failed();
   if (!timing_.reopens) return;
   // Jitter guards against all sidecars coming back in the same instant when discovery does.
-  const Micros most = Doubled(timing_.backoff_base, failures_++, timing_.backoff_most);
+  const Micros most = ExponentialBackoff(timing_.backoff_base, failures_++, timing_.backoff_most);
   backoff_.expires_after(std::chrono::microseconds(std::uniform_int_distribution<Micros>(0, most)(random_)));
   backoff_.async_wait([this](ErrorCode error) {
     if (!error && stream_ == nullptr) Open();
--- a/src/net/http_front.cpp
+++ b/src/net/http_front.cpp
@@ -116,7 +116,7 @@
   if (request_manager_.Contains(std::string(ToStringView(request[kIdHeader]))))
     return RequestError{http::status::conflict, "Req-Id is in use\n"};
   return ValidateForClass(
-      request, request_manager_.settings().classes[static_cast<std::size_t>(request_class)].repeat);
+      request, request_manager_.settings().classes[static_cast<std::size_t>(request_class)].retry_safety);
 }
 
 void HttpFront::OnRequest(const Inbound::SessionPtr& session, Inbound::Request from, int request_class) {
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -58,7 +58,7 @@
 Upstream::Limits UpstreamLimits(const Config& config) {
   Upstream::Limits limits;
   limits.keep_idle =
-      static_cast<Micros>(kIdleShare * static_cast<double>(config.wire.settings.connection_idle));
+      static_cast<Micros>(kIdleShare * static_cast<double>(config.wire.settings.connection_idle_timeout));
   limits.dial_timeout = config.wire.settings.dial_timeout;
   limits.connections = ServerSockets(config) - (config.diameter.empty() ? 0 : DiameterServerSockets(config));
   return limits;
@@ -122,7 +122,7 @@
   if (!config_.record.empty()) Record();
   if (!config_.trace.empty()) StartTrace();
   if (!config_.fleet.empty()) StartTalk();
-  if (!config_.zones.empty()) request_manager_->OnZoneOrders(Orders(config_));
+  if (!config_.zones.empty()) request_manager_->OnZoneOverrides(Orders(config_));
   if (recorder_ != nullptr || trace_ != nullptr)
     request_manager_->OnRequestCompleted([this](const core::CompletedRequest& ended) {
       if (recorder_ != nullptr) AddTo(*recorder_, loop_.Now(), ended);
@@ -190,9 +190,9 @@
     if (!at) throw ConfigError(std::string(key) + " '" + text + "': not an address with a port");
     return fleet::Udp::endpoint(at->address(), at->port());
   };
-  if (config_.peers.size() != config_.wire.settings.siblings)
+  if (config_.peers.size() != config_.wire.settings.sidecar_count)
     throw ConfigError("peers: " + std::to_string(config_.peers.size()) + " addresses for " +
-                      std::to_string(config_.wire.settings.siblings) + " sidecars");
+                      std::to_string(config_.wire.settings.sidecar_count) + " sidecars");
   fleet::Peers peers{udp("peer_listen", config_.peer_listen), {}};
   for (const std::string& peer : config_.peers) peers.all.push_back(udp("peers", peer));
   talk_ = std::make_unique<fleet::Talk>(io_, loop_, *request_manager_, std::move(peers),
@@ -312,18 +312,18 @@
   phase_->Resume();
 }
 
-std::vector<ZoneOrder> Sidecar::Orders(const Config& config) const {
+std::vector<ZoneOverride> Sidecar::Orders(const Config& config) const {
   if (config.zones.empty()) return {};
-  const auto read = zones::ParseOrders(ReadFile(config.zones), config.zones, config_.wire.zones);
+  const auto read = zones::ParseZoneOverrides(ReadFile(config.zones), config.zones, config_.wire.zones);
   if (const auto* error = std::get_if<std::string>(&read)) throw ConfigError(*error);
-  return std::get<std::vector<ZoneOrder>>(read);
+  return std::get<std::vector<ZoneOverride>>(read);
 }
 
 // A wrong file throws before anything has changed.
 void Sidecar::Reload(const Config& config) {
-  const std::vector<ZoneOrder> orders = Orders(config);
+  const std::vector<ZoneOverride> orders = Orders(config);
   discovery_.Switch(config.discovery);
-  request_manager_->OnZoneOrders(orders);
+  request_manager_->OnZoneOverrides(orders);
 }
 
 void Sidecar::Stop(std::function<void()> finished) { phase_->Stop(std::move(finished)); }
@@ -342,7 +342,7 @@
   servers.reserve(list.endpoints.size());
   for (const Endpoint& endpoint : list.endpoints) {
     servers.push_back(endpoint.info);
-    if (diameter_ != nullptr) servers.back().fronts |= diameter_->Fronts(endpoint.info.id);
+    if (diameter_ != nullptr) servers.back().protocols |= diameter_->Fronts(endpoint.info.id);
   }
   request_manager_->OnServers({kind, list.generation, servers});
   if (!upstream_.any_server()) return;
@@ -368,7 +368,7 @@
   const auto it = listed_.find(server);
   if (it == listed_.end()) return;
   ServerInfo info = it->second;
-  info.fronts |= diameter_->Fronts(server);
+  info.protocols |= diameter_->Fronts(server);
   request_manager_->OnServers({ListUpdate::Kind::kDelta, generation_, {&info, 1}});
 }
 
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -72,7 +72,7 @@
   void Record();
   void StartTrace();
   void StartTalk();
-  std::vector<ZoneOrder> Orders(const Config& config) const;
+  std::vector<ZoneOverride> Orders(const Config& config) const;
   // Of a process that takes over.
   void Follow(handover::Claim claim);
   void TakeOver();
--- a/src/net/validate.cpp
+++ b/src/net/validate.cpp
@@ -118,12 +118,12 @@
   return std::nullopt;
 }
 
-std::optional<RequestError> ValidateForClass(const RequestHeader& header, Repeat repeat) {
+std::optional<RequestError> ValidateForClass(const RequestHeader& header, RetrySafety repeat) {
   const bool keyed = header.count(kIdempotencyHeader) > 0;
-  const auto method = repeat == Repeat::kSafe ? http::verb::get : http::verb::post;
+  const auto method = repeat == RetrySafety::kSafe ? http::verb::get : http::verb::post;
   if (header.method() != method)
     return RequestError{http::status::method_not_allowed, "not this class's method\n"};
-  if (keyed != (repeat == Repeat::kDeduplicated) ||
+  if (keyed != (repeat == RetrySafety::kDeduplicated) ||
       (keyed && !IsName(ToStringView(header[kIdempotencyHeader]), kMostKey)))
     return RequestError{http::status::bad_request, "Idempotency-Key does not fit the class\n"};
   return std::nullopt;
--- a/src/net/validate.hpp
+++ b/src/net/validate.hpp
@@ -29,7 +29,7 @@
 std::optional<RequestError> ValidateRequest(const RequestHeader& header);
 
 // That a request is what its class says: method and key follow from whether it may be repeated.
-std::optional<RequestError> ValidateForClass(const RequestHeader& header, Repeat repeat);
+std::optional<RequestError> ValidateForClass(const RequestHeader& header, RetrySafety repeat);
 
 // True if an answer's framing is beyond doubt and its length within what a body may have.
 bool IsValidResponse(const ResponseHeader& header);
--- a/src/ops/api.cpp
+++ b/src/ops/api.cpp
@@ -21,15 +21,17 @@
 
 }  // namespace
 
-std::string FiguresText(const stats::Counters& counters, const Settings& settings, const Beliefs& beliefs) {
+std::string FiguresText(const stats::Counters& counters, const Settings& settings,
+                        const BalancerSnapshot& beliefs) {
   using Json = nlohmann::ordered_json;
   Json responses = Json::object();
   for (std::size_t i = 0; i < counters.classes.size(); ++i) {
     const stats::ClassCounters& c = counters.classes[i];
     responses[settings.classes[i].name] = {{"ok", c.ok}, {"shed", c.shed}, {"errors", c.errors}};
   }
-  const auto avoided = std::count_if(beliefs.servers.begin(), beliefs.servers.end(),
-                                     [](const Beliefs::Server& server) { return server.left_alone > 0; });
+  const auto avoided =
+      std::count_if(beliefs.servers.begin(), beliefs.servers.end(),
+                    [](const BalancerSnapshot::Server& server) { return server.ejected_for > 0; });
   const Json out = {{"responses", std::move(responses)},
                     {"tries", counters.attempts_sent},
                     {"active", counters.active},
@@ -50,7 +52,7 @@
 Reply Api::Do(std::string_view path) {
   if (path == kReady) return phase_.CanServe() ? Reply{200, "ready\n"} : Reply{503, "not ready\n"};
   if (path == kFigures)
-    return {200, FiguresText(counters_, request_manager_.settings(), request_manager_.Believed()) + "\n",
+    return {200, FiguresText(counters_, request_manager_.settings(), request_manager_.TakeSnapshot()) + "\n",
             "application/json"};
   const bool done = path == kEvacuate ? phase_.Evacuate() : phase_.Rejoin();
   return done ? Reply{200, "done\n"} : Reply{409, "the sidecar stops\n"};
--- a/src/ops/api.hpp
+++ b/src/ops/api.hpp
@@ -19,7 +19,8 @@
 };
 
 // The figures as one JSON object, without its line's end: each class of the settings is there from the start.
-std::string FiguresText(const stats::Counters& counters, const Settings& settings, const Beliefs& beliefs);
+std::string FiguresText(const stats::Counters& counters, const Settings& settings,
+                        const BalancerSnapshot& beliefs);
 
 // Answers calls by the phase and the figures of the moment. What it is given must outlive it.
 class Api {
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -62,10 +62,10 @@
     Load& load = loads_[held.pool];
     load.concurrency.Reckon(cold_start_);
     // A crossing has to be worth its price: requests of least worth stay at home or are refused.
-    if (held.pool > 0 && mix_.Worth(own) < c_.set.price_crossing * mix_.mean_worth()) break;
+    if (held.pool > 0 && mix_.Worth(own) < c_.set.cost_cross_zone * mix_.mean_worth()) break;
     if (c_.pools[held.pool].ring.empty()) continue;
     if (Admits(load, own, held.late)) return true;
-    if (load.concurrency.Room() < load.admit) held.obstacle = Cause::kCrowded;
+    if (load.concurrency.Room() < load.admit) held.obstacle = Cause::kConcurrencyLimit;
   }
   held.pool = 0;
   // A server may yet be listed while it waits.
@@ -77,7 +77,7 @@
   if (admit >= 1) return true;
   return c_.random.Unit() * mix_.arriving(own) <
          admit * mix_.Arriving(0) -
-             mix_.Arriving(mix_.Density(own) * (late ? c_.set.classes[own].late_worth : 1));
+             mix_.Arriving(mix_.Density(own) * (late ? c_.set.classes[own].late_value : 1));
 }
 
 void Admission::OnOver(const Held& held, const Server& server, Micros sent, const Outcome& outcome) {
@@ -87,8 +87,9 @@
 }
 
 double Admission::AdmitTarget(const Load& load) const {
-  return c_.set.reports == Settings::Reports::kNone ? c_.set.tuning.admit_target
-                                                    : std::min(kAdmitTargetReported, load.unloaded + kRoom);
+  return c_.set.load_reporting == Settings::LoadReporting::kNone
+             ? c_.set.tuning.admission_target
+             : std::min(kAdmitTargetReported, load.unloaded + kRoom);
 }
 
 // The target goes no lower than some way above the least pressure that was usual.
@@ -123,7 +124,7 @@
   // Where the limit tells of load, no answer tells of few servers that stall, or of what got lost.
   if (outcome.result == Result::kTimeout && load.concurrency.limited()) return;
   const auto elapsed = static_cast<double>(outcome.elapsed);
-  double aims = std::min(elapsed / static_cast<double>(std::max<Micros>(c.aim, 1)), kAdmitWorst);
+  double aims = std::min(elapsed / static_cast<double>(std::max<Micros>(c.latency_target, 1)), kAdmitWorst);
   if (outcome.result == Result::kSuccess) {
     mix_.OnAnswer(held.request_class, elapsed);
     pool.elapsed += (elapsed - pool.elapsed) / (pool.elapsed > 0 ? kMixMemory : 1);
@@ -158,7 +159,7 @@
                           kAdmitLeast, kAdmitMost);
 }
 
-Beliefs::Pool Admission::Believed(std::size_t i, Micros now) const {
+BalancerSnapshot::Pool Admission::TakeSnapshot(std::size_t i, Micros now) const {
   const Pool& pool = c_.pools[i];
   const Load& load = loads_[i];
   return {pool.ring.size(),
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -30,7 +30,7 @@
   void OnOver(const Held& held, const Server& server, Micros sent, const Outcome& outcome);
   // What an outcome tells of the pressure on the servers.
   void Feel(const Held& held, Server& server, const Outcome& outcome);
-  Beliefs::Pool Believed(std::size_t pool, Micros now) const;
+  BalancerSnapshot::Pool TakeSnapshot(std::size_t pool, Micros now) const;
 
  private:
   struct Load {  // of a pool
--- a/src/policy/choice.cpp
+++ b/src/policy/choice.cpp
@@ -61,8 +61,8 @@
     for (std::size_t i = 0; i < Width(pool, c_.set); ++i) {
       const Server& server = pool.InWindow(i);
       if (!MayUse(held, server)) continue;
-      if (cold_start_.Warmth(server) < 1) return Cause::kYoung;
-      if (health_.Away(server)) why = Cause::kLeftAlone;
+      if (cold_start_.Warmth(server) < 1) return Cause::kColdStart;
+      if (health_.Away(server)) why = Cause::kEjected;
     }
   }
   return why;
@@ -93,7 +93,7 @@
 
 // The least is first: exponential with a rate of its weight, so that it has its share of the keys.
 double Choice::Preference(std::uint64_t key, const Server& server) const {
-  const double unit = static_cast<double>((Mixed(key ^ server.hash) >> 11) + 1) * 0x1.0p-53;
+  const double unit = static_cast<double>((MixBits(key ^ server.hash) >> 11) + 1) * 0x1.0p-53;
   return -std::log(unit) / Size(server);
 }
 
@@ -118,7 +118,8 @@
 
 // After a refusal another server is tried; after an attempt that may have run, only what drops the repeat.
 bool Choice::MayUse(const Held& held, const Server& server) const {
-  if ((server.info.fronts >> held.front & 1) == 0 || !c_.zones.MayTry(c_.now, server.info.zone)) return false;
+  if ((server.info.protocols >> held.protocol & 1) == 0 || !c_.zones.MayTry(c_.now, server.info.zone))
+    return false;
   if (!held.attempts.empty() && held.attempts.back().server == &server &&
       Width(c_.pools[server.pool], c_.set) > 1)
     return false;
--- a/src/policy/cold_start.cpp
+++ b/src/policy/cold_start.cpp
@@ -16,9 +16,10 @@
   // A zone that answers again may have started anew before the list tells it.
   const Micros started = std::max(server.info.started, c_.zones.ReturnedAt(c_.now, server.info.zone));
   const Micros age = c_.now - started;
-  if (started == 0 || age >= c_.set.warm_after) return 1;
-  const double grown = static_cast<double>(std::max<Micros>(age, 0)) / static_cast<double>(c_.set.warm_after);
-  return c_.set.cold_share + (1 - c_.set.cold_share) * grown;
+  if (started == 0 || age >= c_.set.warmup_time) return 1;
+  const double grown =
+      static_cast<double>(std::max<Micros>(age, 0)) / static_cast<double>(c_.set.warmup_time);
+  return c_.set.cold_start_capacity + (1 - c_.set.cold_start_capacity) * grown;
 }
 
 // Its share of what this sidecar is *served* by a server on average, and one more for each quick answer of
--- a/src/policy/concurrency.cpp
+++ b/src/policy/concurrency.cpp
@@ -35,7 +35,7 @@
 }
 
 void Concurrency::LearnTime(const RequestClass& c, const Outcome& outcome, double admit) {
-  if (outcome.result == Result::kSuccess && outcome.elapsed < c.aim) usual_.OnGood(c_.now);
+  if (outcome.result == Result::kSuccess && outcome.elapsed < c.latency_target) usual_.OnGood(c_.now);
   if (admit >= 1 && Room() >= 1) usual_.OnTime(outcome.elapsed);
 }
 
@@ -58,14 +58,14 @@
   if (pool_.ring.empty()) return 1;
   if (Lost()) {
     const double expected = Expected();
-    const double from = std::max(c_.set.tuning.loss_from, 1 + 1 / std::sqrt(expected));
+    const double from = std::max(c_.set.tuning.capacity_loss_shed_start, 1 + 1 / std::sqrt(expected));
     return std::clamp(1 - (Reaching() / expected - from) / kLossSpan, kAdmitLeast, 1.0);
   }
   if (!limited_) return 1;
   const double expected = std::max(usual_.Rate(c_.now) * usual_.out_time(), kLeastOfUsual * UsualOut());
   const Tuning& t = c_.set.tuning;
-  const double from = std::max(t.out_from, 1 + 2 / std::sqrt(expected));
-  const double full = from + t.out_full - t.out_from;
+  const double from = std::max(t.in_flight_shed_start, 1 + 2 / std::sqrt(expected));
+  const double full = from + t.in_flight_shed_full - t.in_flight_shed_start;
   return std::clamp((full - Crowd() / expected) / (full - from), kAdmitLeast, 1.0);
 }
 
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -72,7 +72,7 @@
   if (outcome.result != Result::kRefused)
     server.slow += (slow - server.slow) / SlowMemory(c_.pools[server.pool]);
   if (outcome.result == Result::kSuccess) {
-    if (outcome.elapsed >= c_.ClassOf(held).aim) return;
+    if (outcome.elapsed >= c_.ClassOf(held).latency_target) return;
     server.strikes = 0;
     server.good_at = c_.now;
   } else if (outcome.result != Result::kRefused) {
@@ -88,11 +88,11 @@
   const std::size_t width = Width(pool, c_.set);
   std::size_t away = 0;
   for (std::size_t i = 0; i < width; ++i) away += Away(pool.InWindow(i));
-  double most = c_.set.tuning.most_away * static_cast<double>(width);
+  double most = c_.set.tuning.max_ejected_share * static_cast<double>(width);
   if (!dead) most = std::min(most, std::max(1.0, kMostLate * static_cast<double>(width)));
   if (static_cast<double>(away + 1) > most) return;
   server.away_until =
-      c_.now + c_.random.Upto(Doubled(kServerBase, server.strikes++, c_.set.tuning.retry_cap));
+      c_.now + c_.random.Upto(ExponentialBackoff(kServerBase, server.strikes++, c_.set.tuning.retry_cap));
 }
 
 bool Health::Away(const Server& server) const {
--- a/src/policy/records.hpp
+++ b/src/policy/records.hpp
@@ -73,7 +73,7 @@
 
 struct Held {  // a request, from its arrival until its last attempt is resolved
   std::size_t request_class = 0;
-  int front = 0;      // the protocol that it goes by
+  int protocol = 0;   // the protocol that it goes by
   bool late = false;  // its client has waited past the aim already, over earlier tries
   std::size_t pool = 0;
   Micros arrived = 0;
@@ -106,8 +106,8 @@
       : set(settings),
         random(seed),
         now(start),
-        zones([this](Micros most) { return random.Upto(most); }, settings.warm_after, settings.rank,
-              settings.siblings) {}
+        zones([this](Micros most) { return random.Upto(most); }, settings.warmup_time, settings.sidecar_index,
+              settings.sidecar_count) {}
   Common(const Common&) = delete;
   Common& operator=(const Common&) = delete;
 
--- a/src/policy/requests.cpp
+++ b/src/policy/requests.cpp
@@ -31,15 +31,15 @@
   if (!fresh) return;
   Held& held = it->second;
   held.request_class = static_cast<std::size_t>(in.request_class);
-  held.front = in.front;
-  if (c_.set.warm_keys && !in.key.empty()) held.warm = HashOf(in.key);
+  held.protocol = in.protocol;
+  if (c_.set.warm_keys && !in.key.empty()) held.warm = StableHash(in.key);
   held.arrived = c_.now;
-  held.deadline = c_.now + in.upload + in.budget;
-  held.uploading = in.upload > 0;
+  held.deadline = c_.now + in.upload_time + in.budget;
+  held.uploading = in.upload_time > 0;
   const RequestClass& c = c_.ClassOf(held);
   Micros& longest = longest_budget_[held.request_class];
   longest = std::max(longest, in.budget);
-  held.late = in.budget < longest - c_.set.tick && c.deadline - in.budget >= c.aim;
+  held.late = in.budget < longest - c_.set.tick && c.deadline - in.budget >= c.latency_target;
   admission_.OnArrival(held, in.cost);
   if (c.sequential && !in.key.empty()) lines_[held.key = in.key].push_back(it->first);
   if (!admission_.LetIn(held)) return End(it);
@@ -66,21 +66,21 @@
   if (!attempt.felt) admission_.Feel(held, server, outcome);
   if (outcome.result == Result::kTimeout || outcome.result == Result::kReset ||
       outcome.result == Result::kCancelled)
-    held.settled_at = c_.now + c_.set.settle_after_doubt;
-  if (outcome.settled) held.ended = true;
+    held.settled_at = c_.now + c_.set.hold_after_uncertain_outcome;
+  if (outcome.request_done) held.ended = true;
   held.obstacle = ObstacleOf(outcome.result);
   if (held.ended || held.AnyOut()) return Release(it);
-  if (outcome.spent) return End(it);
+  if (outcome.body_consumed) return End(it);
   if (AnotherMayAnswer(outcome.result)) return Wait(it);
   End(it);
 }
 
-void Requests::OnRequestWhole(std::string_view request, Micros budget) {
+void Requests::OnUploadComplete(std::string_view request, Micros budget) {
   auto it = held_.find(std::string(request));
   if (it == held_.end() || !std::exchange(it->second.uploading, false) || it->second.ended) return;
   it->second.arrived = c_.now;
   it->second.deadline = c_.now + budget;
-  if (it->second.AnyOut()) Alarm(it, c_.ClassOf(it->second).aim);
+  if (it->second.AnyOut()) Alarm(it, c_.ClassOf(it->second).latency_target);
 }
 
 void Requests::OnClientGone(std::string_view request) {
@@ -103,13 +103,13 @@
   if (it->second.ended) return Release(it);
   if (it->second.AnyOut()) return FeelLate(it->second);
   if (!HasTurn(it)) {  // it has waited for its turn as long as its client waits
-    it->second.obstacle = Cause::kNoTurn;
+    it->second.obstacle = Cause::kKeyQueueTimeout;
     return End(it);
   }
   SendOrWait(it);
 }
 
-void Requests::OnZoneTold(const ZoneTold& told) {
+void Requests::OnZonePeerReport(const ZonePeerReport& told) {
   if (c_.zones.OnTold(c_.now, told, WindowOf(told.zone, c_))) c_.ExpireCapacity();
 }
 
@@ -135,13 +135,13 @@
   admission_.OnSent(server->pool);
   sink_.Send(it->first, server->info.id, TimeOut(held));
   if (held.uploading) return;
-  if (const Micros late = held.arrived + c_.ClassOf(held).aim - c_.now; late > 0) Alarm(it, late);
+  if (const Micros late = held.arrived + c_.ClassOf(held).latency_target - c_.now; late > 0) Alarm(it, late);
 }
 
 Micros Requests::TimeOut(const Held& held) const {
   const RequestClass& c = c_.ClassOf(held);
   if (!GivenUpAtAim(c) || held.uploading) return 0;
-  return std::max<Micros>(held.arrived + c.aim - c_.now, c_.set.tick);
+  return std::max<Micros>(held.arrived + c.latency_target - c_.now, c_.set.tick);
 }
 
 void Requests::SeeZone(Server& server, Result result) {
@@ -185,7 +185,7 @@
   it->second.ended = true;
   if (Harmless(it->second, c, c_.now)) {
     // Advice beyond half the aim would bring the client back too late to be served in time.
-    const Micros most = std::min(c_.set.max_retry_after, c.aim / 2);
+    const Micros most = std::min(c_.set.max_retry_after, c.latency_target / 2);
     sink_.Refuse(it->first, most > 0 ? 1 + c_.random.Upto(most) : 0, it->second.obstacle);
   } else {
     sink_.Fail(it->first, it->second.obstacle);
--- a/src/policy/requests.hpp
+++ b/src/policy/requests.hpp
@@ -26,11 +26,11 @@
   void Advance(Micros now);
   void OnServers(const ListUpdate& update);
   void OnRequest(const Request& request);
-  void OnRequestWhole(std::string_view request, Micros budget);
+  void OnUploadComplete(std::string_view request, Micros budget);
   void OnOutcome(const Outcome& outcome);
   void OnClientGone(std::string_view request);
   void OnTimer(std::uint64_t token);
-  void OnZoneTold(const ZoneTold& told);
+  void OnZonePeerReport(const ZonePeerReport& told);
 
   std::size_t size() const { return held_.size(); }
 
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -20,39 +20,41 @@
 }
 
 Cause ObstacleOf(Result result) {
-  if (result == Result::kRefused) return Cause::kTurnedAway;
+  if (result == Result::kRefused) return Cause::kRejected;
   if (result == Result::kUnreachable) return Cause::kUnreachable;
   if (result == Result::kReset) return Cause::kReset;
-  return result == Result::kError ? Cause::kErrored : Cause::kTimedOut;
+  return result == Result::kError ? Cause::kServerError : Cause::kTimedOut;
 }
 
 Micros RetryWait(const Tuning& tuning, int n, Random& random) {
-  const auto most = static_cast<double>(Doubled(tuning.retry_base, n, tuning.retry_cap));
+  const auto most = static_cast<double>(ExponentialBackoff(tuning.retry_base, n, tuning.retry_cap));
   return static_cast<Micros>(most * (1 - tuning.jitter)) +
          random.Upto(static_cast<Micros>(most * tuning.jitter));
 }
 
 int MostAttempts(const Settings& set) { return std::min(kMaxAttempts, set.max_attempts); }
 
-bool GivenUpAtAim(const RequestClass& c) { return c.aim > 0 && c.late_worth <= 0 && c.aim_stretch <= 0; }
+bool GivenUpAtAim(const RequestClass& c) {
+  return c.latency_target > 0 && c.late_value <= 0 && c.latency_target_work_factor <= 0;
+}
 
 bool MayRepeat(const Held& held, const RequestClass& c, Micros now) {
   const Attempt* ran = held.MayHaveRun();
-  return ran == nullptr || c.repeat == Repeat::kSafe ||
-         (c.repeat == Repeat::kDeduplicated && now < ran->sent + c.dedup_window);
+  return ran == nullptr || c.retry_safety == RetrySafety::kSafe ||
+         (c.retry_safety == RetrySafety::kDeduplicated && now < ran->sent + c.dedup_window);
 }
 
 bool InGroup(const Held& held, const RequestClass& c, const ServerInfo& server) {
   const Attempt* ran = held.MayHaveRun();
-  if (ran == nullptr || c.repeat == Repeat::kSafe) return true;
-  if (c.group == DedupGroup::kZone) return ran->zone == server.zone;
-  if (c.group == DedupGroup::kCell) return ran->cell == server.cell;
+  if (ran == nullptr || c.retry_safety == RetrySafety::kSafe) return true;
+  if (c.dedup_scope == DedupScope::kZone) return ran->zone == server.zone;
+  if (c.dedup_scope == DedupScope::kCell) return ran->cell == server.cell;
   return true;
 }
 
 bool Harmless(const Held& held, const RequestClass& c, Micros now) {
-  return held.MayHaveRun() == nullptr || c.repeat == Repeat::kSafe ||
-         (c.group == DedupGroup::kAll && MayRepeat(held, c, now));
+  return held.MayHaveRun() == nullptr || c.retry_safety == RetrySafety::kSafe ||
+         (c.dedup_scope == DedupScope::kAll && MayRepeat(held, c, now));
 }
 
 }  // namespace merlinrun
--- a/src/policy/window.cpp
+++ b/src/policy/window.cpp
@@ -21,11 +21,12 @@
 // against quiet ones that have no server left when a zone is lost, and busy ones that choke theirs.
 std::size_t Width(const Pool& pool, const Settings& set) {
   // All sidecars are to find the same server for a key, unless connections cost something.
-  if (set.warm_keys && set.price_connection <= 0) return std::min(kWarmWidth, pool.ring.size());
-  const double shared = set.tuning.windows_per_server * static_cast<double>(pool.ring.size()) / set.siblings;
+  if (set.warm_keys && set.cost_connection <= 0) return std::min(kWarmWidth, pool.ring.size());
+  const double shared =
+      set.tuning.windows_per_server * static_cast<double>(pool.ring.size()) / set.sidecar_count;
   const std::size_t least =
       std::max(set.tuning.window_width, static_cast<std::size_t>(std::min<double>(shared, kWideWidth)));
-  const double per_out = set.price_connection > 0 ? set.tuning.servers_per_out : kServersPerOutFree;
+  const double per_out = set.cost_connection > 0 ? set.tuning.servers_per_in_flight : kServersPerOutFree;
   return std::min(std::max(least, static_cast<std::size_t>(per_out * pool.out_peak)), pool.ring.size());
 }
 
@@ -44,18 +45,19 @@
 }
 
 void Servers::Apply(const ListUpdate& update, ColdStart& cold_start) {
-  if (update.siblings > update.rank) c_.set.rank = update.rank, c_.set.siblings = update.siblings;
+  if (update.sidecar_count > update.sidecar_index)
+    c_.set.sidecar_index = update.sidecar_index, c_.set.sidecar_count = update.sidecar_count;
   if (update.kind != ListUpdate::Kind::kDelta)
     for (auto& [id, server] : servers_) server.listed = false;
   for (const ServerInfo& info : update.servers) {
     Server& server = servers_[info.id];
-    if (server.hash == 0) server.hash = HashOf(info.id);
+    if (server.hash == 0) server.hash = StableHash(info.id);
     const bool gone = info.state == ServerInfo::State::kGone;
     if (gone || info.started != server.info.started)
       c_.zones.OnListed(c_.now, info.zone, server.hash, !gone && info.started > 0);
     if (info.started != server.info.started) cold_start.Begin(server);
     server.info = info;
-    server.pool = c_.set.price_crossing >= kCrossingPriced && info.zone != c_.set.zone ? 1 : 0;
+    server.pool = c_.set.cost_cross_zone >= kCrossingPriced && info.zone != c_.set.zone ? 1 : 0;
     server.listed = !gone;
   }
   for (Pool& pool : c_.pools) pool.ring.clear();
@@ -68,8 +70,8 @@
   c_.ExpireCapacity();
   // Ranks are spread evenly over the ring; a server that comes or goes shifts each window by one at most.
   for (Pool& pool : c_.pools)
-    pool.offset = static_cast<std::size_t>(static_cast<std::uint64_t>(c_.set.rank) * pool.ring.size() /
-                                           c_.set.siblings);
+    pool.offset = static_cast<std::size_t>(static_cast<std::uint64_t>(c_.set.sidecar_index) *
+                                           pool.ring.size() / c_.set.sidecar_count);
 }
 
 }  // namespace merlinrun
--- a/src/stats/account.cpp
+++ b/src/stats/account.cpp
@@ -6,7 +6,7 @@
 namespace merlinrun::stats {
 
 Account::Account(const Settings& settings) {
-  for (const RequestClass& c : settings.classes) aims_.push_back(c.aim);
+  for (const RequestClass& c : settings.classes) aims_.push_back(c.latency_target);
   stretch_.classes.resize(aims_.size());
 }
 
--- a/src/stats/account.hpp
+++ b/src/stats/account.hpp
@@ -27,8 +27,8 @@
   std::int64_t left = 0;     // their client did
   std::int64_t untried = 0;  // refused or failed without an attempt
   std::int64_t tries = 0;    // attempts of all that ended
-  std::array<std::int64_t, kCauses> refused = {};
-  std::array<std::int64_t, kCauses> failed = {};
+  std::array<std::int64_t, kCauseCount> refused = {};
+  std::array<std::int64_t, kCauseCount> failed = {};
   std::int64_t out_of_time = 0;  // failed by the core, as the module gave no answer
 };
 
--- a/src/stats/trace.cpp
+++ b/src/stats/trace.cpp
@@ -38,15 +38,15 @@
   return out;
 }
 
-Json PoolPart(const Beliefs::Pool& p) {
+Json PoolPart(const BalancerSnapshot::Pool& p) {
   return {{"servers", p.servers},
           {"width", p.width},
-          {"out", p.out},
-          {"out_usual", Rounded(p.out_usual)},
-          {"admit", Rounded(p.admit)},
-          {"room", Rounded(p.room)},
-          {"usual", Rounded(p.usual)},
-          {"unloaded", Rounded(p.unloaded)}};
+          {"out", p.in_flight},
+          {"out_usual", Rounded(p.usual_in_flight)},
+          {"admit", Rounded(p.admitted_share)},
+          {"room", Rounded(p.concurrency_share)},
+          {"usual", Rounded(p.latency_ratio)},
+          {"unloaded", Rounded(p.unloaded_latency_ratio)}};
 }
 
 const char* NameOf(ServerInfo::State state) {
@@ -61,14 +61,15 @@
   return "";
 }
 
-Json ServersPart(const Stretch& stretch, const Beliefs& beliefs) {
+Json ServersPart(const Stretch& stretch, const BalancerSnapshot& beliefs) {
   Json out = Json::object();
-  for (const Beliefs::Server& s : beliefs.servers) {
+  for (const BalancerSnapshot::Server& s : beliefs.servers) {
     if (!s.in_window && stretch.servers.find(s.id) == stretch.servers.end()) continue;
-    out[std::string(s.id)] = {{"state", NameOf(s.state)},   {"out", s.out},
-                              {"slow", Rounded(s.slow)},    {"failing", Rounded(s.failing)},
-                              {"strikes", s.strikes},       {"left_alone", s.left_alone / kMillisecond},
-                              {"warmth", Rounded(s.warmth)}};
+    out[std::string(s.id)] = {
+        {"state", NameOf(s.state)},           {"out", s.in_flight},
+        {"slow", Rounded(s.latency_ratio)},   {"failing", Rounded(s.error_rate)},
+        {"strikes", s.consecutive_failures},  {"left_alone", s.ejected_for / kMillisecond},
+        {"warmth", Rounded(s.capacity_share)}};
   }
   for (const auto& [id, s] : stretch.servers) {
     Json& to = out[id];
@@ -114,22 +115,22 @@
   }
 }
 
-std::string TraceLine(Micros at, const Settings& settings, const Stretch& stretch, const Beliefs& beliefs,
-                      const Held& held, bool servers) {
+std::string TraceLine(Micros at, const Settings& settings, const Stretch& stretch,
+                      const BalancerSnapshot& beliefs, const Held& held, bool servers) {
   Json line = {
       {"at", at}, {"held", held.requests}, {"clients", held.clients}, {"connections", held.connections}};
   Json& classes = line["classes"] = Json::object();
   for (std::size_t i = 0; i < stretch.classes.size(); ++i)
     classes[settings.classes[i].name] = ClassPart(stretch.classes[i]);
   Json& pools = line["pools"] = Json::array();
-  for (const Beliefs::Pool& pool : beliefs.pools)
+  for (const BalancerSnapshot::Pool& pool : beliefs.pools)
     if (pool.servers > 0) pools.push_back(PoolPart(pool));
   Json& zones = line["zones"] = {{"epoch", beliefs.zones_epoch}};
-  for (const Beliefs::Zone& zone : beliefs.zones) {
+  for (const BalancerSnapshot::Zone& zone : beliefs.zones) {
     zones["stages"][std::to_string(zone.zone)] = kZoneStageNames[static_cast<std::size_t>(zone.stage)];
-    if (const ZoneTold& told = zone.told; told.heard > 0)
+    if (const ZonePeerReport& told = zone.peer_report; told.reporting > 0)
       zones["told"][std::to_string(zone.zone)] = {
-          {"heard", told.heard}, {"lost", told.lost}, {"well", told.well}};
+          {"heard", told.reporting}, {"lost", told.reporting_lost}, {"well", told.reporting_healthy}};
   }
   if (held.words) line["words"] = WordsPart(*held.words);
   if (servers) line["servers"] = ServersPart(stretch, beliefs);
@@ -152,7 +153,7 @@
 void Trace::Next() {
   timer_->Start(settings_.every, [this] {
     const std::string line = TraceLine(loop_.Now(), request_manager_.settings(), account_.Take(),
-                                       request_manager_.Believed(), held_(), settings_.servers);
+                                       request_manager_.TakeSnapshot(), held_(), settings_.servers);
     std::fprintf(stderr, "trace: %s\n", line.c_str());
     Next();
   });
--- a/src/stats/trace.hpp
+++ b/src/stats/trace.hpp
@@ -45,8 +45,8 @@
 
 // One line, without its end. Times are in milliseconds but for `at`, which is the loop's time in
 // microseconds.
-std::string TraceLine(Micros at, const Settings& settings, const Stretch& stretch, const Beliefs& beliefs,
-                      const Held& held, bool servers);
+std::string TraceLine(Micros at, const Settings& settings, const Stretch& stretch,
+                      const BalancerSnapshot& beliefs, const Held& held, bool servers);
 
 // Writes such lines to standard error. Takes the place of other listeners of `request_manager`' attempts.
 class Trace {
--- a/src/zones/orders.cpp
+++ b/src/zones/orders.cpp
@@ -11,11 +11,11 @@
 
 }  // namespace
 
-std::variant<std::vector<ZoneOrder>, std::string> ParseOrders(std::string_view text, const std::string& file,
-                                                              const std::vector<std::string>& names) {
+std::variant<std::vector<ZoneOverride>, std::string> ParseZoneOverrides(
+    std::string_view text, const std::string& file, const std::vector<std::string>& names) {
   try {
     const toml::table root = toml::parse(text, file);
-    std::vector<ZoneOrder> out;
+    std::vector<ZoneOverride> out;
     for (const auto& [key, node] : root) {
       const bool leave = key == "leave";
       if ((!leave && key != "keep") || !node.is_array())
@@ -29,14 +29,15 @@
           return FormatTomlError(entry.source(), file,
                                  "'" + name.value_or("") + "' is no zone of the settings");
         const auto zone = static_cast<int>(it - names.begin());
-        const auto same = [&](const ZoneOrder& known) { return known.zone == zone; };
+        const auto same = [&](const ZoneOverride& known) { return known.zone == zone; };
         if (std::any_of(out.begin(), out.end(), same))
           return FormatTomlError(entry.source(), file, "'" + *name + "' is ordered twice");
-        out.push_back({zone, leave ? ZoneOrder::Kind::kLeave : ZoneOrder::Kind::kKeep});
+        out.push_back({zone, leave ? ZoneOverride::Kind::kEvacuate : ZoneOverride::Kind::kKeep});
       }
     }
-    const auto left = std::count_if(out.begin(), out.end(),
-                                    [](const ZoneOrder& o) { return o.kind == ZoneOrder::Kind::kLeave; });
+    const auto left = std::count_if(out.begin(), out.end(), [](const ZoneOverride& o) {
+      return o.kind == ZoneOverride::Kind::kEvacuate;
+    });
     if (left > 0 && static_cast<std::size_t>(left) == names.size())
       return FormatTomlError(root.source(), file, "every zone is ordered to be left");
     return out;
--- a/src/zones/orders.hpp
+++ b/src/zones/orders.hpp
@@ -13,8 +13,8 @@
 
 // `names`: the zones as the settings have them, whose numbers are their places. On failure one line:
 // "FILE:LINE:COLUMN: what is wrong". An order to leave every zone is refused.
-std::variant<std::vector<ZoneOrder>, std::string> ParseOrders(std::string_view text, const std::string& file,
-                                                              const std::vector<std::string>& names);
+std::variant<std::vector<ZoneOverride>, std::string> ParseZoneOverrides(
+    std::string_view text, const std::string& file, const std::vector<std::string>& names);
 
 }  // namespace merlinrun::zones
 
--- a/src/zones/zones.cpp
+++ b/src/zones/zones.cpp
@@ -81,7 +81,7 @@
   if (id < 0) return;
   Zone& zone = zones_[id];
   ++zone.out;
-  if (zone.stage == Stage::kLeft && now >= zone.tried_from) Enter(now, zone, Stage::kOnTrial);
+  if (zone.stage == Stage::kEjected && now >= zone.tried_from) Enter(now, zone, Stage::kProbing);
 }
 
 bool Zones::OnOutcome(Micros now, int id, std::uint64_t server, Sign sign, const Window& window) {
@@ -97,8 +97,8 @@
     zone.dead.clear();
     zone.answered_at = now;
     // What was out when it was ordered to be left may still answer, and changes nothing.
-    const bool ordered = zone.order == ZoneOrder::Kind::kLeave;
-    const bool back = !ordered && IsLeft(zone.stage);
+    const bool ordered = zone.order == ZoneOverride::Kind::kEvacuate;
+    const bool back = !ordered && IsEjected(zone.stage);
     if (back) {
       Enter(now, zone, Stage::kReturning);
       // It joins at the stage of those that are back already: the servers are as warm for it as for them.
@@ -111,7 +111,7 @@
     for (auto& [other, suspect] : zones_) another |= other != id && LeaveIfLost(now, suspect);
     return back || another;
   }
-  if (zone.stage == Stage::kOnTrial) {  // whatever it was, it was no answer
+  if (zone.stage == Stage::kProbing) {  // whatever it was, it was no answer
     Leave(now, zone);
     return false;
   }
@@ -123,7 +123,7 @@
 }
 
 bool Zones::Suspect(Micros now, Zone& zone, std::uint64_t server, Sign sign, const Window& window) {
-  if (sign == Sign::kNothing || IsLeft(zone.stage)) return false;
+  if (sign == Sign::kNothing || IsEjected(zone.stage)) return false;
   if (sign == Sign::kSilent && now - zone.answered_at < kSilentFor) return false;
   if (zone.dead.empty()) zone.suspected_at = now;
   zone.dead_at = now;
@@ -139,7 +139,7 @@
   const auto it = zones_.find(id);
   if (it == zones_.end()) return;
   std::erase(it->second.dead, server);
-  if (started && it->second.stage == Stage::kLeft)
+  if (started && it->second.stage == Stage::kEjected)
     it->second.tried_from = std::min(it->second.tried_from, now);
 }
 
@@ -149,28 +149,28 @@
   for (auto& [id, zone] : zones_) zone.dead.clear();
 }
 
-bool Zones::OnTold(Micros now, const ZoneTold& told, const Window& window) {
+bool Zones::OnTold(Micros now, const ZonePeerReport& told, const Window& window) {
   if (told.zone < 0) return false;
   Zone& zone = zones_[told.zone];
   zone.told = told;
   zone.told_at = now;
   zone.window = window;
-  if (zone.stage == Stage::kLeft && told.well >= kQuorum && !std::exchange(zone.called, true))
+  if (zone.stage == Stage::kEjected && told.reporting_healthy >= kQuorum && !std::exchange(zone.called, true))
     zone.tried_from = std::min(zone.tried_from, now + draw_(kFollow));
   return LeaveIfLost(now, zone);
 }
 
-void Zones::OnOrders(Micros now, std::span<const ZoneOrder> orders) {
-  std::map<int, ZoneOrder::Kind> kinds;
-  for (const ZoneOrder& order : orders) kinds[order.zone] = order.kind;
+void Zones::OnOrders(Micros now, std::span<const ZoneOverride> orders) {
+  std::map<int, ZoneOverride::Kind> kinds;
+  for (const ZoneOverride& order : orders) kinds[order.zone] = order.kind;
   for (const auto& [id, kind] : kinds) zones_.try_emplace(id);
   for (auto& [id, zone] : zones_) {
     const auto it = kinds.find(id);
-    const ZoneOrder::Kind before =
-        std::exchange(zone.order, it == kinds.end() ? ZoneOrder::Kind::kNone : it->second);
+    const ZoneOverride::Kind before =
+        std::exchange(zone.order, it == kinds.end() ? ZoneOverride::Kind::kNone : it->second);
     if (before == zone.order) continue;
-    const bool left = IsLeft(zone.stage);
-    if (zone.order == ZoneOrder::Kind::kLeave && !left) {
+    const bool left = IsEjected(zone.stage);
+    if (zone.order == ZoneOverride::Kind::kEvacuate && !left) {
       Leave(now, zone);
       ++epoch_;
     } else if (left) {
@@ -179,24 +179,24 @@
   }
 }
 
-ZoneTold Zones::Told(Micros now, const Zone& zone) const {
-  return now - zone.told_at < kToldFor ? zone.told : ZoneTold();
+ZonePeerReport Zones::Told(Micros now, const Zone& zone) const {
+  return now - zone.told_at < kToldFor ? zone.told : ZonePeerReport();
 }
 
 // Servers that have to be found dead before the zone is left: one where others have found most of it out,
 // none where they have found out all and the zone has said nothing to this sidecar either.
 std::size_t Zones::Needed(Micros now, const Zone& zone) const {
-  const ZoneTold told = Told(now, zone);
-  if (told.lost >= kMany && told.lost >= kAgainst * told.well)
-    return told.lost >= kMost && now - zone.answered_at >= kAnsweredLately ? 0 : 1;
-  return told.well >= kQuorum && told.lost < kQuorum ? kDoubt * kDeadLeft : kDeadLeft;
+  const ZonePeerReport told = Told(now, zone);
+  if (told.reporting_lost >= kMany && told.reporting_lost >= kAgainst * told.reporting_healthy)
+    return told.reporting_lost >= kMost && now - zone.answered_at >= kAnsweredLately ? 0 : 1;
+  return told.reporting_healthy >= kQuorum && told.reporting_lost < kQuorum ? kDoubt * kDeadLeft : kDeadLeft;
 }
 
 // A zone is lost if enough of its servers are, if another zone has answered since the first of them (else
 // this sidecar's own link may be the trouble, and nobody is accused), and if enough stands elsewhere.
 bool Zones::LeaveIfLost(Micros now, Zone& zone) {
-  if (IsLeft(zone.stage)) return false;
-  if (zone.order == ZoneOrder::Kind::kKeep) return false;
+  if (IsEjected(zone.stage)) return false;
+  if (zone.order == ZoneOverride::Kind::kKeep) return false;
   const Window& w = zone.window;
   const std::size_t needed = Needed(now, zone);
   if (w.here == 0 || (needed > 0 && w.here < kLeastSeen) || zone.dead.size() < std::min(needed, w.here))
@@ -213,7 +213,7 @@
 }
 
 void Zones::Leave(Micros now, Zone& zone) {
-  Enter(now, zone, Stage::kLeft);
+  Enter(now, zone, Stage::kEjected);
   zone.called = false;
   zone.left_for = std::clamp(2 * zone.left_for, kTrialBase, kTrialCap);
   zone.tried_from = now + draw_(zone.left_for);
@@ -227,22 +227,23 @@
 
 bool Zones::MayTry(Micros now, int id) const {
   const Zone* zone = Find(id);
-  if (zone == nullptr || !IsLeft(zone->stage)) return true;
-  if (zone->order == ZoneOrder::Kind::kLeave) return false;
+  if (zone == nullptr || !IsEjected(zone->stage)) return true;
+  if (zone->order == ZoneOverride::Kind::kEvacuate) return false;
   return now >= zone->tried_from && zone->out == 0 && MyTurn(now, id, *zone);
 }
 
 bool Zones::MyTurn(Micros now, int id, const Zone& zone) const {
-  const ZoneTold told = Told(now, zone);
-  if (told.heard < kQuorum || told.well >= kQuorum || now - zone.began >= kTurnMost) return true;
+  const ZonePeerReport told = Told(now, zone);
+  if (told.reporting < kQuorum || told.reporting_healthy >= kQuorum || now - zone.began >= kTurnMost)
+    return true;
   if (zone.began / kRound == now / kRound) return false;  // it has left it, or tried it, in this round
   const auto round = static_cast<std::uint64_t>(now / kRound);
-  return Mixed(Mixed(round << 20 ^ static_cast<std::uint64_t>(id)) ^ rank_) % siblings_ < kTriers;
+  return MixBits(MixBits(round << 20 ^ static_cast<std::uint64_t>(id)) ^ rank_) % siblings_ < kTriers;
 }
 
 bool Zones::Left(int id) const {
   const Zone* zone = Find(id);
-  return zone != nullptr && IsLeft(zone->stage);
+  return zone != nullptr && IsEjected(zone->stage);
 }
 
 Micros Zones::ReturnedAt(Micros now, int id) const {
@@ -258,8 +259,8 @@
   return zone->stage == Stage::kReturning && ReturnedAt(now, id) == 0 ? Stage::kServing : zone->stage;
 }
 
-std::vector<Beliefs::Zone> Zones::Believed(Micros now) const {
-  std::vector<Beliefs::Zone> out;
+std::vector<BalancerSnapshot::Zone> Zones::TakeSnapshot(Micros now) const {
+  std::vector<BalancerSnapshot::Zone> out;
   for (const auto& [id, zone] : zones_) {
     // A stage of warming up that is over has become serving without a move: its time tells that.
     const Micros in_stage = now - zone.began;
--- a/src/zones/zones.hpp
+++ b/src/zones/zones.hpp
@@ -27,7 +27,7 @@
 
 using Stage = ZoneStage;
 // Left or on trial: nothing goes there but its trials.
-constexpr bool IsLeft(Stage stage) { return stage == Stage::kLeft || stage == Stage::kOnTrial; }
+constexpr bool IsEjected(Stage stage) { return stage == Stage::kEjected || stage == Stage::kProbing; }
 
 // What an attempt says of its server's zone.
 enum class Sign {
@@ -66,11 +66,11 @@
 
   // What other sidecars say of the zone; holds for a second. Never more than advice: this sidecar's own
   // answers go before it, and under a quorum it changes nothing. True as above.
-  bool OnTold(Micros now, const ZoneTold& told, const Window& window);
+  bool OnTold(Micros now, const ZonePeerReport& told, const Window& window);
 
   // The operator's orders go before all else; one that is free again is where it was left, to be tried at
   // once.
-  void OnOrders(Micros now, std::span<const ZoneOrder> orders);
+  void OnOrders(Micros now, std::span<const ZoneOverride> orders);
 
   // Whether a request may go there now.
   bool MayTry(Micros now, int zone) const;
@@ -80,7 +80,7 @@
   Micros ReturnedAt(Micros now, int zone) const;
   Stage StageOf(Micros now, int zone) const;
   // All that were ever sent to.
-  std::vector<Beliefs::Zone> Believed(Micros now) const;
+  std::vector<BalancerSnapshot::Zone> TakeSnapshot(Micros now) const;
   // Grows by one with each move of any zone into or out of kLeft, and never falls.
   std::uint64_t epoch() const { return epoch_; }
 
@@ -97,8 +97,8 @@
     Micros began = 0;     // of the stage
     int out = 0;
     Window window;  // as of the last sign of no way, or word of others
-    ZoneOrder::Kind order = ZoneOrder::Kind::kNone;
-    ZoneTold told;
+    ZoneOverride::Kind order = ZoneOverride::Kind::kNone;
+    ZonePeerReport told;
     Micros told_at = -kToldFor;
     bool called = false;  // others are back there, and its trial has been hastened
   };
@@ -107,7 +107,7 @@
   static constexpr Micros kToldFor = 1'000'000;
 
   static void Enter(Micros now, Zone& zone, Stage stage);
-  ZoneTold Told(Micros now, const Zone& zone) const;
+  ZonePeerReport Told(Micros now, const Zone& zone) const;
   std::size_t Needed(Micros now, const Zone& zone) const;
   bool MyTurn(Micros now, int id, const Zone& zone) const;
   void ForgiveAll();
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -101,7 +101,7 @@
 TEST_F(BalancerTest, ARepeatReachesItsGroupOutsideTheWindow) {
   Settings settings = MakeSettings();
   settings.refused_may_have_run = true;
-  settings.classes[1].group = DedupGroup::kCell;
+  settings.classes[1].dedup_scope = DedupScope::kCell;
   auto servers = MakeServers(20);
   for (std::size_t i = 0; i < servers.size(); ++i) servers[i].cell = static_cast<std::int64_t>(i % 10);
   Start(settings, 0);
@@ -117,7 +117,7 @@
 TEST_F(BalancerTest, RequestsOfOneKeyGoOneAtATimeInOrder) {
   Settings settings = MakeSettings();
   settings.classes[0].sequential = true;
-  settings.settle_after_doubt = 300 * kMs;
+  settings.hold_after_uncertain_outcome = 300 * kMs;
   Start(settings, 20);
   EXPECT_EQ(Arrive("a", 0, 5 * kSec, "k")[0].kind, Kind::kSend);
   EXPECT_EQ(Arrive("b", 0, 5 * kSec, "k")[0].kind, Kind::kTimer);
@@ -220,7 +220,8 @@
   }
   // Three quarters of the multiple that it bears, and a third of what is served as its share: the window is 3
   // wide.
-  const double share = served / 3.0 * MakeSettings().cold_share * MakeSettings().overload_factor * 0.75;
+  const double share =
+      served / 3.0 * MakeSettings().cold_start_capacity * MakeSettings().overload_factor * 0.75;
   EXPECT_GT(young, 0.5 * share);  // what is drawn and not chosen is lost
   EXPECT_LE(young, 1 + share);
 }
@@ -279,7 +280,7 @@
 // Met on every overloaded day: all answers late, each retried by its client on top.
 TEST_F(BalancerTest, UnderPressureTheWorkOfLeastWorthIsRefusedFirst) {
   Settings settings = MakeSettings();
-  settings.classes[3].worth = 10;
+  settings.classes[3].value = 10;
   Start(settings, 10);
   std::map<int, int> refused;
   for (int i = 0; i < 600; ++i) {
@@ -309,7 +310,7 @@
 // Met on a quiet day: cheap work was refused all day where idle servers take a fifth of the aim.
 TEST_F(BalancerTest, WhatIdleServersTakeIsNoPressure) {
   Settings settings = MakeSettings();
-  settings.classes[3].worth = 10;
+  settings.classes[3].value = 10;
   Start(settings, 10);
   int refused = 0;
   for (int i = 0; i < 400; ++i) {
@@ -337,8 +338,8 @@
 TEST_F(BalancerTest, OwnZoneFirstWhereCrossingIsPricedAndSpillsUnderPressure) {
   Settings settings = MakeSettings();
   settings.zone = 0;
-  settings.price_crossing = 0.2;
-  settings.classes[0].worth = 0.1;  // less than a crossing costs, the mean being near 1
+  settings.cost_cross_zone = 0.2;
+  settings.classes[0].value = 0.1;  // less than a crossing costs, the mean being near 1
   Start(settings, 20);
   std::map<std::string, int> zone;
   for (const ServerInfo& info : MakeServers(20)) zone[info.id] = info.zone;
@@ -445,15 +446,15 @@
 
 TEST_F(BalancerTest, TimesOutAtTheAimOnlyWhereALateAnswerIsWorthNothing) {
   Settings settings = MakeSettings();
-  settings.classes[3].late_worth = 0.25;
+  settings.classes[3].late_value = 0.25;
   Start(settings, 4);
-  EXPECT_EQ(Arrive("r1", 0)[0].time, settings.classes[0].aim);
+  EXPECT_EQ(Arrive("r1", 0)[0].time, settings.classes[0].latency_target);
   EXPECT_EQ(Arrive("r2", 3)[0].time, 0);
 }
 
 TEST_F(BalancerTest, ABusySidecarTakesALongerRunOfTheRing) {
   Settings settings = MakeSettings();
-  settings.price_connection = 0.05;
+  settings.cost_connection = 0.05;
   Start(settings, 40);
   std::set<std::string> used;
   for (int i = 0; i < 12; ++i) used.insert(Arrive("r" + std::to_string(i))[0].server);
@@ -469,9 +470,9 @@
 TEST_F(BalancerTest, TheWindowFollowsTheNumberOfSidecarsToAServer) {
   const auto used = [&](std::uint32_t siblings, int servers) {
     Settings settings = MakeSettings();
-    settings.price_connection = 0.05;
+    settings.cost_connection = 0.05;
     settings.tuning = {};
-    settings.siblings = siblings;
+    settings.sidecar_count = siblings;
     Start(settings, servers);
     std::set<std::string> met;
     for (int i = 0; i < 300; ++i) {
@@ -498,19 +499,19 @@
 // Met in three incidents: the overload was heard of only when the answers came, seconds after they were late.
 TEST_F(BalancerTest, WhatIsOutPastItsAimIsPressureAtOnce) {
   Settings settings = MakeSettings();
-  settings.classes[2].late_worth = 0.5;
+  settings.classes[2].late_value = 0.5;
   Start(settings, 10);
   std::vector<std::uint64_t> alarms;
   for (int i = 0; i < 12; ++i) {
     Deliver("r" + std::to_string(i), 2);
     for (const Action& action : sink_.Take())
       if (action.kind == Kind::kTimer) {
-        EXPECT_EQ(action.time, settings.classes[2].aim);
+        EXPECT_EQ(action.time, settings.classes[2].latency_target);
         alarms.push_back(action.token);
       }
   }
   ASSERT_EQ(alarms.size(), 12u);
-  now_ += settings.classes[2].aim;
+  now_ += settings.classes[2].latency_target;
   for (const std::uint64_t token : alarms) {
     balancer_->OnTimer(now_, token);
     balancer_->OnTimer(now_, token);  // once
@@ -527,7 +528,7 @@
 TEST_F(BalancerTest, LateOnesFewAndApartRefuseNobodyWhereTheyAreGivenUp) {
   const auto refused = [&](double late_worth, int late_each, int in_a_row) {
     Settings settings = MakeSettings();
-    settings.classes[0].late_worth = late_worth;
+    settings.classes[0].late_value = late_worth;
     settings.cancel = true;
     Start(settings, 10);
     int count = 0;
@@ -555,7 +556,7 @@
   std::map<bool, int> sent;
   for (const bool in_a_row : {false, true}) {
     Settings settings = MakeSettings();
-    settings.classes[2].late_worth = 0.5;  // what is late is waited for
+    settings.classes[2].late_value = 0.5;  // what is late is waited for
     Start(settings, 10);
     for (int i = 0; i < 8; ++i) {
       const std::string id = "r" + std::to_string(i);
@@ -641,9 +642,9 @@
   };
   let_in();
   EXPECT_LT(let_in(), 20);
-  EXPECT_LT(balancer_->Believed(now_).pools[0].admit, 0.5);
+  EXPECT_LT(balancer_->TakeSnapshot(now_).pools[0].admitted_share, 0.5);
   now_ += 10 * kSec;
-  EXPECT_GT(balancer_->Believed(now_).pools[0].admit, 0.95);  // what an operator sees
+  EXPECT_GT(balancer_->TakeSnapshot(now_).pools[0].admitted_share, 0.95);  // what an operator sees
   const std::string id = "late" + std::to_string(requests);
   EXPECT_EQ(Arrive(id)[0].kind, Kind::kSend);
   int sent = 0;
@@ -654,7 +655,7 @@
 // Met on slow and ageing days: a server that answers in the end went on getting its share at once.
 TEST_F(BalancerTest, AServerWhereARequestOutlivesItsAimIsLeftAloneThenTriedOneAtATime) {
   Settings settings = MakeSettings();
-  settings.classes[0].late_worth = 0.5;
+  settings.classes[0].late_value = 0.5;
   Start(settings, 3);
   std::string id;
   std::uint64_t alarm = 0;
@@ -680,9 +681,9 @@
 // How many of the last 100 requests are let in when answers take `then` ms after having taken `idle` ms.
 class AdmissionTarget : public BalancerTest {
  protected:
-  int LetIn(Settings::Reports reports, int idle, int then) {
+  int LetIn(Settings::LoadReporting reports, int idle, int then) {
     Settings settings = MakeSettings();
-    settings.reports = reports;
+    settings.load_reporting = reports;
     Start(settings, 10);
     int sent = 0;
     for (int i = 0; i < 300; ++i) {
@@ -696,13 +697,13 @@
 };
 
 TEST_F(AdmissionTarget, IsHigherWhereServersReportTheirLoad) {
-  EXPECT_EQ(LetIn(Settings::Reports::kInAnswers, 200, 350), 100);
-  EXPECT_LT(LetIn(Settings::Reports::kNone, 150, 350), 60);
+  EXPECT_EQ(LetIn(Settings::LoadReporting::kInResponses, 200, 350), 100);
+  EXPECT_LT(LetIn(Settings::LoadReporting::kNone, 150, 350), 60);
 }
 
 TEST_F(AdmissionTarget, StaysNearWhatIdleServersTake) {
-  EXPECT_LT(LetIn(Settings::Reports::kInAnswers, 50, 400), 60);
-  EXPECT_EQ(LetIn(Settings::Reports::kInAnswers, 250, 400), 100);
+  EXPECT_LT(LetIn(Settings::LoadReporting::kInResponses, 50, 400), 60);
+  EXPECT_EQ(LetIn(Settings::LoadReporting::kInResponses, 250, 400), 100);
 }
 
 // Met on a day with new configurations: servers that failed at once had the fewest attempts out and drew most
@@ -758,7 +759,7 @@
 TEST_F(BalancerTest, LessIsLetInAtOnceWhenServersGo) {
   const auto let_in = [&](int left, Micros quiet = 0) {
     Settings settings = MakeSettings();
-    settings.classes[3].worth = 10;
+    settings.classes[3].value = 10;
     Start(settings, 8);
     for (int i = 0; i < 100; ++i) {
       const std::string id = "a" + std::to_string(i);
@@ -806,7 +807,7 @@
 // Met in each overload: what clients had waited for past the aim was served before fresh requests.
 TEST_F(BalancerTest, UnderPressureFreshTriesGoBeforeThoseThatAreLateAlready) {
   Settings settings = MakeSettings();
-  settings.classes[0].late_worth = 0.25;
+  settings.classes[0].late_value = 0.25;
   Start(settings, 10);
   int fresh = 0;
   int late = 0;
@@ -835,8 +836,8 @@
   std::map<std::string, int> hits;
   for (std::uint32_t rank = 0; rank < 40; ++rank) {
     Settings settings = MakeSettings();
-    settings.rank = rank;
-    settings.siblings = 40;
+    settings.sidecar_index = rank;
+    settings.sidecar_count = 40;
     Start(settings, 20, rank);
     std::set<std::string> used;
     for (int i = 0; i < 300; ++i) used.insert(Arrive("r" + std::to_string(i))[0].server);
@@ -854,7 +855,7 @@
   List(ListUpdate::Kind::kStale, MakeServers(4));
   auto actions = sink_.Take();
   ASSERT_EQ(actions.size(), 1u);
-  EXPECT_LT(actions[0].time, settings.ask_within);
+  EXPECT_LT(actions[0].time, settings.list_retry_cap);
   for (int i = 0; i < 20; ++i) {
     ASSERT_EQ(actions[0].kind, Kind::kTimer);
     const auto ask = Fire(actions[0]);
@@ -863,7 +864,7 @@
     List(ListUpdate::Kind::kFailed, {});
     actions = sink_.Take();
     ASSERT_EQ(actions.size(), 1u);
-    EXPECT_LE(actions[0].time, settings.ask_within);
+    EXPECT_LE(actions[0].time, settings.list_retry_cap);
   }
 }
 
@@ -896,11 +897,12 @@
   const std::vector<std::pair<std::string, void (*)(Settings&)>> cases = {
       {"no request classes", [](Settings& s) { s.classes.clear(); }},
       {"negative time in class c", [](Settings& s) { s.classes[1].deadline = -1; }},
-      {"unknown repeat kind in class c", [](Settings& s) { s.classes[0].repeat = static_cast<Repeat>(9); }},
+      {"unknown repeat kind in class c",
+       [](Settings& s) { s.classes[0].retry_safety = static_cast<RetrySafety>(9); }},
       {"max_attempts under 1", [](Settings& s) { s.max_attempts = 0; }},
-      {"rank outside the number of sidecars", [](Settings& s) { s.rank = s.siblings; }},
-      {"cold_share outside (0, 1]", [](Settings& s) { s.cold_share = 0; }},
-      {"negative time", [](Settings& s) { s.warm_after = -1; }},
+      {"rank outside the number of sidecars", [](Settings& s) { s.sidecar_index = s.sidecar_count; }},
+      {"cold_share outside (0, 1]", [](Settings& s) { s.cold_start_capacity = 0; }},
+      {"negative time", [](Settings& s) { s.warmup_time = -1; }},
       {"tuning: windows_per_server under 0", [](Settings& s) { s.tuning.windows_per_server = -1; }},
   };
   for (const auto& [expected, spoil] : cases) {
--- a/tests/causes_test.cpp
+++ b/tests/causes_test.cpp
@@ -24,9 +24,9 @@
 
 TEST_F(CausesTest, TellWhatTheLastAttemptMet) {
   const std::vector<std::pair<Result, Cause>> cases = {
-      {Result::kRefused, Cause::kTurnedAway}, {Result::kUnreachable, Cause::kUnreachable},
-      {Result::kReset, Cause::kReset},        {Result::kError, Cause::kErrored},
-      {Result::kTimeout, Cause::kTimedOut},   {Result::kCancelled, Cause::kTimedOut}};
+      {Result::kRefused, Cause::kRejected}, {Result::kUnreachable, Cause::kUnreachable},
+      {Result::kReset, Cause::kReset},      {Result::kError, Cause::kServerError},
+      {Result::kTimeout, Cause::kTimedOut}, {Result::kCancelled, Cause::kTimedOut}};
   for (const auto& [result, cause] : cases) {
     sent_ = 0;
     Start(MakeSettings(), 40);  // more than one request can leave alone
@@ -40,7 +40,7 @@
   Settings one_front = MakeSettings();
   Start(one_front, 2);
   std::vector<ServerInfo> others = MakeServers(2);
-  for (ServerInfo& info : others) info.fronts = 2;
+  for (ServerInfo& info : others) info.protocols = 2;
   List(ListUpdate::Kind::kFull, others);
   EXPECT_EQ(LastOf(Arrive("r2"), "r2", Result::kSuccess).why, Cause::kNoServer);
 }
@@ -69,18 +69,18 @@
 
 TEST_F(CausesTest, WhatIsBelievedNamesEachListedServerAndWhoIsLeftAlone) {
   Start(MakeSettings(), 4);
-  Beliefs before = balancer_->Believed(now_);
+  BalancerSnapshot before = balancer_->TakeSnapshot(now_);
   ASSERT_EQ(before.servers.size(), 4U);
   EXPECT_EQ(before.servers[0].id, "s00");
   EXPECT_EQ(before.pools[0].servers, 4U);
-  EXPECT_EQ(before.servers[0].left_alone, 0);
+  EXPECT_EQ(before.servers[0].ejected_for, 0);
   const auto sent = Arrive("r1");
   ASSERT_EQ(sent[0].kind, Kind::kSend);
   now_ += 1;
   Resolve("r1", 0, Result::kUnreachable);
-  const Beliefs after = balancer_->Believed(now_);
-  for (const Beliefs::Server& server : after.servers)
-    EXPECT_EQ(server.strikes, server.id == sent[0].server ? 1 : 0) << server.id;
+  const BalancerSnapshot after = balancer_->TakeSnapshot(now_);
+  for (const BalancerSnapshot::Server& server : after.servers)
+    EXPECT_EQ(server.consecutive_failures, server.id == sent[0].server ? 1 : 0) << server.id;
 }
 
 }  // namespace
--- a/tests/cluster/words_test.cpp
+++ b/tests/cluster/words_test.cpp
@@ -86,7 +86,7 @@
 
 TEST_F(ClusterWordsTest, OneThatSaysAllDeadWithoutEndMovesNobody) {
   Build();
-  LieFor(seconds(4), zones::Stage::kLeft, 9);
+  LieFor(seconds(4), zones::Stage::kEjected, 9);
   ExpectEpochs(0);
   End();
 }
@@ -134,9 +134,10 @@
   EXPECT_EQ(before, 0U);
   cluster_->mesh().SayAs(3, "noise");
   cluster_->mesh().SayAs(3, std::string(400, 'x'));
-  cluster_->mesh().SayAs(3, Forged(5, zones::Stage::kLeft, 9, 1, NowMs()));               // in another's name
-  cluster_->mesh().SayAs(3, Forged(3, zones::Stage::kLeft, 9, 1, NowMs() + 3'600'000));   // from the future
-  cluster_->mesh().SayAs(3, Forged(3, zones::Stage::kLeft, 9, 99, NowMs() - 3'600'000));  // from an old life
+  cluster_->mesh().SayAs(3, Forged(5, zones::Stage::kEjected, 9, 1, NowMs()));  // in another's name
+  cluster_->mesh().SayAs(3, Forged(3, zones::Stage::kEjected, 9, 1, NowMs() + 3'600'000));  // from the future
+  cluster_->mesh().SayAs(3,
+                         Forged(3, zones::Stage::kEjected, 9, 99, NowMs() - 3'600'000));  // from an old life
   EXPECT_TRUE(Until([&] { return Word(0, "old") == 1; }));
   EXPECT_EQ(Word(0, "broken"), 2U);
   EXPECT_EQ(Word(0, "foreign"), 1U);
--- a/tests/diameter/application_test.cpp
+++ b/tests/diameter/application_test.cpp
@@ -15,7 +15,8 @@
 
 Settings FourClasses() {
   Settings settings;
-  settings.classes = {MakeClass(Repeat::kSafe), MakeClass(Repeat::kDeduplicated), MakeClass(Repeat::kNever)};
+  settings.classes = {MakeClass(RetrySafety::kSafe), MakeClass(RetrySafety::kDeduplicated),
+                      MakeClass(RetrySafety::kNever)};
   settings.classes[0].name = "sim-lookup";
   settings.classes[1].name = "activate";
   settings.classes[2].name = "number-port";
--- a/tests/fleet/conversation_test.cpp
+++ b/tests/fleet/conversation_test.cpp
@@ -55,15 +55,15 @@
 
 class ConversationTest : public ::testing::Test {
  protected:
-  std::vector<Beliefs::Zone> Zones(std::size_t dead, ZoneStage stage = ZoneStage::kServing) {
-    Beliefs::Zone well;
+  std::vector<BalancerSnapshot::Zone> Zones(std::size_t dead, ZoneStage stage = ZoneStage::kServing) {
+    BalancerSnapshot::Zone well;
     well.zone = 0;
-    well.last = 20'000;
-    Beliefs::Zone other = well;
+    well.since_last_evidence = 20'000;
+    BalancerSnapshot::Zone other = well;
     other.zone = 1;
     other.stage = stage;
-    other.dead = dead;
-    other.last = since_sign_;
+    other.dead_servers = dead;
+    other.since_last_evidence = since_sign_;
     return {well, other};
   }
   std::string Bytes(std::uint32_t sender, std::uint64_t sequence = 1) {
@@ -95,10 +95,10 @@
   now += 350'000;
   EXPECT_EQ(one_.Say(now, Zones(2, ZoneStage::kSuspected), 0, 1).to.size(), 7U);
   now += 350'000;
-  EXPECT_EQ(one_.Say(now, Zones(3, ZoneStage::kLeft), 1, 1).to.size(), 7U);
+  EXPECT_EQ(one_.Say(now, Zones(3, ZoneStage::kEjected), 1, 1).to.size(), 7U);
   since_sign_ = 1'100'000;
   now += 350'000;
-  EXPECT_TRUE(one_.Say(now, Zones(3, ZoneStage::kLeft), 1, 1).to.empty());
+  EXPECT_TRUE(one_.Say(now, Zones(3, ZoneStage::kEjected), 1, 1).to.empty());
   now += 350'000;
   EXPECT_EQ(one_.Say(now, Zones(0, ZoneStage::kReturning), 2, 1).to.size(), 7U);
 }
@@ -144,7 +144,7 @@
         }
         if (words) {
           for (const int zone : {0, 1}) one->zones.OnTold(now, one->talk.Of(now, zone), window);
-          const auto saying = one->talk.Say(now, one->zones.Believed(now), one->zones.epoch(), 1);
+          const auto saying = one->talk.Say(now, one->zones.TakeSnapshot(now), one->zones.epoch(), 1);
           for (const std::uint32_t to : saying.to)
             if (chance.Unit() >= lost_words) all[to]->talk.Hear(now, one->own, saying.bytes);
         }
--- a/tests/fleet/members_test.cpp
+++ b/tests/fleet/members_test.cpp
@@ -14,7 +14,7 @@
 constexpr Micros kNow = 1'796'000'000'000'000;  // the clock stands for Unix time
 constexpr std::uint64_t kStart = kNow / 1000 - 10'000;
 
-ZoneWord Lost(int zone = 1) { return {zone, zones::Stage::kLeft, 1, 3, 20, 500}; }
+ZoneWord Lost(int zone = 1) { return {zone, zones::Stage::kEjected, 1, 3, 20, 500}; }
 ZoneWord Well(int zone = 1) { return {zone, zones::Stage::kServing, 0, 0, 20, 9'000}; }
 
 class MembersTest : public ::testing::Test {
@@ -29,22 +29,23 @@
 
 TEST_F(MembersTest, OneSenderCountsOnceHoweverOftenItSpeaks) {
   for (int i = 0; i < 100; ++i) Say(5, Lost());
-  EXPECT_EQ(members_.Of(now_, 1).lost, 1);
-  EXPECT_EQ(members_.Of(now_, 1).heard, 1);
-  EXPECT_EQ(members_.Of(now_, 0).heard, 0);
+  EXPECT_EQ(members_.Of(now_, 1).reporting_lost, 1);
+  EXPECT_EQ(members_.Of(now_, 1).reporting, 1);
+  EXPECT_EQ(members_.Of(now_, 0).reporting, 0);
 }
 
 TEST_F(MembersTest, WordsCountForThePresentAlone) {
   Say(1, Lost());
   Say(2, Well());
-  EXPECT_EQ(members_.Of(now_, 1).well, 1);
-  EXPECT_EQ(members_.Of(now_, 1).lost, 1);
+  EXPECT_EQ(members_.Of(now_, 1).reporting_healthy, 1);
+  EXPECT_EQ(members_.Of(now_, 1).reporting_lost, 1);
   now_ += Members::kSpeaksFor;  // what it met is not of the present any more, though the word is
-  EXPECT_EQ(members_.Of(now_, 1).well, 0);
-  EXPECT_EQ(members_.Of(now_, 1).lost, 1);  // it has left the zone, and meets nothing there till its trial
-  EXPECT_EQ(members_.Of(now_, 1).heard, 2);
+  EXPECT_EQ(members_.Of(now_, 1).reporting_healthy, 0);
+  EXPECT_EQ(members_.Of(now_, 1).reporting_lost,
+            1);  // it has left the zone, and meets nothing there till its trial
+  EXPECT_EQ(members_.Of(now_, 1).reporting, 2);
   now_ += Members::kFresh;
-  EXPECT_EQ(members_.Of(now_, 1).heard, 0);
+  EXPECT_EQ(members_.Of(now_, 1).reporting, 0);
   EXPECT_EQ(members_.Lately(now_), 0U);
 }
 
@@ -52,10 +53,10 @@
   Say(1, Lost());
   EXPECT_EQ(members_.Hear(now_, {1, kStart + 500, 1, 1, {Well()}}), Members::Heard::kNew);
   EXPECT_EQ(members_.returns(), 1U);
-  EXPECT_EQ(members_.Of(now_, 1).well, 1);
+  EXPECT_EQ(members_.Of(now_, 1).reporting_healthy, 1);
   // What it said before it went, held back on the way.
   EXPECT_EQ(members_.Hear(now_, {1, kStart, 900, 1, {Lost()}}), Members::Heard::kOld);
-  EXPECT_EQ(members_.Of(now_, 1).lost, 0);
+  EXPECT_EQ(members_.Of(now_, 1).reporting_lost, 0);
 }
 
 TEST_F(MembersTest, FromTheFutureOrUnderThisSidecarsNumberIsDropped) {
@@ -70,10 +71,10 @@
     Say(9, Lost());
     now_ += 100'000;
   }
-  EXPECT_EQ(members_.Of(now_, 1).lost, 0);
-  EXPECT_EQ(members_.Of(now_, 1).heard, 4);
+  EXPECT_EQ(members_.Of(now_, 1).reporting_lost, 0);
+  EXPECT_EQ(members_.Of(now_, 1).reporting, 4);
   for (int round = 0; round < 60; ++round) Say(9, Well());
-  EXPECT_EQ(members_.Of(now_, 1).heard, 5);
+  EXPECT_EQ(members_.Of(now_, 1).reporting, 5);
 }
 
 TEST_F(MembersTest, InAFleetSplitIntoHalvesNobodyIsAgainstEverybody) {
@@ -82,8 +83,8 @@
     for (std::uint32_t other = 5; other <= 8; ++other) Say(other, Lost());
     now_ += 100'000;
   }
-  EXPECT_EQ(members_.Of(now_, 1).lost, 4);
-  EXPECT_EQ(members_.Of(now_, 1).heard, 8);
+  EXPECT_EQ(members_.Of(now_, 1).reporting_lost, 4);
+  EXPECT_EQ(members_.Of(now_, 1).reporting, 8);
 }
 
 TEST_F(MembersTest, AZoneIsAsWarmAsAQuorumHasFoundIt) {
--- a/tests/fleet/words_test.cpp
+++ b/tests/fleet/words_test.cpp
@@ -15,7 +15,7 @@
           1'796'000'000'000,
           17,
           41,
-          {{0, zones::Stage::kServing, 4, 0, 120, 600'000}, {1, zones::Stage::kLeft, 4, 3, 2'000, 900}}};
+          {{0, zones::Stage::kServing, 4, 0, 120, 600'000}, {1, zones::Stage::kEjected, 4, 3, 2'000, 900}}};
 }
 
 std::string Cbor(const nlohmann::json& json) {
--- a/tests/fuzz/words_fuzz.cpp
+++ b/tests/fuzz/words_fuzz.cpp
@@ -29,8 +29,9 @@
   members.Hear(now, *words);
   Require(members.known() < kSiblings);
   for (const auto& zone : words->zones) {
-    const merlinrun::ZoneTold told = members.Of(now, zone.zone);
-    Require(told.lost + told.well <= told.heard && told.heard <= static_cast<int>(kSiblings));
+    const merlinrun::ZonePeerReport told = members.Of(now, zone.zone);
+    Require(told.reporting_lost + told.reporting_healthy <= told.reporting &&
+            told.reporting <= static_cast<int>(kSiblings));
   }
 }
 
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -51,13 +51,13 @@
   std::vector<Action> actions;
 };
 
-inline RequestClass MakeClass(Repeat repeat, DedupGroup group = DedupGroup::kAll) {
+inline RequestClass MakeClass(RetrySafety repeat, DedupScope group = DedupScope::kAll) {
   RequestClass c;
   c.name = "c";
-  c.aim = 1 * kSec;
+  c.latency_target = 1 * kSec;
   c.deadline = 5 * kSec;
-  c.repeat = repeat;
-  c.group = group;
+  c.retry_safety = repeat;
+  c.dedup_scope = group;
   c.dedup_window = 3 * kSec;
   return c;
 }
@@ -65,16 +65,16 @@
 // Classes 0, 1 and 2: safe, deduplicated in the zone, never to be repeated. 3: deduplicated everywhere.
 inline Settings MakeSettings() {
   Settings s;
-  s.classes = {MakeClass(Repeat::kSafe), MakeClass(Repeat::kDeduplicated, DedupGroup::kZone),
-               MakeClass(Repeat::kNever), MakeClass(Repeat::kDeduplicated)};
+  s.classes = {MakeClass(RetrySafety::kSafe), MakeClass(RetrySafety::kDeduplicated, DedupScope::kZone),
+               MakeClass(RetrySafety::kNever), MakeClass(RetrySafety::kDeduplicated)};
   s.max_attempts = 5;
   s.max_retry_after = 2 * kSec;
   s.drain_grace = 500 * kMs;
-  s.cold_share = 0.25;
-  s.warm_after = 8 * kSec;
+  s.cold_start_capacity = 0.25;
+  s.warmup_time = 8 * kSec;
   s.overload_factor = 4;
-  s.fall_window = 2 * kSec;
-  s.ask_within = 10 * kSec;
+  s.overload_crash_time = 2 * kSec;
+  s.list_retry_cap = 10 * kSec;
   s.tick = 5 * kMs;
   s.tuning.windows_per_server = 0;  // narrow windows, as of large fleets; tests of their width set it
   return s;
--- a/tests/mesh/egress_lookup_test.cpp
+++ b/tests/mesh/egress_lookup_test.cpp
@@ -174,13 +174,13 @@
         REQUIRE(index >= 0);
         REQUIRE(index < static_cast<int>(grid.size()));
         const auto& matched = grid[static_cast<std::size_t>(index)];
-        CHECK((matched.repeat == merlinrun::Repeat::kSafe) == safe);
+        CHECK((matched.retry_safety == merlinrun::RetrySafety::kSafe) == safe);
         const Micros target = (target_ms > 0 ? target_ms : 1000) * 1000;
         for (const auto& other : grid) {
-          CHECK(std::abs(matched.aim - target) <= std::abs(other.aim - target));
-          if (priority > 0 && other.worth > matched.worth) {
+          CHECK(std::abs(matched.latency_target - target) <= std::abs(other.latency_target - target));
+          if (priority > 0 && other.value > matched.value) {
             match.priority = priority - 1;
-            CHECK(grid[static_cast<std::size_t>(RequestClassOf(match))].worth >= matched.worth);
+            CHECK(grid[static_cast<std::size_t>(RequestClassOf(match))].value >= matched.value);
           }
         }
       }
--- a/tests/model/world_test.cpp
+++ b/tests/model/world_test.cpp
@@ -91,7 +91,7 @@
     if (wrong_ == Wrong::kTwoAtOnce) actions_.Send(sidecar, request.id, Pick(list), 0);
   }
   void OnOutcome(std::uint32_t sidecar, Micros, const Outcome& outcome, std::string_view) override {
-    if (outcome.settled || wrong_ == Wrong::kSilent) return;
+    if (outcome.request_done || wrong_ == Wrong::kSilent) return;
     if (wrong_ == Wrong::kSendsAgain && outcome.attempt < 3)
       return actions_.Send(sidecar, outcome.request, Pick(lists_[sidecar]), 0);
     if (wrong_ == Wrong::kRefusesAll) return actions_.Refuse(sidecar, outcome.request, 0);
@@ -426,10 +426,10 @@
   const Settings read = drill::ParseSettings(SettingsLine(settings)).settings;
   EXPECT_EQ(SettingsLine(read), SettingsLine(settings));
   ASSERT_EQ(read.classes.size(), 4U);
-  EXPECT_EQ(read.classes[2].repeat, Repeat::kDeduplicated);
-  EXPECT_EQ(read.classes[2].worth, 10);
-  EXPECT_EQ(read.cold_share, settings.cold_share);
-  EXPECT_EQ(read.siblings, settings.siblings);
+  EXPECT_EQ(read.classes[2].retry_safety, RetrySafety::kDeduplicated);
+  EXPECT_EQ(read.classes[2].value, 10);
+  EXPECT_EQ(read.cold_start_capacity, settings.cold_start_capacity);
+  EXPECT_EQ(read.sidecar_count, settings.sidecar_count);
   EXPECT_EQ(read.max_retry_after, settings.max_retry_after);
 }
 
--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -29,7 +29,7 @@
   EXPECT_EQ(config.seed, 0x8c1f30d27a5be964U);
   EXPECT_EQ(config.sockets, 1024U);
   ASSERT_EQ(config.wire.settings.classes.size(), 3U);
-  EXPECT_EQ(config.wire.settings.classes[2].repeat, Repeat::kNever);
+  EXPECT_EQ(config.wire.settings.classes[2].retry_safety, RetrySafety::kNever);
   EXPECT_EQ(config.wire.settings.dial_timeout, 250'000);
   EXPECT_EQ(config.wire.settings.zone, 0);
   ASSERT_EQ(config.known.endpoints.size(), 1U);
--- a/tests/net/validate_test.cpp
+++ b/tests/net/validate_test.cpp
@@ -107,22 +107,22 @@
 }
 
 TEST(ValidateForClass, MethodAndKeyFollowFromTheClass) {
-  const auto turned = [](http::verb method, Repeat repeat, const char* key) {
+  const auto turned = [](http::verb method, RetrySafety repeat, const char* key) {
     RequestHeader header;
     header.method(method);
     if (key != nullptr) header.set(kIdempotencyHeader, key);
     return ValidateForClass(header, repeat).has_value();
   };
-  EXPECT_FALSE(turned(http::verb::get, Repeat::kSafe, nullptr));
-  EXPECT_FALSE(turned(http::verb::post, Repeat::kDeduplicated, "k1"));
-  EXPECT_FALSE(turned(http::verb::post, Repeat::kNever, nullptr));
-  EXPECT_TRUE(turned(http::verb::post, Repeat::kSafe, nullptr));
-  EXPECT_TRUE(turned(http::verb::head, Repeat::kSafe, nullptr));
-  EXPECT_TRUE(turned(http::verb::get, Repeat::kSafe, "k1"));
-  EXPECT_TRUE(turned(http::verb::get, Repeat::kNever, nullptr));
-  EXPECT_TRUE(turned(http::verb::post, Repeat::kDeduplicated, nullptr));
-  EXPECT_TRUE(turned(http::verb::post, Repeat::kDeduplicated, ""));
-  EXPECT_TRUE(turned(http::verb::post, Repeat::kNever, "k1"));
+  EXPECT_FALSE(turned(http::verb::get, RetrySafety::kSafe, nullptr));
+  EXPECT_FALSE(turned(http::verb::post, RetrySafety::kDeduplicated, "k1"));
+  EXPECT_FALSE(turned(http::verb::post, RetrySafety::kNever, nullptr));
+  EXPECT_TRUE(turned(http::verb::post, RetrySafety::kSafe, nullptr));
+  EXPECT_TRUE(turned(http::verb::head, RetrySafety::kSafe, nullptr));
+  EXPECT_TRUE(turned(http::verb::get, RetrySafety::kSafe, "k1"));
+  EXPECT_TRUE(turned(http::verb::get, RetrySafety::kNever, nullptr));
+  EXPECT_TRUE(turned(http::verb::post, RetrySafety::kDeduplicated, nullptr));
+  EXPECT_TRUE(turned(http::verb::post, RetrySafety::kDeduplicated, ""));
+  EXPECT_TRUE(turned(http::verb::post, RetrySafety::kNever, "k1"));
 }
 
 TEST(IsValidResponse, TakesOneLengthWithinTheLimitAndNothingElse) {
--- a/tests/ops/api_test.cpp
+++ b/tests/ops/api_test.cpp
@@ -96,9 +96,9 @@
 TEST_F(ApiTest, ShowsTheListAndWhatTheModuleAvoids) {
   request_manager.OnServers({ListUpdate::Kind::kFull, 1, MakeServers(5)});
   EXPECT_EQ(Figures().at("pool_size"), 5);
-  Beliefs beliefs;
+  BalancerSnapshot beliefs;
   beliefs.servers.resize(3);
-  beliefs.servers[1].left_alone = 1;
+  beliefs.servers[1].ejected_for = 1;
   EXPECT_EQ(
       nlohmann::json::parse(FiguresText(counters, request_manager.settings(), beliefs)).at("pool_ejected"),
       1);
--- a/tests/ops/phase_test.cpp
+++ b/tests/ops/phase_test.cpp
@@ -47,7 +47,7 @@
 
 Settings LateCounts() {  // so that the module waits past the aim
   Settings settings = MakeSettings();
-  for (RequestClass& c : settings.classes) c.late_worth = 0.5;
+  for (RequestClass& c : settings.classes) c.late_value = 0.5;
   return settings;
 }
 
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -52,7 +52,7 @@
   Settings GivesUpAtAim() const {
     Settings settings = MakeSettings();
     settings.cancel = true;
-    for (RequestClass& c : settings.classes) c.aim = 100 * kMs;
+    for (RequestClass& c : settings.classes) c.latency_target = 100 * kMs;
     return settings;
   }
 
@@ -115,7 +115,8 @@
   Start(MakeSettings(), 8);
   Play(1250, 4 * kSec, [](const std::string&) { return 40 * kMs; });
   const Counts slower = Play(625, 2 * kSec, [](const std::string&) { return 200 * kMs; });
-  EXPECT_GT(Of(slower.unserved, Cause::kCrowded) + Of(slower.unserved, Cause::kOverload), slower.asked / 4);
+  EXPECT_GT(Of(slower.unserved, Cause::kConcurrencyLimit) + Of(slower.unserved, Cause::kOverload),
+            slower.asked / 4);
 }
 
 // Met on the second deployment: a server stood still for a third of a second, what it held came late one
@@ -128,7 +129,7 @@
       return server == "s01" && round % 4 == 3 ? 300 * kMs : 20 * kMs;
     };
     const Counts counts = Play(100, 1400, one_stands);
-    refused += Of(counts.unserved, Cause::kOverload) + Of(counts.unserved, Cause::kCrowded);
+    refused += Of(counts.unserved, Cause::kOverload) + Of(counts.unserved, Cause::kConcurrencyLimit);
     Rest(500 * kMs);
   }
   EXPECT_LE(refused, 5);  // one in a hundred
@@ -143,7 +144,7 @@
   int attempt = 0;
   const auto sixth_is_lost = [&](const std::string&) { return ++attempt % 6 == 0 ? 3 * kSec : 40 * kMs; };
   const Counts counts = Play(2500, 8 * kSec, sixth_is_lost);
-  EXPECT_LT(Of(counts.unserved, Cause::kCrowded), counts.asked / 20);
+  EXPECT_LT(Of(counts.unserved, Cause::kConcurrencyLimit), counts.asked / 20);
 }
 
 // Met on both deployments' stale wide days: half of the servers were left alone at any time for lateness and
@@ -154,15 +155,16 @@
   std::ptrdiff_t AfterMany(Result result) {
     Settings settings = MakeSettings();
     settings.tuning.window_width = 10;
-    settings.classes[0].late_worth = 0.5;
+    settings.classes[0].late_value = 0.5;
     settings.cancel = true;
     Start(settings, 10);
     for (int i = 0; i < 60; ++i) Deliver("r" + std::to_string(i));
     now_ += 100 * kMs;
     for (int i = 0; i < 60; ++i) balancer_->OnOutcome(now_, {"r" + std::to_string(i), 0, result, 100 * kMs});
-    const Beliefs beliefs = balancer_->Believed(now_);
-    return std::count_if(beliefs.servers.begin(), beliefs.servers.end(),
-                         [](const Beliefs::Server& server) { return server.strikes > 0; });
+    const BalancerSnapshot beliefs = balancer_->TakeSnapshot(now_);
+    return std::count_if(
+        beliefs.servers.begin(), beliefs.servers.end(),
+        [](const BalancerSnapshot::Server& server) { return server.consecutive_failures > 0; });
   }
 };
 
@@ -175,7 +177,7 @@
 // Lateness of one that answers all the while is load, and what it is given follows its slowness.
 TEST_F(LeftAloneTest, NotOneThatHasAnsweredSince) {
   Settings settings = MakeSettings();
-  settings.classes[0].late_worth = 0.5;
+  settings.classes[0].late_value = 0.5;
   settings.cancel = true;
   Start(settings, 2);
   std::vector<std::string> ids;  // at s00
@@ -186,7 +188,7 @@
   now_ += 1500 * kMs;
   balancer_->OnOutcome(now_, {ids[1], 0, Result::kSuccess, 1500 * kMs, true, {}});
   balancer_->OnOutcome(now_, {ids[0], 0, Result::kTimeout, 1500 * kMs});
-  EXPECT_EQ(balancer_->Believed(now_).servers.at(0).strikes, 0);
+  EXPECT_EQ(balancer_->TakeSnapshot(now_).servers.at(0).consecutive_failures, 0);
 }
 
 }  // namespace
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -46,7 +46,7 @@
     tried.ran = (result != Result::kRefused || set_.refused_may_have_run) && result != Result::kUnreachable &&
                 result != Result::kNeverSent;
     if (result == Result::kTimeout || result == Result::kReset || result == Result::kCancelled)
-      seen.settled_at = now + set_.settle_after_doubt;
+      seen.settled_at = now + set_.hold_after_uncertain_outcome;
     if (settled) seen.ended = true;
   }
   void Gone(const std::string& id) { requests_.at(id).ended = true; }
@@ -79,20 +79,20 @@
         if (!earlier.ended) Breach("sent before an earlier one of the key was over");
         if (now < earlier.settled_at) Breach("sent before the key had settled");
       }
-      if (ran != nullptr && c.repeat == Repeat::kNever) Breach("an effect may happen twice");
-      if (ran != nullptr && c.repeat == Repeat::kDeduplicated) {
+      if (ran != nullptr && c.retry_safety == RetrySafety::kNever) Breach("an effect may happen twice");
+      if (ran != nullptr && c.retry_safety == RetrySafety::kDeduplicated) {
         if (now >= ran->sent + c.dedup_window) Breach("repeated after the window");
-        if (c.group == DedupGroup::kZone && ran->zone != server.info.zone)
+        if (c.dedup_scope == DedupScope::kZone && ran->zone != server.info.zone)
           Breach("repeated outside the group");
-        if (c.group == DedupGroup::kCell && ran->cell != server.info.cell)
+        if (c.dedup_scope == DedupScope::kCell && ran->cell != server.info.cell)
           Breach("repeated outside the group");
       }
       seen.tries.push_back({now, server.info.zone, server.info.cell, true, true});
       return;
     }
     if (now > seen.deadline + slack_) Breach("answered late");
-    if (action.kind == Kind::kRefuse && ran != nullptr && c.repeat != Repeat::kSafe &&
-        !(c.repeat == Repeat::kDeduplicated && c.group == DedupGroup::kAll))
+    if (action.kind == Kind::kRefuse && ran != nullptr && c.retry_safety != RetrySafety::kSafe &&
+        !(c.retry_safety == RetrySafety::kDeduplicated && c.dedup_scope == DedupScope::kAll))
       Breach("refused what may have run");
     seen.ended = true;
   }
@@ -283,21 +283,21 @@
   Settings ask = MakeSettings();
   ask.must_subscribe = true;
   ask.zone = 0;
-  ask.price_crossing = 0.2;
-  for (RequestClass& c : ask.classes) c.worth = 3;
+  ask.cost_cross_zone = 0.2;
+  for (RequestClass& c : ask.classes) c.value = 3;
   Settings cell = MakeSettings();
-  cell.classes[1].group = DedupGroup::kCell;
+  cell.classes[1].dedup_scope = DedupScope::kCell;
   cell.max_attempts = 2;
   cell.max_retry_after = 0;
   Settings full = MakeSettings();
   full.refused_may_have_run = true;
   Settings order = MakeSettings();
-  order.settle_after_doubt = 40 * kMs;
+  order.hold_after_uncertain_outcome = 40 * kMs;
   order.classes[0].sequential = order.classes[1].sequential = order.classes[2].sequential = true;
   Settings both = order;
   both.refused_may_have_run = true;
-  both.classes[1].group = DedupGroup::kCell;
-  both.settle_after_doubt = 0;
+  both.classes[1].dedup_scope = DedupScope::kCell;
+  both.hold_after_uncertain_outcome = 0;
   both.must_subscribe = true;
   Settings warm = ask;
   warm.warm_keys = true;
@@ -359,10 +359,10 @@
 // The further rules: a module that is not told of them (the settings are kept from it) breaks each.
 TEST(Rules, TheCheckerSeesWhatAModuleWithoutTheFurtherRulesBreaks) {
   Settings both = Variants().back();
-  both.settle_after_doubt = 500 * kMs;
+  both.hold_after_uncertain_outcome = 500 * kMs;
   Settings untold = both;
   untold.refused_may_have_run = false;
-  untold.settle_after_doubt = 0;
+  untold.hold_after_uncertain_outcome = 0;
   std::set<std::string> all = Breaches(untold, nullptr, &both);
   EXPECT_TRUE(all.count("refused what may have run"));
   EXPECT_TRUE(all.count("an effect may happen twice"));
--- a/tests/stats/account_test.cpp
+++ b/tests/stats/account_test.cpp
@@ -31,7 +31,7 @@
   account.Add(Over(CompletedRequest::Disposition::kServed, 1000 * kMs, 1));
   account.Add(Over(CompletedRequest::Disposition::kServed, 1001 * kMs, 2));
   account.Add(Over(CompletedRequest::Disposition::kClientGone, 0, 1));
-  account.Add(Over(CompletedRequest::Disposition::kRefused, 0, 0, Cause::kCrowded));
+  account.Add(Over(CompletedRequest::Disposition::kRefused, 0, 0, Cause::kConcurrencyLimit));
   account.Add(Over(CompletedRequest::Disposition::kFailed, 0, 1, Cause::kReset));
   account.Add(Over(CompletedRequest::Disposition::kFailed, 0, 1));
   CompletedRequest foreign;
@@ -44,7 +44,7 @@
   EXPECT_EQ(c.left, 1);
   EXPECT_EQ(c.untried, 1);
   EXPECT_EQ(c.tries, 6);
-  EXPECT_EQ(c.refused[static_cast<std::size_t>(Cause::kCrowded)], 1);
+  EXPECT_EQ(c.refused[static_cast<std::size_t>(Cause::kConcurrencyLimit)], 1);
   EXPECT_EQ(c.failed[static_cast<std::size_t>(Cause::kReset)], 1);
   EXPECT_EQ(c.out_of_time, 1);
   EXPECT_EQ(account.Take().classes.at(0).tries, 0);
@@ -62,14 +62,14 @@
 
 TEST(TraceLine, LaysCausesBesideServers) {
   Account account(MakeSettings());
-  account.Add(Over(CompletedRequest::Disposition::kRefused, 0, 0, Cause::kLeftAlone));
+  account.Add(Over(CompletedRequest::Disposition::kRefused, 0, 0, Cause::kEjected));
   account.Add({"s1", Result::kTimeout, 70 * kMs, 0});
-  Beliefs beliefs;
+  BalancerSnapshot beliefs;
   beliefs.pools[0].servers = 1;
-  Beliefs::Server server;
+  BalancerSnapshot::Server server;
   server.id = "s1";
   server.in_window = true;
-  server.left_alone = 250 * kMs;
+  server.ejected_for = 250 * kMs;
   beliefs.servers.push_back(server);
   const auto line =
       nlohmann::json::parse(TraceLine(5, MakeSettings(), account.Take(), beliefs, {1, 2, 3}, true));
--- a/tests/warm_keys_test.cpp
+++ b/tests/warm_keys_test.cpp
@@ -49,10 +49,10 @@
 // so that a key was met again on its server in 22 of 100 cases.
 TEST_F(WarmKeysTest, AllSidecarsFindTheSameServerForAKey) {
   Settings settings = Warm();
-  settings.siblings = 5;
+  settings.sidecar_count = 5;
   Start(settings, 12, 1);
   const auto first = Map();
-  settings.rank = 3;
+  settings.sidecar_index = 3;
   Start(settings, 12, 2);
   EXPECT_EQ(Map(), first);
   std::map<std::string, int> keys;
@@ -153,7 +153,7 @@
 
 TEST_F(WarmKeysTest, WhereConnectionsCostSomethingTheWindowStaysNarrow) {
   Settings settings = Warm();
-  settings.price_connection = 0.05;
+  settings.cost_connection = 0.05;
   Start(settings, 40);
   std::set<std::string> met;
   for (const auto& [key, server] : Map()) met.insert(server);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -161,25 +161,25 @@
           "goal.worst_window=0.8 goal.worst_class=0.9 goal.worst_tenant=0.25 grades.count=1 grades.0.name=a "
           "grades.0.repeat=idempotent grades.0.sequential=true")
           .settings;
-  EXPECT_EQ(s.connection_idle, 5);
+  EXPECT_EQ(s.connection_idle_timeout, 5);
   EXPECT_EQ(s.dial_timeout, 6);
-  EXPECT_EQ(s.most_open, 7);
+  EXPECT_EQ(s.max_open_requests, 7);
   EXPECT_EQ(s.cpu_per_s, 8);
   EXPECT_EQ(s.cpu_per_request, 9.5);
-  EXPECT_TRUE(s.clients_mark_repeats);
-  EXPECT_EQ(s.reports, Settings::Reports::kInAnswers);
+  EXPECT_TRUE(s.clients_mark_retries);
+  EXPECT_EQ(s.load_reporting, Settings::LoadReporting::kInResponses);
   EXPECT_EQ(s.report_fields, (std::vector<std::string>{"busy_reqs", "svc_ms"}));
   EXPECT_EQ(s.weights, Settings::Weights::kLive);
   EXPECT_TRUE(s.warm_keys);
   EXPECT_TRUE(s.refused_may_have_run);
-  EXPECT_EQ(s.settle_after_doubt, 10);
-  EXPECT_EQ(s.price_handshake, 0.1);
-  EXPECT_EQ(s.price_probe, 0.2);
-  EXPECT_EQ(s.price_peer, 0.3);
-  EXPECT_EQ(s.price_discovery, 0.4);
-  EXPECT_EQ(s.price_moves, 0.5);
-  EXPECT_EQ(s.price_origin, 0.6);
-  EXPECT_EQ(s.goal_whole, 0.7);
+  EXPECT_EQ(s.hold_after_uncertain_outcome, 10);
+  EXPECT_EQ(s.cost_handshake, 0.1);
+  EXPECT_EQ(s.cost_probe, 0.2);
+  EXPECT_EQ(s.cost_peer_traffic, 0.3);
+  EXPECT_EQ(s.cost_discovery, 0.4);
+  EXPECT_EQ(s.cost_moves, 0.5);
+  EXPECT_EQ(s.cost_origin, 0.6);
+  EXPECT_EQ(s.goal_total, 0.7);
   EXPECT_EQ(s.goal_worst_window, 0.8);
   EXPECT_EQ(s.goal_worst_class, 0.9);
   EXPECT_EQ(s.goal_worst_tenant, 0.25);
--- a/tests/zones/orders_test.cpp
+++ b/tests/zones/orders_test.cpp
@@ -7,16 +7,16 @@
 namespace {
 
 std::string WrongOf(std::string_view text) {
-  const auto read = ParseOrders(text, "zones.toml", {"east", "west"});
+  const auto read = ParseZoneOverrides(text, "zones.toml", {"east", "west"});
   return std::holds_alternative<std::string>(read) ? std::get<std::string>(read) : "taken";
 }
 
 TEST(OrdersTest, ZonesAreToldByTheNamesOfTheSettings) {
-  const auto read = ParseOrders("leave = ['west']\nkeep = ['east']\n", "zones.toml", {"east", "west"});
-  const auto& orders = std::get<std::vector<ZoneOrder>>(read);
+  const auto read = ParseZoneOverrides("leave = ['west']\nkeep = ['east']\n", "zones.toml", {"east", "west"});
+  const auto& orders = std::get<std::vector<ZoneOverride>>(read);
   ASSERT_EQ(orders.size(), 2U);
-  for (const ZoneOrder& order : orders)
-    EXPECT_EQ(order.kind, order.zone == 1 ? ZoneOrder::Kind::kLeave : ZoneOrder::Kind::kKeep);
+  for (const ZoneOverride& order : orders)
+    EXPECT_EQ(order.kind, order.zone == 1 ? ZoneOverride::Kind::kEvacuate : ZoneOverride::Kind::kKeep);
   EXPECT_EQ(WrongOf(""), "taken");
 }
 
--- a/tests/zones/zones_test.cpp
+++ b/tests/zones/zones_test.cpp
@@ -124,7 +124,7 @@
   now_ += drawn_;
   EXPECT_TRUE(zones_.MayTry(now_, 1));
   zones_.OnSent(now_, 1);
-  EXPECT_EQ(zones_.StageOf(now_, 1), Stage::kOnTrial);
+  EXPECT_EQ(zones_.StageOf(now_, 1), Stage::kProbing);
   EXPECT_FALSE(zones_.MayTry(now_, 1));
   EXPECT_TRUE(zones_.Left(1));
 }
@@ -315,7 +315,7 @@
 // ---- What the operator orders ----
 
 TEST_F(ZonesTest, AnOrderToLeaveHoldsWhateverAnswers) {
-  const ZoneOrder leave[] = {{1, ZoneOrder::Kind::kLeave}};
+  const ZoneOverride leave[] = {{1, ZoneOverride::Kind::kEvacuate}};
   Meet(0, 9, Sign::kAnswer);
   zones_.OnSent(now_, 1);
   zones_.OnOrders(now_, leave);
@@ -332,7 +332,7 @@
 }
 
 TEST_F(ZonesTest, AnOrderToKeepHoldsWhateverIsMetAndHeard) {
-  const ZoneOrder keep[] = {{1, ZoneOrder::Kind::kKeep}};
+  const ZoneOverride keep[] = {{1, ZoneOverride::Kind::kKeep}};
   zones_.OnOrders(now_, keep);
   Meet(0, 9, Sign::kAnswer);
   for (std::uint64_t server = 1; server <= 5; ++server) EXPECT_FALSE(Meet(1, server, Sign::kNoWay));
