--- a/src/mesh/egress/inbound_proxy_client.cpp
+++ b/src/mesh/egress/inbound_proxy_client.cpp
@@ -61,7 +61,7 @@
   // Keeps the connection alive, so that its end is always reported.
   events.on_closed = [this, connection] { OnClosed(connection); };
   connection->link->Start(std::move(events));
-  connection->link->Send(transport::Pack(transport::Hello{.purpose = transport::Purpose::kHop,
+  connection->link->Send(transport::Pack(transport::Hello{.purpose = transport::Purpose::kProxy,
                                                           .from = settings_.name,
                                                           .address = settings_.address,
                                                           .incarnation = settings_.incarnation}));
--- a/src/mesh/ingress/inbound_proxy.cpp
+++ b/src/mesh/ingress/inbound_proxy.cpp
@@ -58,7 +58,7 @@
   auto session = std::make_shared<Session>();
   session->link = std::move(link);
   sessions_.insert(session);
-  session->link->Send(Encode(FrameType::kHello, transport::Hello{.purpose = transport::Purpose::kHop,
+  session->link->Send(Encode(FrameType::kHello, transport::Hello{.purpose = transport::Purpose::kProxy,
                                                                  .from = {},
                                                                  .address = {},
                                                                  .incarnation = settings_.incarnation}));
--- a/src/mesh/node/sidecar.cpp
+++ b/src/mesh/node/sidecar.cpp
@@ -337,7 +337,7 @@
       if (mine == nullptr) return;
       young_.erase(mine);
       const auto hello = transport::Unpack<transport::Hello>(frame);
-      if (!hello.ok() || !transport::IsCompatible(*hello) || hello->purpose != transport::Purpose::kHop) {
+      if (!hello.ok() || !transport::IsCompatible(*hello) || hello->purpose != transport::Purpose::kProxy) {
         ++bad_links_;
         return mine->Close();
       }
--- a/src/mesh/transport/codec.hpp
+++ b/src/mesh/transport/codec.hpp
@@ -22,12 +22,12 @@
 namespace fennelhollow::transport {
 
 // The first frame on every link, from who dialled; one listener takes all kinds of links.
-enum class Purpose : std::uint8_t { kHop = 1, kControl = 2, kCore = 3 };
+enum class Purpose : std::uint8_t { kProxy = 1, kControl = 2, kCore = 3 };
 inline constexpr std::uint32_t kVersion = 2;
 struct Hello {
   std::uint32_t magic = 0x464e4831;  // "FNH1"
   std::uint32_t version = kVersion;
-  Purpose purpose = Purpose::kHop;
+  Purpose purpose = Purpose::kProxy;
   std::string from;               // node name
   std::string address;            // its internal address, ip:port
   std::uint64_t incarnation = 0;  // drawn at its start
--- a/tests/mesh/transport_link_test.cpp
+++ b/tests/mesh/transport_link_test.cpp
@@ -198,7 +198,7 @@
   }
 };
 struct Outer {
-  Purpose purpose = Purpose::kHop;
+  Purpose purpose = Purpose::kProxy;
   double number = 0;
   std::vector<Inner> list;
   std::map<std::string, std::int32_t> map;
