--- a/src/mesh/configuration/configuration.hpp
+++ b/src/mesh/configuration/configuration.hpp
@@ -1,7 +1,6 @@
-// configuration: the configuration (standard term: configuration model and store logic).
-//
-// What operators send, checked and kept whole; what sidecars look requests up in. Free of I/O. Values: safe
-// to copy between threads; nothing here locks.
+// The configuration model: the versioned document that operators submit, the replicated state that keeps it,
+// and the routing tables that sidecars derive from it. Performs no I/O and takes no locks; all types are
+// values that may be copied between threads.
 #ifndef FENNELHOLLOW_MESH_CONFIGURATION_CONFIGURATION_HPP_
 #define FENNELHOLLOW_MESH_CONFIGURATION_CONFIGURATION_HPP_
 
@@ -24,20 +23,20 @@
 
 struct Target {
   std::string service;
-  double weight = 1;  // above 0; targets of weight 0 are left out
+  double weight = 1;  // relative, above 0; targets of weight 0 are dropped
   bool operator==(const Target&) const = default;
 };
 
 struct Route {
   std::string name;
   std::string host;         // lower case
-  std::string path_prefix;  // begins and ends with a slash
+  std::string path_prefix;  // starts and ends with a slash
   RouteKind kind = RouteKind::kUnsafe;
-  std::int64_t timeout_ms = 0;         // 0 = none told
-  std::int64_t target_latency_ms = 0;  // 0 = none told
-  int priority = 0;                    // 0 is highest
-  int max_attempts = 2;                // servers that one try may be sent to, at most; 1 or more
-  bool is_public = false;              // `public`: needs no key
+  std::int64_t timeout_ms = 0;         // 0 = not set
+  std::int64_t target_latency_ms = 0;  // 0 = not set
+  int priority = 0;                    // 0 is the highest
+  int max_attempts = 2;                // upper bound of servers tried per request; at least 1
+  bool is_public = false;              // `public` in the document: needs no access key
   std::vector<Target> targets;
   bool operator==(const Route&) const = default;
 };
@@ -45,20 +44,20 @@
 struct Service {
   std::string name;
   std::string health_path;
-  int connection_limit = 0;  // 0 = none told
+  int connection_limit = 0;  // 0 = not set
   bool operator==(const Service&) const = default;
 };
 
 struct Tenant {
   std::string name;
   std::vector<std::string> keys;
-  int priority = -1;      // -1 = none told: the route's holds
+  int priority = -1;      // -1 = not set: the priority of the route applies
   double rate_per_s = 0;  // 0 = no limit
   double burst = 0;
   bool operator==(const Tenant&) const = default;
 };
 
-// What the configuration leaves out, or tells as 0, has the value here.
+// Limits that the configuration leaves out or sets to 0 keep the defaults here.
 struct Limits {
   std::size_t header_bytes = 16384;
   std::size_t body_bytes = 67108864;
@@ -67,16 +66,15 @@
   bool operator==(const Limits&) const = default;
 };
 
-// One version, whole, as the operators' form has it (resourceList and all fields, also those not known here).
-// Version 0: there is none yet.
+// One version of the configuration document, including fields unknown to this program. Version 0: none yet.
 class Configuration {
  public:
   Configuration() = default;
   std::int64_t version() const { return version_; }
-  // The operators' form: {"version":..,"baseVersion":..,"resourceList":[...]}.
+  // The document: {"version":..,"baseVersion":..,"resourceList":[...]}.
   const std::string& text() const { return text_; }
 
-  // Reads what text() gave. kDataLoss if it can't be read.
+  // Parses what text() returned; kDataLoss if malformed.
   static absl::StatusOr<Configuration> FromText(std::string text);
 
  private:
@@ -85,10 +83,10 @@
   std::string text_;
 };
 
-// Looked up by views, without making a string.
+// Hash and equality of host names, case-insensitive; allow lookup by string_view.
 struct HostHash {
   using is_transparent = void;
-  std::size_t operator()(std::string_view host) const;  // letters of either case are the same
+  std::size_t operator()(std::string_view host) const;
 };
 struct HostEqual {
   using is_transparent = void;
@@ -99,18 +97,18 @@
   std::size_t operator()(std::string_view key) const { return std::hash<std::string_view>()(key); }
 };
 
-// What requests are looked up in; immutable after it is made, cheap to share.
+// Lookup tables for requests. Immutable once built, cheap to share.
 class RoutingTables {
  public:
-  RoutingTables() = default;  // of no configuration: nothing matches
-  // kDataLoss if it can't be read.
+  RoutingTables() = default;  // empty: nothing matches
+  // kDataLoss if the configuration is malformed.
   static absl::StatusOr<std::shared_ptr<const RoutingTables>> Build(const Configuration& configuration);
 
   std::int64_t version() const { return version_; }
-  // The route of `host` (any case, a port is ignored) whose prefix begins `path` (query ignored) and is
-  // longest; null if none.
+  // The route of `host` with the longest prefix that matches `path`, or null. The case and port of `host` and
+  // the query of `path` are ignored.
   const Route* FindRoute(std::string_view host, std::string_view path) const;
-  // Null if nobody holds it.
+  // The tenant that owns the access key, or null.
   const Tenant* FindTenantByKey(std::string_view key) const;
   bool has_tenants() const { return has_tenants_; }
   const Service* FindService(std::string_view name) const;
@@ -126,36 +124,35 @@
   std::vector<Route> routes_;
   std::vector<Tenant> tenants_;
   std::map<std::string, Service, std::less<>> services_;
-  // The routes of a host, longest prefix first.
+  // Indices of the routes of a host, longest prefix first.
   std::unordered_map<std::string, std::vector<std::size_t>, HostHash, HostEqual> by_host_;
   std::unordered_map<std::string, std::size_t, KeyHash, std::equal_to<>> by_key_;
 };
 
-// What a new version changes, by name ("routes/NAME", "services/NAME", "tenants/NAME", "limits"), in that
+// What a new version changes, as ids ("routes/NAME", "services/NAME", "tenants/NAME", "limits") in that
 // order.
 struct Difference {
   std::vector<std::string> added, removed, changed;
-  // Something is forbidden or owed that was not before, so that a machine that does not know of it yet may
-  // break it: a new or lost route or key, a route that turns unsafe, stops being public, leaves a service or
-  // loses attempts, a lower limit.
+  // A sidecar that still runs the old version might violate the new one: a route or key was added or removed,
+  // a route became unsafe or non-public, dropped a service or allows fewer attempts, or a limit was lowered.
   bool tightens = false;
 };
 Difference Compare(const RoutingTables& before, const RoutingTables& after);
 
-// What an operator's change comes to.
+// The result of evaluating an operator's change.
 struct ChangeResult {
   enum class Kind {
-    kAccepted,        // `next` is to be put in order; once it is, 200
-    kAlreadyApplied,  // exactly this call was taken before: 200
-    kConflict,        // another version is in place: 412
+    kAccepted,        // commit `next_state`, then answer 200
+    kAlreadyApplied,  // exactly this call was applied before: 200
+    kConflict,        // based on another version: 412
     kInvalid,         // 400, with `error`
-    kUnknown,         // 503: older than the calls that are remembered, so perhaps taken, perhaps not
+    kUnknown,         // 503: older than the remembered calls, may have been applied
   } kind = Kind::kInvalid;
-  std::string next_state;  // the ledger after it, as Ledger::Write gives it
-  std::string error;       // one plain line
+  std::string next_state;  // from ReplicatedState::Serialize
+  std::string error;       // one line
 };
 
-// Which call led to a version: enough to know its exact repeat.
+// Identifies the call that created a version, to recognize an exact repeat.
 struct AppliedCall {
   std::int64_t version = 0;
   std::uint64_t digest_high = 0, digest_low = 0;
@@ -165,28 +162,27 @@
   }
 };
 
-// How many of them are remembered: more than half of a day's changes at the size that is planned for (1,700 a
-// day), 24 bytes each. A repeat that is older is left without a clear answer.
+// Number of remembered calls, 24 bytes each. An older repeat gets no definite answer (kUnknown).
 inline constexpr std::size_t kMaxAppliedCalls = 1024;
 
-// The replicated state: the newest configuration, and the calls that were taken lately, so that the exact
-// repeat of a call is known for one at any replica and after any restart.
+// The state replicated by consensus: the newest configuration and the recently applied calls, so that every
+// replica recognizes the exact repeat of a call, also after a restart.
 class ReplicatedState {
  public:
   ReplicatedState() = default;
-  static absl::StatusOr<ReplicatedState> Parse(std::string_view written);  // kDataLoss
+  static absl::StatusOr<ReplicatedState> Parse(std::string_view serialized);  // kDataLoss if corrupt
   std::string Serialize() const;
-  // The newest configuration alone: what sidecars need of it.
+  // Only the newest configuration, as sent to sidecars.
   ReplicatedState WithoutAppliedCalls() const;
 
-  // Pure: what a call would come to on top of this. `modify`: Configuration.Modify, else Replace.
+  // Evaluates a call against this state without changing it. `modify`: Configuration.Modify, else Replace.
   ChangeResult Evaluate(bool modify, std::string_view body) const;
   const Configuration& newest() const { return newest_; }
 
  private:
   Configuration newest_;
-  std::vector<AppliedCall> applied_calls_;  // by rising version, at most kMostTaken
-  std::int64_t forgotten_through_ = 0;      // calls of versions up to this one are remembered no more
+  std::vector<AppliedCall> applied_calls_;  // ascending by version, at most kMaxAppliedCalls
+  std::int64_t forgotten_through_ = 0;      // calls of versions up to this one are no longer remembered
 };
 
 }  // namespace fennelhollow::configuration
--- a/src/mesh/configuration/document.cpp
+++ b/src/mesh/configuration/document.cpp
@@ -17,11 +17,11 @@
 using nlohmann::json;
 using settings::Schema;
 
-constexpr int kDepth = 64;              // nesting in a call
-constexpr std::size_t kMembers = 4096;  // of one object: ordered objects are searched from the front
-constexpr double kMinuteMs = 60000;
+constexpr int kMaxDepth = 64;              // nesting in a call
+constexpr std::size_t kMaxMembers = 4096;  // of one object: lookup in ordered objects is linear
+constexpr double kMaxTargetOverTimeoutMs = 60000;
 
-constexpr std::string_view kCall = R"json({
+constexpr std::string_view kCallSchema = R"json({
   "description": "an object", "type": "object", "required": ["version"],
   "properties": {
     "version": {
@@ -33,12 +33,12 @@
   }
 })json";
 
-constexpr std::string_view kReplace = R"json({
+constexpr std::string_view kReplaceSchema = R"json({
   "description": "an object", "type": "object", "required": ["resourceList"],
   "properties": {"resourceList": {"description": "a list of items", "type": "array"}}
 })json";
 
-constexpr std::string_view kModify = R"json({
+constexpr std::string_view kModifySchema = R"json({
   "description": "an object", "type": "object",
   "properties": {
     "upsert": {
@@ -54,8 +54,8 @@
   }
 })json";
 
-// `specification` stands for an object of that form.
-Schema* ItemSchema(std::string_view specification, bool named) {
+// The schema of a resource whose specification has the schema `specification`.
+Schema* ResourceSchema(std::string_view specification, bool named) {
   json schema = json::parse(R"json({
     "description": "an object", "type": "object", "required": ["specification"],
     "properties": {
@@ -73,7 +73,7 @@
   return new Schema(schema.dump());
 }
 
-constexpr std::string_view kRoute = R"json({
+constexpr std::string_view kRouteSchema = R"json({
   "description": "an object", "type": "object", "required": ["host", "pathPrefix"],
   "properties": {
     "host": {"description": "a host name", "type": "string", "minLength": 1},
@@ -100,7 +100,7 @@
   }
 })json";
 
-constexpr std::string_view kService = R"json({
+constexpr std::string_view kServiceSchema = R"json({
   "description": "an object", "type": "object",
   "properties": {
     "healthPath": {"description": "a path", "type": "string"},
@@ -110,7 +110,7 @@
   }
 })json";
 
-constexpr std::string_view kTenant = R"json({
+constexpr std::string_view kTenantSchema = R"json({
   "description": "an object", "type": "object",
   "properties": {
     "accessKeys": {
@@ -123,7 +123,7 @@
   }
 })json";
 
-constexpr std::string_view kLimits = R"json({
+constexpr std::string_view kLimitsSchema = R"json({
   "description": "an object", "type": "object",
   "properties": {
     "maximumHeaderBytes": {"description": "a number of 0 or more", "type": "number", "minimum": 0, "maximum": 1e15},
@@ -133,81 +133,83 @@
   }
 })json";
 
-absl::Status Invalid(const std::string& path, const std::string& found, const std::string& wanted) {
-  return absl::InvalidArgumentError(absl::StrCat(path, ": found ", found, ", wanted ", wanted));
+absl::Status Invalid(const std::string& path, const std::string& found, const std::string& expected) {
+  return absl::InvalidArgumentError(absl::StrCat(path, ": found ", found, ", wanted ", expected));
 }
 
 std::string Quote(const std::string& text) { return absl::StrCat("\"", settings::PrintableLine(text), "\""); }
 
 // Null if there is no such member.
-const json* Member(const json& object, const char* name) {
+const json* FindMember(const json& object, const char* name) {
   const auto at = object.find(name);
   return at == object.end() ? nullptr : &*at;
 }
 
-double Number(const json& object, const char* name, double otherwise) {
-  const json* at = Member(object, name);
-  return at == nullptr ? otherwise : at->get<double>();
+double NumberOr(const json& object, const char* name, double fallback) {
+  const json* at = FindMember(object, name);
+  return at == nullptr ? fallback : at->get<double>();
 }
 
-std::string Text(const json& object, const char* name) {
-  const json* at = Member(object, name);
+std::string StringOrEmpty(const json& object, const char* name) {
+  const json* at = FindMember(object, name);
   return at == nullptr ? std::string() : at->get<std::string>();
 }
 
-// The rules between the fields of one route.
+// Validates what a JSON schema can't express: rules between the fields of one route.
 absl::Status CheckRoute(const json& route, const std::string& path) {
-  const std::string prefix = Text(route, "pathPrefix");
+  const std::string prefix = StringOrEmpty(route, "pathPrefix");
   if (prefix.front() != '/' || prefix.back() != '/') {
     return Invalid(path + ".pathPrefix", Quote(prefix), "a path that begins and ends with a slash");
   }
-  const double target = Number(route, "targetLatencyMs", 0);
-  if (route.contains("timeoutMs") && target >= Number(route, "timeoutMs", 0) + kMinuteMs) {
+  const double target = NumberOr(route, "targetLatencyMs", 0);
+  if (route.contains("timeoutMs") && target >= NumberOr(route, "timeoutMs", 0) + kMaxTargetOverTimeoutMs) {
     return Invalid(path + ".targetLatencyMs", route["targetLatencyMs"].dump(),
                    absl::StrCat("less than a minute over its timeoutMs of ", route["timeoutMs"].dump()));
   }
-  const json* split = Member(route, "trafficSplit");
+  const json* split = FindMember(route, "trafficSplit");
   if (split == nullptr || split->empty()) {
     if (route.contains("service")) return absl::OkStatus();
     return split == nullptr ? Invalid(path + ".service", "nothing", "a service, or a trafficSplit")
                             : Invalid(path + ".trafficSplit", "an empty list", "services and weights");
   }
   for (const json& target_of_split : *split) {
-    if (Number(target_of_split, "weight", 1) > 0) return absl::OkStatus();
+    if (NumberOr(target_of_split, "weight", 1) > 0) return absl::OkStatus();
   }
   return Invalid(path + ".trafficSplit", "weights that are all 0", "one above 0");
 }
 
-// `ids`: gains the item's.
-absl::Status CheckItem(const json& item, const std::string& path, std::unordered_set<std::string>& ids) {
-  static const auto* const kinds =
-      new std::map<std::string, const Schema*, std::less<>>{{"routes", ItemSchema(kRoute, true)},
-                                                            {"services", ItemSchema(kService, true)},
-                                                            {"tenants", ItemSchema(kTenant, true)},
-                                                            {"limits", ItemSchema(kLimits, false)}};
-  if (!item.is_object()) return Invalid(path, item.is_array() ? "a list" : "a plain value", "an item");
-  const json* kind = Member(item, "resourceKind");
-  constexpr char kWanted[] = "routes, services, tenants or limits";
-  if (kind == nullptr) return Invalid(path + ".resourceKind", "nothing", kWanted);
+// Adds the id of the resource to `ids`.
+absl::Status CheckResource(const json& resource, const std::string& path,
+                           std::unordered_set<std::string>& ids) {
+  static const auto* const kinds = new std::map<std::string, const Schema*, std::less<>>{
+      {"routes", ResourceSchema(kRouteSchema, true)},
+      {"services", ResourceSchema(kServiceSchema, true)},
+      {"tenants", ResourceSchema(kTenantSchema, true)},
+      {"limits", ResourceSchema(kLimitsSchema, false)}};
+  if (!resource.is_object())
+    return Invalid(path, resource.is_array() ? "a list" : "a plain value", "an item");
+  const json* kind = FindMember(resource, "resourceKind");
+  constexpr char kExpectedKinds[] = "routes, services, tenants or limits";
+  if (kind == nullptr) return Invalid(path + ".resourceKind", "nothing", kExpectedKinds);
   const auto schema =
       kind->is_string() ? kinds->find(std::string_view(kind->get_ref<const std::string&>())) : kinds->end();
   if (schema == kinds->end()) {
     return Invalid(path + ".resourceKind", kind->is_string() ? Quote(kind->get<std::string>()) : "no string",
-                   kWanted);
+                   kExpectedKinds);
   }
-  auto checked = schema->second->Check(item, path);
+  auto checked = schema->second->Check(resource, path);
   if (!checked.ok()) return checked;
   if (schema->first == "routes") {
-    auto route = CheckRoute(item["specification"], path + ".specification");
+    auto route = CheckRoute(resource["specification"], path + ".specification");
     if (!route.ok()) return route;
   }
-  std::string id = ResourceId(item);
+  std::string id = ResourceId(resource);
   if (ids.contains(id)) return Invalid(path, "a second " + settings::PrintableLine(id, 80), "each once");
   ids.insert(std::move(id));
   return absl::OkStatus();
 }
 
-// Guard for all that recurses over a value.
+// Protects code that recurses over a value from stack overflow.
 bool IsTooDeep(std::string_view text) {
   int depth = 0;
   bool in_string = false;
@@ -219,7 +221,7 @@
     } else if (c == '"') {
       in_string = true;
     } else if (c == '{' || c == '[') {
-      if (++depth > kDepth) return true;
+      if (++depth > kMaxDepth) return true;
     } else if (c == '}' || c == ']') {
       --depth;
     }
@@ -229,47 +231,48 @@
 
 bool IsTooWide(const json& value) {
   if (!value.is_structured()) return false;
-  return (value.is_object() && value.size() > kMembers) || std::any_of(value.begin(), value.end(), IsTooWide);
+  return (value.is_object() && value.size() > kMaxMembers) ||
+         std::any_of(value.begin(), value.end(), IsTooWide);
 }
 
-Route RouteOf(const std::string& name, const json& from) {
+Route ParseRoute(const std::string& name, const json& spec) {
   Route route;
   route.name = name;
   route.host =
-      absl::AsciiStrToLower(std::string(HostWithoutPort(from.at("host").get_ref<const std::string&>())));
-  route.path_prefix = from.at("pathPrefix").get<std::string>();
-  if (const std::string kind = Text(from, "kind"); !kind.empty()) {
+      absl::AsciiStrToLower(std::string(HostWithoutPort(spec.at("host").get_ref<const std::string&>())));
+  route.path_prefix = spec.at("pathPrefix").get<std::string>();
+  if (const std::string kind = StringOrEmpty(spec, "kind"); !kind.empty()) {
     route.kind = kind == "safe"       ? RouteKind::kSafe
                  : kind == "download" ? RouteKind::kDownload
                                       : RouteKind::kUnsafe;
   }
-  route.timeout_ms = static_cast<std::int64_t>(std::ceil(Number(from, "timeoutMs", 0)));
-  route.target_latency_ms = static_cast<std::int64_t>(std::ceil(Number(from, "targetLatencyMs", 0)));
-  route.priority = static_cast<int>(Number(from, "priority", route.priority));
-  route.max_attempts = std::max(1, static_cast<int>(Number(from, "attempts", route.max_attempts)));
-  if (const json* open = Member(from, "public")) route.is_public = open->get<bool>();
-  if (const json* split = Member(from, "trafficSplit")) {
+  route.timeout_ms = static_cast<std::int64_t>(std::ceil(NumberOr(spec, "timeoutMs", 0)));
+  route.target_latency_ms = static_cast<std::int64_t>(std::ceil(NumberOr(spec, "targetLatencyMs", 0)));
+  route.priority = static_cast<int>(NumberOr(spec, "priority", route.priority));
+  route.max_attempts = std::max(1, static_cast<int>(NumberOr(spec, "attempts", route.max_attempts)));
+  if (const json* open = FindMember(spec, "public")) route.is_public = open->get<bool>();
+  if (const json* split = FindMember(spec, "trafficSplit")) {
     for (const json& target : *split) {
-      route.targets.push_back({target.at("service").get<std::string>(), Number(target, "weight", 1)});
+      route.targets.push_back({target.at("service").get<std::string>(), NumberOr(target, "weight", 1)});
     }
   }
-  if (route.targets.empty()) route.targets.push_back({from.at("service").get<std::string>(), 1});
+  if (route.targets.empty()) route.targets.push_back({spec.at("service").get<std::string>(), 1});
   return route;
 }
 
-Tenant TenantOf(const std::string& name, const json& from) {
+Tenant ParseTenant(const std::string& name, const json& spec) {
   Tenant tenant;
   tenant.name = name;
-  if (const json* keys = Member(from, "accessKeys")) tenant.keys = keys->get<std::vector<std::string>>();
-  tenant.priority = static_cast<int>(Number(from, "priority", tenant.priority));
-  tenant.rate_per_s = Number(from, "ratePerS", 0);
-  tenant.burst = Number(from, "burst", 0);
+  if (const json* keys = FindMember(spec, "accessKeys")) tenant.keys = keys->get<std::vector<std::string>>();
+  tenant.priority = static_cast<int>(NumberOr(spec, "priority", tenant.priority));
+  tenant.rate_per_s = NumberOr(spec, "ratePerS", 0);
+  tenant.burst = NumberOr(spec, "burst", 0);
   return tenant;
 }
 
 template <class T>
-void TakeLimit(const json& from, const char* name, T& to) {
-  if (const double told = std::ceil(Number(from, name, 0)); told > 0) to = static_cast<T>(told);
+void ReadLimit(const json& spec, const char* name, T& to) {
+  if (const double limit = std::ceil(NumberOr(spec, name, 0)); limit > 0) to = static_cast<T>(limit);
 }
 
 }  // namespace
@@ -284,25 +287,26 @@
 }
 
 absl::Status CheckCall(bool modify, const json& call) {
-  static const Schema* const common = new Schema(kCall);
-  static const Schema* const replace_form = new Schema(kReplace);
-  static const Schema* const modify_form = new Schema(kModify);
-  auto checked = common->Check(call);
-  if (checked.ok()) checked = (modify ? modify_form : replace_form)->Check(call);
+  static const Schema* const common_schema = new Schema(kCallSchema);
+  static const Schema* const replace_schema = new Schema(kReplaceSchema);
+  static const Schema* const modify_schema = new Schema(kModifySchema);
+  auto checked = common_schema->Check(call);
+  if (checked.ok()) checked = (modify ? modify_schema : replace_schema)->Check(call);
   if (!checked.ok()) return checked;
-  // Items that a Modify would pass over in silence.
+  // A Modify would silently ignore these resources.
   if (modify && call.contains("resourceList")) return Invalid("resourceList", "a list", "it under upsert");
 
-  const json* holder = modify ? Member(call, "upsert") : &call;
-  const json* list = holder == nullptr ? nullptr : Member(*holder, "resourceList");
+  const json* container = modify ? FindMember(call, "upsert") : &call;
+  const json* resource_list = container == nullptr ? nullptr : FindMember(*container, "resourceList");
   std::unordered_set<std::string> ids;
-  if (list != nullptr) {
-    for (std::size_t i = 0; i < list->size(); ++i) {
-      auto item = CheckItem((*list)[i], absl::StrCat(modify ? "upsert." : "", "resourceList[", i, "]"), ids);
-      if (!item.ok()) return item;
+  if (resource_list != nullptr) {
+    for (std::size_t i = 0; i < resource_list->size(); ++i) {
+      auto status = CheckResource((*resource_list)[i],
+                                  absl::StrCat(modify ? "upsert." : "", "resourceList[", i, "]"), ids);
+      if (!status.ok()) return status;
     }
   }
-  const json* remove = modify ? Member(call, "remove") : nullptr;
+  const json* remove = modify ? FindMember(call, "remove") : nullptr;
   if (remove == nullptr) return absl::OkStatus();
   for (const auto& [kind, names] : remove->items()) {
     if (names.empty()) continue;
@@ -318,49 +322,49 @@
 }
 
 Resources ParseResources(const json& configuration) {
-  Resources items;
-  for (const json& item : configuration.at("resourceList")) {
-    const std::string kind = item.at("resourceKind").get<std::string>();
-    const json& from = item.at("specification");
-    const std::string name = kind == "limits" ? kind : item.at("metadata").at("name").get<std::string>();
+  Resources resources;
+  for (const json& resource : configuration.at("resourceList")) {
+    const std::string kind = resource.at("resourceKind").get<std::string>();
+    const json& spec = resource.at("specification");
+    const std::string name = kind == "limits" ? kind : resource.at("metadata").at("name").get<std::string>();
     if (kind == "routes") {
-      items.routes.push_back(RouteOf(name, from));
+      resources.routes.push_back(ParseRoute(name, spec));
     } else if (kind == "services") {
-      items.services.push_back(
-          {name, Text(from, "healthPath"), static_cast<int>(Number(from, "connectionLimit", 0))});
+      resources.services.push_back(
+          {name, StringOrEmpty(spec, "healthPath"), static_cast<int>(NumberOr(spec, "connectionLimit", 0))});
     } else if (kind == "tenants") {
-      items.tenants.push_back(TenantOf(name, from));
+      resources.tenants.push_back(ParseTenant(name, spec));
     } else if (kind == "limits") {
-      TakeLimit(from, "maximumHeaderBytes", items.limits.header_bytes);
-      TakeLimit(from, "maximumBodyBytes", items.limits.body_bytes);
-      TakeLimit(from, "headerTimeoutMs", items.limits.header_timeout_ms);
-      TakeLimit(from, "idleTimeoutMs", items.limits.idle_timeout_ms);
+      ReadLimit(spec, "maximumHeaderBytes", resources.limits.header_bytes);
+      ReadLimit(spec, "maximumBodyBytes", resources.limits.body_bytes);
+      ReadLimit(spec, "headerTimeoutMs", resources.limits.header_timeout_ms);
+      ReadLimit(spec, "idleTimeoutMs", resources.limits.idle_timeout_ms);
     }
   }
-  return items;
+  return resources;
 }
 
-absl::Status CheckReferences(const Resources& items) {
+absl::Status CheckReferences(const Resources& resources) {
   std::unordered_set<std::string_view> services;
-  for (const Service& service : items.services) services.insert(service.name);
-  std::map<std::pair<std::string_view, std::string_view>, const Route*> places;
-  for (const Route& route : items.routes) {
+  for (const Service& service : resources.services) services.insert(service.name);
+  std::map<std::pair<std::string_view, std::string_view>, const Route*> route_by_match;
+  for (const Route& route : resources.routes) {
     const std::string path = "routes/" + settings::PrintableLine(route.name, 80);
     for (const Target& target : route.targets) {
       if (!services.contains(target.service)) {
         return Invalid(path, "the unknown service " + Quote(target.service), "one in the list");
       }
     }
-    const auto [at, is_new] = places.try_emplace({route.host, route.path_prefix}, &route);
+    const auto [at, is_new] = route_by_match.try_emplace({route.host, route.path_prefix}, &route);
     if (!is_new) {
       return Invalid(path, "the host and pathPrefix of " + Quote(at->second->name), "others for each route");
     }
   }
-  std::unordered_map<std::string_view, const Tenant*> holders;
-  for (const Tenant& tenant : items.tenants) {
+  std::unordered_map<std::string_view, const Tenant*> owner_by_key;
+  for (const Tenant& tenant : resources.tenants) {
     for (const std::string& key : tenant.keys) {
-      const auto [at, is_new] = holders.try_emplace(key, &tenant);
-      if (!is_new && at->second != &tenant) {  // the key itself is a secret
+      const auto [at, is_new] = owner_by_key.try_emplace(key, &tenant);
+      if (!is_new && at->second != &tenant) {  // does not name the key, which is a secret
         return Invalid("tenants/" + settings::PrintableLine(tenant.name, 80),
                        "a key of " + Quote(at->second->name), "keys that no other holds");
       }
@@ -371,7 +375,7 @@
 
 std::string_view HostWithoutPort(std::string_view host) {
   const std::size_t bracket =
-      host.starts_with('[') ? host.find(']') : 0;  // an IPv6 address has colons of its own
+      host.starts_with('[') ? host.find(']') : 0;  // skips the colons of an IPv6 address
   return host.substr(0, host.find(':', bracket == std::string_view::npos ? 0 : bracket));
 }
 
--- a/src/mesh/configuration/document.hpp
+++ b/src/mesh/configuration/document.hpp
@@ -1,4 +1,5 @@
-// The operators' form, inside configuration only: read, checked, and its items as values. Free of I/O.
+// Parsing and validation of the JSON configuration document and of the calls that change it. Internal to this
+// folder.
 #ifndef FENNELHOLLOW_MESH_CONFIGURATION_DOCUMENT_HPP_
 #define FENNELHOLLOW_MESH_CONFIGURATION_DOCUMENT_HPP_
 
@@ -14,7 +15,7 @@
 
 namespace fennelhollow::configuration {
 
-// All items of one configuration; targets of weight 0 are still in.
+// All resources of one configuration, including targets of weight 0.
 struct Resources {
   std::vector<Route> routes;
   std::vector<Service> services;
@@ -22,31 +23,30 @@
   Limits limits;
 };
 
-// A JSON object, its members sorted. kInvalidArgument if it is none, is cut short, or is nested or filled
-// beyond what any configuration is (dumping and copying recurse).
+// Parses a JSON object; its members are sorted. kInvalidArgument if it is malformed, no object, or exceeds
+// the limits on nesting and members (dumping and copying recurse).
 absl::StatusOr<nlohmann::json> ParseObject(std::string_view text);
 
-// All that can be said of a call by itself; kInvalidArgument with one plain line. `call` has been through
+// Validates a call by itself; kInvalidArgument with a one-line reason. Expects the output of
 // settings::Normalize.
 absl::Status CheckCall(bool modify, const nlohmann::json& call);
 
-// The items of a configuration whose form was checked (and normalized); throws nlohmann::json::exception if
-// it was not.
+// Expects a validated and normalized configuration; throws nlohmann::json::exception otherwise.
 Resources ParseResources(const nlohmann::json& configuration);
 
-// What joins items: services that routes name, keys, hosts and prefixes. kInvalidArgument with one plain
-// line.
-absl::Status CheckReferences(const Resources& items);
+// Validates across resources: routes name existing services; access keys, and pairs of host and prefix, are
+// unique. kInvalidArgument with a one-line reason.
+absl::Status CheckReferences(const Resources& resources);
 
-// The name of an item in one list with all others; "limits" has one item whatever its name. `Json` may be
-// ordered.
+// The id of a resource, unique over all kinds: "kind/name", or "limits", of which there is only one. `Json`:
+// json or ordered_json.
 template <class Json>
-std::string ResourceId(const Json& item) {
-  const std::string kind = item.at("resourceKind").template get<std::string>();
-  return kind == "limits" ? kind : kind + "/" + item.at("metadata").at("name").template get<std::string>();
+std::string ResourceId(const Json& resource) {
+  const std::string kind = resource.at("resourceKind").template get<std::string>();
+  return kind == "limits" ? kind
+                          : kind + "/" + resource.at("metadata").at("name").template get<std::string>();
 }
 
-// Without its port.
 std::string_view HostWithoutPort(std::string_view host);
 
 }  // namespace fennelhollow::configuration
--- a/src/mesh/configuration/routing_tables.cpp
+++ b/src/mesh/configuration/routing_tables.cpp
@@ -13,9 +13,9 @@
 char Lower(char c) { return absl::ascii_tolower(static_cast<unsigned char>(c)); }
 
 template <class T>
-std::map<std::string_view, const T*> ByName(const std::vector<T>& items) {
+std::map<std::string_view, const T*> ByName(const std::vector<T>& resources) {
   std::map<std::string_view, const T*> by_name;
-  for (const T& item : items) by_name.emplace(item.name, &item);
+  for (const T& resource : resources) by_name.emplace(resource.name, &resource);
   return by_name;
 }
 
@@ -26,18 +26,18 @@
   return by_name;
 }
 
-// Of a limit for which 0 means that there is none.
+// Compares limits for which 0 means unlimited.
 bool IsLower(double before, double after) { return after > 0 && (before == 0 || after < before); }
 
 bool Tightens(const Route& before, const Route& after) {
   if (before.host != after.host || before.path_prefix != after.path_prefix)
-    return true;  // a route lost, one new
+    return true;  // one match removed, another added
   if (after.kind == RouteKind::kUnsafe && before.kind != RouteKind::kUnsafe) return true;
   if (before.is_public && !after.is_public) return true;
   if (after.max_attempts < before.max_attempts) return true;
   return std::any_of(before.targets.begin(), before.targets.end(), [&](const Target& target) {
     return std::none_of(after.targets.begin(), after.targets.end(),
-                        [&](const Target& other) { return other.service == target.service; });
+                        [&](const Target& match) { return match.service == target.service; });
   });
 }
 
@@ -51,25 +51,25 @@
   return IsLower(before.connection_limit, after.connection_limit);
 }
 
-// `whole_tightens`: whether an item that comes or goes does.
+// `presence_tightens`: whether adding or removing a resource tightens.
 template <class T>
-void CompareItems(const std::map<std::string_view, const T*>& before,
-                  const std::map<std::string_view, const T*>& after, const std::string& kind,
-                  bool whole_tightens, Difference& difference) {
-  for (const auto& [name, item] : before) {
-    const auto other = after.find(name);
-    if (other == after.end()) {
+void CompareResources(const std::map<std::string_view, const T*>& before,
+                      const std::map<std::string_view, const T*>& after, const std::string& kind,
+                      bool presence_tightens, Difference& difference) {
+  for (const auto& [name, resource] : before) {
+    const auto match = after.find(name);
+    if (match == after.end()) {
       difference.removed.push_back(kind + std::string(name));
-      difference.tightens = difference.tightens || whole_tightens;
-    } else if (*item != *other->second) {
+      difference.tightens = difference.tightens || presence_tightens;
+    } else if (*resource != *match->second) {
       difference.changed.push_back(kind + std::string(name));
-      difference.tightens = difference.tightens || Tightens(*item, *other->second);
+      difference.tightens = difference.tightens || Tightens(*resource, *match->second);
     }
   }
-  for (const auto& [name, item] : after) {
+  for (const auto& [name, resource] : after) {
     if (before.contains(name)) continue;
     difference.added.push_back(kind + std::string(name));
-    difference.tightens = difference.tightens || whole_tightens;
+    difference.tightens = difference.tightens || presence_tightens;
   }
 }
 
@@ -94,13 +94,13 @@
     auto object = ParseObject(configuration.text());
     if (!object.ok()) return absl::DataLossError(object.status().message());
     settings::Normalize(*object);
-    Resources items = ParseResources(*object);
+    Resources resources = ParseResources(*object);
     tables->version_ = configuration.version();
-    tables->limits_ = items.limits;
-    tables->has_tenants_ = !items.tenants.empty();
-    tables->routes_ = std::move(items.routes);
-    tables->tenants_ = std::move(items.tenants);
-    for (Service& service : items.services) {
+    tables->limits_ = resources.limits;
+    tables->has_tenants_ = !resources.tenants.empty();
+    tables->routes_ = std::move(resources.routes);
+    tables->tenants_ = std::move(resources.tenants);
+    for (Service& service : resources.services) {
       std::string name = service.name;
       tables->services_.emplace(std::move(name), std::move(service));
     }
@@ -145,9 +145,9 @@
 
 Difference Compare(const RoutingTables& before, const RoutingTables& after) {
   Difference difference;
-  CompareItems(ByName(before.routes()), ByName(after.routes()), "routes/", true, difference);
-  CompareItems(ByName(before.services()), ByName(after.services()), "services/", false, difference);
-  CompareItems(ByName(before.tenants()), ByName(after.tenants()), "tenants/", true, difference);
+  CompareResources(ByName(before.routes()), ByName(after.routes()), "routes/", true, difference);
+  CompareResources(ByName(before.services()), ByName(after.services()), "services/", false, difference);
+  CompareResources(ByName(before.tenants()), ByName(after.tenants()), "tenants/", true, difference);
   const Limits &from = before.limits(), &to = after.limits();
   if (from != to) {
     difference.changed.push_back("limits");
--- a/src/mesh/gossip/io/udp_socket.cpp
+++ b/src/mesh/gossip/io/udp_socket.cpp
@@ -18,49 +18,50 @@
 using asio::ip::udp;
 using merlinrun::net::ErrorCode;
 
-constexpr int kReadsATurn = 8;  // guards against a flood that keeps all others waiting
-constexpr auto kPause = std::chrono::milliseconds(50);
+constexpr int kMaxReadsPerTurn = 8;  // a flood must not starve other work
+constexpr auto kRetryDelay = std::chrono::milliseconds(50);
 
 }  // namespace
 
 class UdpSocket::Impl : public std::enable_shared_from_this<UdpSocket::Impl> {
  public:
-  Impl(asio::io_context& io, OnDatagram on_datagram) : socket(io), pause(io), call(std::move(on_datagram)) {}
+  Impl(asio::io_context& io, OnDatagram on_datagram)
+      : socket(io), retry_timer(io), callback(std::move(on_datagram)) {}
 
-  void Read() {
+  void WaitReadable() {
     socket.async_wait(udp::socket::wait_read, [self = shared_from_this()](ErrorCode error) {
       if (!self->socket.is_open()) return;
-      if (error || !self->Take()) return self->ReadLater();
-      self->Read();
+      if (error || !self->ReadAvailable()) return self->RetryLater();
+      self->WaitReadable();
     });
   }
 
-  // False if something is wrong with the socket itself.
-  bool Take() {
-    for (int i = 0; i < kReadsATurn && socket.is_open(); ++i) {
+  // False on an error of the socket itself.
+  bool ReadAvailable() {
+    for (int i = 0; i < kMaxReadsPerTurn && socket.is_open(); ++i) {
       udp::endpoint from;
       ErrorCode error;
       const std::size_t n = socket.receive_from(asio::buffer(input), from, 0, error);
       if (error == asio::error::would_block || error == asio::error::try_again) return true;
-      // A former datagram found no one at its port.
+      // ICMP error of an earlier datagram: no listener at its port.
       if (error == asio::error::connection_refused || error == asio::error::connection_reset) continue;
       if (error) return false;
-      call(from.address().to_string() + ":" + std::to_string(from.port()), {input.data(), n});
+      callback(from.address().to_string() + ":" + std::to_string(from.port()), {input.data(), n});
     }
     return true;
   }
 
-  // Guards against a loop that spins.
-  void ReadLater() {
-    pause.expires_after(kPause);
-    pause.async_wait([self = shared_from_this()](ErrorCode stopped) {
-      if (!stopped && self->socket.is_open()) self->Read();
+  // Avoids a busy loop.
+  void RetryLater() {
+    retry_timer.expires_after(kRetryDelay);
+    retry_timer.async_wait([self = shared_from_this()](ErrorCode stopped) {
+      if (!stopped && self->socket.is_open()) self->WaitReadable();
     });
   }
 
   udp::socket socket;
-  asio::steady_timer pause;
-  OnDatagram call;
+  asio::steady_timer retry_timer;
+  OnDatagram callback;
   std::array<char, kMaxDatagramBytes + 1> input{};
   std::uint64_t send_failures = 0;
 };
@@ -73,8 +74,8 @@
   if (!error) impl->socket.open(udp::v4(), error);
   if (!error) impl->socket.bind(udp::endpoint(at, port), error);
   if (!error) impl->socket.non_blocking(true, error);
-  if (error) return absl::UnavailableError("cannot take datagrams at " + ip + ": " + error.message());
-  impl->Read();
+  if (error) return absl::UnavailableError("can't bind the gossip socket at " + ip + ": " + error.message());
+  impl->WaitReadable();
   return std::unique_ptr<UdpSocket>(new UdpSocket(std::move(impl)));
 }
 
@@ -82,8 +83,8 @@
 
 UdpSocket::~UdpSocket() {
   try {
-    impl_->pause.cancel();
-  } catch (const std::exception&) {  // a timer that can't be cancelled calls nothing back
+    impl_->retry_timer.cancel();
+  } catch (const std::exception&) {  // an uncancellable timer has no pending callback
   }
   ErrorCode ignored;
   impl_->socket.close(ignored);
--- a/src/mesh/gossip/io/udp_socket.hpp
+++ b/src/mesh/gossip/io/udp_socket.hpp
@@ -1,4 +1,4 @@
-// UDP under a gossip: one socket, whole datagrams.
+// The UDP socket of the gossip.
 #ifndef FENNELHOLLOW_MESH_GOSSIP_IO_UDP_SOCKET_HPP_
 #define FENNELHOLLOW_MESH_GOSSIP_IO_UDP_SOCKET_HPP_
 
@@ -17,10 +17,11 @@
 // Threading: all of it on the thread of `io`.
 class UdpSocket {
  public:
-  // `from` is an ip:port; `bytes` are valid during the call; one that is too long comes cut, still too long.
+  // `from`: source ip:port; `bytes`: valid during the call. An oversized datagram is truncated to a size that
+  // is still above kMaxDatagramBytes.
   using OnDatagram = std::function<void(const std::string& from, std::string_view bytes)>;
 
-  // kUnavailable: the address can't be bound. Port 0: one that is free.
+  // kUnavailable if the address can't be bound. Port 0 binds a free port.
   static absl::StatusOr<std::unique_ptr<UdpSocket>> Open(merlinrun::net::asio::io_context& io,
                                                          const std::string& ip, std::uint16_t port,
                                                          OnDatagram on_datagram);
@@ -28,7 +29,7 @@
   UdpSocket(const UdpSocket&) = delete;
   UdpSocket& operator=(const UdpSocket&) = delete;
 
-  // Never waits; what can't be sent is lost, and counted. `address`: ip:port.
+  // Never blocks; datagrams that can't be sent are dropped and counted. `address`: ip:port.
   void Send(const std::string& address, std::string_view bytes);
   std::uint64_t send_failures() const;
   std::uint16_t port() const;
--- a/src/mesh/gossip/message.cpp
+++ b/src/mesh/gossip/message.cpp
@@ -16,7 +16,7 @@
 struct Envelope {
   std::uint32_t magic = kMagic;
   std::uint32_t version = kVersion;
-  std::uint64_t checksum = 0;  // of the body; guards against bytes that changed on the way, not against liars
+  std::uint64_t checksum = 0;  // of the body; detects corruption, not forgery
   std::string body;
   template <class Archive>
   void serialize(Archive& a) {
@@ -24,16 +24,16 @@
   }
 };
 
-// A number without sign or leading zeros, up to `most`.
-bool IsNumber(std::string_view text, unsigned most) {
+// A decimal number without sign or leading zeros, at most `limit`.
+bool IsNumber(std::string_view text, unsigned limit) {
   unsigned value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  return error == std::errc() && end == text.data() + text.size() && value <= most &&
+  return error == std::errc() && end == text.data() + text.size() && value <= limit &&
          (text.size() == 1 || text.front() != '0');
 }
 
-bool Valid(const PeerRecord& sighting) {
-  return sighting.name.size() <= kMaxNameBytes && IsAddress(sighting.address);
+bool IsValid(const PeerRecord& record) {
+  return record.name.size() <= kMaxNameBytes && IsAddress(record.address);
 }
 
 }  // namespace
@@ -60,20 +60,20 @@
 }
 
 absl::StatusOr<Message> Parse(std::string_view bytes) {
-  if (bytes.size() > kMaxDatagramBytes) return absl::DataLossError("too long a datagram");
+  if (bytes.size() > kMaxDatagramBytes) return absl::DataLossError("datagram too long");
   const auto envelope = transport::Unpack<Envelope>(bytes);
   if (!envelope.ok()) return envelope.status();
   if (envelope->magic != kMagic || envelope->version != kVersion ||
       envelope->checksum != merlinrun::StableHash(envelope->body))
-    return absl::DataLossError("not a datagram of this version, or changed on the way");
+    return absl::DataLossError("datagram of another version, or corrupt");
   auto message = transport::Unpack<Message>(envelope->body);
   if (!message.ok()) return message;
   if ((message->kind != Kind::kRequest && message->kind != Kind::kResponse) ||
       message->name.size() > kMaxNameBytes || message->sidecars.size() > kExchangeSize ||
       message->cores.size() > kMaxCoresPerMessage ||
-      !std::all_of(message->sidecars.begin(), message->sidecars.end(), Valid) ||
-      !std::all_of(message->cores.begin(), message->cores.end(), Valid))
-    return absl::DataLossError("a datagram says what none may");
+      !std::all_of(message->sidecars.begin(), message->sidecars.end(), IsValid) ||
+      !std::all_of(message->cores.begin(), message->cores.end(), IsValid))
+    return absl::DataLossError("datagram exceeds the limits");
   return message;
 }
 
--- a/src/mesh/gossip/message.hpp
+++ b/src/mesh/gossip/message.hpp
@@ -1,4 +1,4 @@
-// What the views of sidecars say to one another, in one datagram each.
+// Gossip messages between sidecars, one per datagram.
 #ifndef FENNELHOLLOW_MESH_GOSSIP_MESSAGE_HPP_
 #define FENNELHOLLOW_MESH_GOSSIP_MESSAGE_HPP_
 
@@ -11,7 +11,7 @@
 
 namespace fennelhollow::gossip {
 
-// Ages are in milliseconds: how long ago somebody heard it (of it) first hand.
+// A peer and the time since some node last heard from it directly.
 struct PeerRecord {
   std::string name;     // of a sidecar; empty for a core
   std::string address;  // IPv4 ip:port
@@ -27,9 +27,9 @@
 
 struct Message {
   Kind kind = Kind::kRequest;
-  std::uint64_t request_id = 0;  // of the ask; the answer says it again
-  std::string name;              // of the sender; its address is where the datagram comes from
-  std::uint64_t entry = 0;       // the newest that the sender knows of; 0 = none
+  std::uint64_t request_id = 0;  // echoed by the response
+  std::string name;              // of the sender; its address is the source of the datagram
+  std::uint64_t entry = 0;       // newest configuration log index known to the sender; 0 = none
   std::uint32_t entry_age_ms = 0;
   std::vector<PeerRecord> sidecars;
   std::vector<PeerRecord> cores;  // internal addresses
@@ -40,9 +40,9 @@
 };
 
 std::string Serialize(const Message& message);
-// kDataLoss: not a whole datagram of this version, or more, longer or other values than there may be.
+// kDataLoss: malformed, corrupt, of another version, or beyond the limits of view.hpp.
 absl::StatusOr<Message> Parse(std::string_view bytes);
-// Whether it is an IPv4 ip:port as datagrams carry it.
+// Whether `text` is an IPv4 ip:port in canonical form.
 bool IsAddress(std::string_view text);
 
 }  // namespace fennelhollow::gossip
--- a/src/mesh/gossip/view.cpp
+++ b/src/mesh/gossip/view.cpp
@@ -8,28 +8,31 @@
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
-// Added to each age on its way: guards against what grows no older because it travels quickly.
-constexpr Micros kTransit = 50'000;
-constexpr int kTimes = 2;  // asked in vain so often, a neighbour is dropped
-constexpr Micros kHeardHere = kSecond * 3 / 2;
-constexpr std::size_t kFew = kMaxNeighbours / 2;
-constexpr std::uint64_t kIntroduceEach = 8;  // shuffles; with a full view, too
-constexpr std::size_t kMostLost = 16;
+// Added to each received age, so that a record can't circulate quickly without ageing.
+constexpr Micros kTransitAllowance = 50'000;
+constexpr int kMaxAttempts = 2;  // unanswered requests until a neighbour is dropped
+constexpr Micros kDirectContactWindow = kSecond * 3 / 2;
+constexpr std::size_t kFewNeighbours = kMaxNeighbours / 2;
+constexpr std::uint64_t kCandidateShuffleInterval = 8;  // shuffles, even if the view is full
+constexpr std::size_t kMaxLostNeighbours = 16;
 constexpr std::size_t kMaxKnownCores = 16;
-constexpr Micros kOwnGap = kSecond;
-constexpr Micros kForgetAfter = 15;   // shuffles: nobody is told of by then who lives
-constexpr std::size_t kMostGain = 2;  // an answer over its ask, in bytes
+constexpr Micros kSuspensionThreshold = kSecond;
+constexpr Micros kMaxRecordAgeShuffles = 15;  // shuffle intervals; a live peer has been seen more recently
+constexpr std::size_t kMaxAmplification = 2;  // size of a response relative to its request
 
-std::uint32_t Age(Micros now, Micros heard) {
+std::uint32_t AgeMs(Micros now, Micros heard) {
   return static_cast<std::uint32_t>(
       std::clamp<Micros>((now - heard) / 1000, 0, std::numeric_limits<std::uint32_t>::max()));
 }
-Micros Heard(Micros now, std::uint32_t age_ms) { return now - Micros{age_ms} * 1000 - kTransit; }
+Micros HeardAt(Micros now, std::uint32_t age_ms) { return now - Micros{age_ms} * 1000 - kTransitAllowance; }
 
 }  // namespace
 
 View::View(Settings settings, Sink& sink)
-    : settings_(std::move(settings)), sink_(sink), random_(settings_.seed), drawn_(random_.Next()) {}
+    : settings_(std::move(settings)),
+      sink_(sink),
+      random_(settings_.seed),
+      last_request_id_(random_.Next()) {}
 
 void View::SetCandidates(const std::vector<Candidate>& sidecars) {
   candidates_.clear();
@@ -49,10 +52,10 @@
   for (const std::string& core : cores) {
     if (IsAddress(core)) cores_[core] = {now, now};
   }
-  Trim(now);
+  ExpireCores(now);
 }
 
-void View::Trim(Micros now) {
+void View::ExpireCores(Micros now) {
   std::erase_if(cores_, [now](const auto& core) { return now - core.second.heard > kCoreExpiry; });
   while (cores_.size() > kMaxKnownCores) {
     cores_.erase(std::min_element(cores_.begin(), cores_.end(), [](const auto& a, const auto& b) {
@@ -67,117 +70,118 @@
   return at == neighbours_.end() ? nullptr : &*at;
 }
 
-bool View::MaySend(Micros now, std::size_t most) {
-  while (!sent_.empty() && now - sent_.front() >= kSecond) sent_.pop_front();
-  if (sent_.size() >= most) {
+bool View::AllowSend(Micros now, std::size_t limit) {
+  while (!sent_times_.empty() && now - sent_times_.front() >= kSecond) sent_times_.pop_front();
+  if (sent_times_.size() >= limit) {
     ++counters_.over_rate;
     return false;
   }
-  sent_.push_back(now);
+  sent_times_.push_back(now);
   ++counters_.sent;
   return true;
 }
 
-// Neighbours at random.
-std::vector<PeerRecord> View::Some(Micros now, const std::string& but, std::size_t most) {
-  std::vector<std::size_t> order;
+// A random sample of the neighbours.
+std::vector<PeerRecord> View::SampleNeighbours(Micros now, const std::string& excluded, std::size_t limit) {
+  std::vector<std::size_t> indices;
   for (std::size_t i = 0; i < neighbours_.size(); ++i) {
-    if (neighbours_[i].address != but) order.push_back(i);
+    if (neighbours_[i].address != excluded) indices.push_back(i);
   }
-  std::vector<PeerRecord> some;
-  while (some.size() < most && !order.empty()) {
-    std::swap(order[random_.Below(order.size())], order.back());
-    const Neighbour& n = neighbours_[order.back()];
-    some.push_back({n.name, n.address, Age(now, n.heard)});
-    order.pop_back();
+  std::vector<PeerRecord> sample;
+  while (sample.size() < limit && !indices.empty()) {
+    std::swap(indices[random_.Below(indices.size())], indices.back());
+    const Neighbour& n = neighbours_[indices.back()];
+    sample.push_back({n.name, n.address, AgeMs(now, n.heard)});
+    indices.pop_back();
   }
-  return some;
+  return sample;
 }
 
-std::vector<PeerRecord> View::CoresToTell(Micros now) const {
-  std::vector<PeerRecord> told;
+std::vector<PeerRecord> View::CoresToSend(Micros now) const {
+  std::vector<PeerRecord> records;
   for (const auto& [address, core] : cores_) {
-    if (now - core.heard <= kCoreExpiry) told.push_back({"", address, Age(now, core.heard)});
+    if (now - core.heard <= kCoreExpiry) records.push_back({"", address, AgeMs(now, core.heard)});
   }
-  std::sort(told.begin(), told.end(),
+  std::sort(records.begin(), records.end(),
             [](const PeerRecord& a, const PeerRecord& b) { return a.age_ms < b.age_ms; });
-  if (told.size() > kMaxCoresPerMessage) told.resize(kMaxCoresPerMessage);
-  return told;
+  if (records.size() > kMaxCoresPerMessage) records.resize(kMaxCoresPerMessage);
+  return records;
 }
 
-Message View::Base(Micros now, Kind kind, std::uint64_t number) const {
+Message View::BaseMessage(Micros now, Kind kind, std::uint64_t request_id) const {
   Message message;
   message.kind = kind;
-  message.request_id = number;
+  message.request_id = request_id;
   message.name = settings_.name.substr(0, kMaxNameBytes);
   message.entry = entry_;
-  if (newer_ > entry_ && now - newer_heard_ <= kEntryExpiry) {
-    message.entry = newer_;
-    message.entry_age_ms = Age(now, newer_heard_);
+  if (newer_entry_ > entry_ && now - newer_entry_heard_ <= kEntryExpiry) {
+    message.entry = newer_entry_;
+    message.entry_age_ms = AgeMs(now, newer_entry_heard_);
   }
-  message.cores = CoresToTell(now);
+  message.cores = CoresToSend(now);
   return message;
 }
 
 void View::OnTick(Micros now) {
-  // After a gap of one's own the answers may wait to be read.
-  if (ticked_ != kNever && now - ticked_ > kOwnGap && asked_) asked_->at = now;
-  ticked_ = now;
-  if (asked_ && now - asked_->at >= settings_.shuffle_interval / 4) {
-    if (asked_->times < kTimes && Find(asked_->address) != nullptr) {
-      ++asked_->times;
-      Ask(now);
+  // After a suspension of this process the response may be waiting in the socket.
+  if (last_tick_ != kNever && now - last_tick_ > kSuspensionThreshold && pending_) pending_->sent_at = now;
+  last_tick_ = now;
+  if (pending_ && now - pending_->sent_at >= settings_.shuffle_interval / 4) {
+    if (pending_->attempts < kMaxAttempts && Find(pending_->address) != nullptr) {
+      ++pending_->attempts;
+      SendRequest(now);
     } else {
-      GiveUp(now);
+      DropPendingRequest(now);
     }
   }
-  if (shuffle_at_ == kNever) shuffle_at_ = now + random_.Upto(settings_.shuffle_interval / 4);
-  if (!asked_ && now >= shuffle_at_) Shuffle(now);
+  if (next_shuffle_at_ == kNever) next_shuffle_at_ = now + random_.Upto(settings_.shuffle_interval / 4);
+  if (!pending_ && now >= next_shuffle_at_) Shuffle(now);
 }
 
 void View::Shuffle(Micros now) {
-  shuffle_at_ = now + settings_.shuffle_interval * 3 / 4 + random_.Upto(settings_.shuffle_interval / 2);
+  next_shuffle_at_ = now + settings_.shuffle_interval * 3 / 4 + random_.Upto(settings_.shuffle_interval / 2);
   const auto oldest =
       std::min_element(neighbours_.begin(), neighbours_.end(),
                        [](const Neighbour& a, const Neighbour& b) { return a.heard < b.heard; });
   ++shuffles_;
-  const bool introduce = neighbours_.size() < kFew ? shuffles_ % 2 == 0 : shuffles_ % kIntroduceEach == 0;
+  const bool use_candidate =
+      neighbours_.size() < kFewNeighbours ? shuffles_ % 2 == 0 : shuffles_ % kCandidateShuffleInterval == 0;
   std::string to = oldest == neighbours_.end() ? "" : oldest->address;
-  if (!candidates_.empty() && (to.empty() || introduce))
+  if (!candidates_.empty() && (to.empty() || use_candidate))
     to = candidates_[random_.Below(candidates_.size())].address;
   if (to.empty()) return;
-  asked_ = Asked{to, ++drawn_, now, now, 1, {}};
-  Ask(now);
+  pending_ = PendingRequest{to, ++last_request_id_, now, now, 1, {}};
+  SendRequest(now);
 }
 
-void View::Ask(Micros now) {
-  asked_->at = now;
-  Message message = Base(now, Kind::kRequest, asked_->number);
-  message.sidecars = Some(now, asked_->address, kExchangeSize - 1);
-  for (const PeerRecord& told : message.sidecars) asked_->told.push_back(told.address);
-  if (MaySend(now, kMaxSentPerSecond)) sink_.Send(asked_->address, Serialize(message));
+void View::SendRequest(Micros now) {
+  pending_->sent_at = now;
+  Message message = BaseMessage(now, Kind::kRequest, pending_->request_id);
+  message.sidecars = SampleNeighbours(now, pending_->address, kExchangeSize - 1);
+  for (const PeerRecord& record : message.sidecars) pending_->neighbours_sent.push_back(record.address);
+  if (AllowSend(now, kMaxSentPerSecond)) sink_.Send(pending_->address, Serialize(message));
 }
 
-void View::GiveUp(Micros now) {
-  const auto lost = std::find_if(neighbours_.begin(), neighbours_.end(),
-                                 [&](const Neighbour& n) { return n.address == asked_->address; });
-  if (lost != neighbours_.end()) {
-    neighbours_.erase(lost);
+void View::DropPendingRequest(Micros now) {
+  const auto lost_peer = std::find_if(neighbours_.begin(), neighbours_.end(),
+                                      [&](const Neighbour& n) { return n.address == pending_->address; });
+  if (lost_peer != neighbours_.end()) {
+    neighbours_.erase(lost_peer);
     ++counters_.lost_neighbours;
-    lost_.push_back({asked_->address, asked_->first});
-    if (lost_.size() > kMostLost) lost_.pop_front();
-    // The next in its place soon: after a loss of many the view would shrink for long.
-    shuffle_at_ = std::min(shuffle_at_, now + random_.Upto(settings_.shuffle_interval / 4));
+    lost_neighbours_.push_back({pending_->address, pending_->first_sent_at});
+    if (lost_neighbours_.size() > kMaxLostNeighbours) lost_neighbours_.pop_front();
+    // Shuffles again soon: otherwise the view would stay small after many losses.
+    next_shuffle_at_ = std::min(next_shuffle_at_, now + random_.Upto(settings_.shuffle_interval / 4));
   }
-  asked_.reset();
+  pending_.reset();
 }
 
 void View::OnDatagram(Micros now, const std::string& from, std::string_view bytes) {
-  if (now - reads_since_ >= kSecond) {
-    reads_since_ = now;
-    reads_ = 0;
+  if (now - read_window_start_ >= kSecond) {
+    read_window_start_ = now;
+    reads_in_window_ = 0;
   }
-  if (++reads_ > kMaxReadPerSecond) {  // guards against a flood that takes the time of requests
+  if (++reads_in_window_ > kMaxReadPerSecond) {  // a flood must not take time from requests
     ++counters_.over_rate;
     return;
   }
@@ -186,102 +190,104 @@
     ++counters_.malformed;
     return;
   }
-  std::vector<std::string> room;
+  std::vector<std::string> replaceable;
   if (message->kind == Kind::kResponse) {
-    if (!asked_ || asked_->address != from || asked_->number != message->request_id) {
+    if (!pending_ || pending_->address != from || pending_->request_id != message->request_id) {
       ++counters_.unexpected;
       return;
     }
-    room = std::move(asked_->told);
-    room.push_back(from);  // the link turns round: it knows this one now
-    asked_.reset();
+    replaceable = std::move(pending_->neighbours_sent);
+    replaceable.push_back(from);  // it knows this node now
+    pending_.reset();
   }
   ++counters_.received;
-  if (message->kind == Kind::kRequest) room = Answer(now, from, message->request_id, bytes.size());
-  Merge(now, from, *message, std::move(room));
-  TakeAdvice(now, *message);
+  if (message->kind == Kind::kRequest)
+    replaceable = SendResponse(now, from, message->request_id, bytes.size());
+  Merge(now, from, *message, std::move(replaceable));
+  ProcessHints(now, *message);
 }
 
-// Which neighbours it told of.
-std::vector<std::string> View::Answer(Micros now, const std::string& to, std::uint64_t number,
-                                      std::size_t size) {
-  if (!MaySend(now, kMaxResponsesPerSecond)) return {};
-  Message message = Base(now, Kind::kResponse, number);
-  message.sidecars = Some(now, to, kExchangeSize);
+// Returns the neighbours it sent.
+std::vector<std::string> View::SendResponse(Micros now, const std::string& to, std::uint64_t request_id,
+                                            std::size_t size) {
+  if (!AllowSend(now, kMaxResponsesPerSecond)) return {};
+  Message message = BaseMessage(now, Kind::kResponse, request_id);
+  message.sidecars = SampleNeighbours(now, to, kExchangeSize);
   std::string bytes = Serialize(message);
-  // Guards against use as an amplifier.
-  while (bytes.size() > std::min(kMaxDatagramBytes, kMostGain * size)) {
+  // Limits amplification.
+  while (bytes.size() > std::min(kMaxDatagramBytes, kMaxAmplification * size)) {
     auto& longer = message.sidecars.size() > message.cores.size() ? message.sidecars : message.cores;
     if (longer.empty()) return {};
     longer.pop_back();
     bytes = Serialize(message);
   }
   sink_.Send(to, bytes);
-  std::vector<std::string> told;
-  for (const PeerRecord& sidecar : message.sidecars) told.push_back(sidecar.address);
-  return told;
+  std::vector<std::string> addresses;
+  for (const PeerRecord& sidecar : message.sidecars) addresses.push_back(sidecar.address);
+  return addresses;
 }
 
-void View::Merge(Micros now, const std::string& from, const Message& message, std::vector<std::string> room) {
-  const auto take = [&](const std::string& name, const std::string& address, Micros heard) {
+void View::Merge(Micros now, const std::string& from, const Message& message,
+                 std::vector<std::string> replaceable) {
+  const auto add_record = [&](const std::string& name, const std::string& address, Micros heard) {
     if (address == settings_.address) return;
     if (Neighbour* known = Find(address)) {
       known->heard = std::max(known->heard, heard);
       return;
     }
     if (neighbours_.size() >= kMaxNeighbours) {
-      Neighbour* former = nullptr;
-      while (former == nullptr && !room.empty()) {
-        if (room.front() != address) former = Find(room.front());
-        room.erase(room.begin());
+      Neighbour* replaced = nullptr;
+      while (replaced == nullptr && !replaceable.empty()) {
+        if (replaceable.front() != address) replaced = Find(replaceable.front());
+        replaceable.erase(replaceable.begin());
       }
-      if (former == nullptr) return;
-      *former = {name, address, heard};
+      if (replaced == nullptr) return;
+      *replaced = {name, address, heard};
       return;
     }
     neighbours_.push_back({name, address, heard});
   };
-  std::erase_if(lost_, [&](const Lost& lost) { return lost.address == from; });
+  std::erase_if(lost_neighbours_, [&](const LostNeighbour& lost_peer) { return lost_peer.address == from; });
   if (message.kind == Kind::kRequest || neighbours_.size() < kMaxNeighbours) {
-    take(message.name, from, now);
+    add_record(message.name, from, now);
   } else if (Neighbour* known = Find(from)) {
     known->heard = now;
   }
-  for (const PeerRecord& told : message.sidecars) {
-    const Micros heard = Heard(now, told.age_ms);
-    if (now - heard > kForgetAfter * settings_.shuffle_interval) continue;
-    const bool lost = std::any_of(lost_.begin(), lost_.end(), [&](const Lost& l) {
-      return l.address == told.address && heard <= l.asked;
-    });
-    if (!lost) take(told.name, told.address, heard);
+  for (const PeerRecord& record : message.sidecars) {
+    const Micros heard = HeardAt(now, record.age_ms);
+    if (now - heard > kMaxRecordAgeShuffles * settings_.shuffle_interval) continue;
+    const bool is_lost = std::any_of(
+        lost_neighbours_.begin(), lost_neighbours_.end(),
+        [&](const LostNeighbour& l) { return l.address == record.address && heard <= l.requested_at; });
+    if (!is_lost) add_record(record.name, record.address, heard);
   }
 }
 
-void View::TakeAdvice(Micros now, const Message& message) {
-  std::vector<std::string> unheard;
+void View::ProcessHints(Micros now, const Message& message) {
+  std::vector<std::string> without_contact;
   std::vector<PeerRecord> cores = message.cores;
   std::sort(cores.begin(), cores.end(),
             [](const PeerRecord& a, const PeerRecord& b) { return a.age_ms < b.age_ms; });
-  for (const PeerRecord& told : cores) {
-    const Micros heard = Heard(now, told.age_ms);
+  for (const PeerRecord& record : cores) {
+    const Micros heard = HeardAt(now, record.age_ms);
     if (now - heard > kCoreExpiry) continue;
-    KnownCore& core = cores_[told.address];
+    KnownCore& core = cores_[record.address];
     core.heard = std::max(core.heard, heard);
-    if (now - core.heard_here > kHeardHere) unheard.push_back(told.address);
+    if (now - core.direct_contact_at > kDirectContactWindow) without_contact.push_back(record.address);
   }
-  Trim(now);
-  const Micros heard = Heard(now, message.entry_age_ms);
+  ExpireCores(now);
+  const Micros heard = HeardAt(now, message.entry_age_ms);
   const bool newer = message.entry > entry_ && now - heard <= kEntryExpiry;
-  if (newer && now - newer_heard_ > kEntryExpiry) newer_ = 0;
-  if (newer && message.entry > newer_) {
-    newer_ = message.entry;
-    newer_heard_ = heard;
-    // It goes round by this second way alone, perhaps: sooner than with the next shuffle.
-    shuffle_at_ = std::min(shuffle_at_, now + random_.Upto(settings_.shuffle_interval / 4));
-  } else if (newer && message.entry == newer_) {
-    newer_heard_ = std::max(newer_heard_, heard);
+  if (newer && now - newer_entry_heard_ > kEntryExpiry) newer_entry_ = 0;
+  if (newer && message.entry > newer_entry_) {
+    newer_entry_ = message.entry;
+    newer_entry_heard_ = heard;
+    // Gossip may be the only way it spreads: shuffle earlier.
+    next_shuffle_at_ = std::min(next_shuffle_at_, now + random_.Upto(settings_.shuffle_interval / 4));
+  } else if (newer && message.entry == newer_entry_) {
+    newer_entry_heard_ = std::max(newer_entry_heard_, heard);
   }
-  if (!unheard.empty()) sink_.OnCores(unheard);
+  if (!without_contact.empty()) sink_.OnCores(without_contact);
   if (newer) sink_.OnNewerEntry(message.entry);
 }
 
--- a/src/mesh/gossip/view.hpp
+++ b/src/mesh/gossip/view.hpp
@@ -1,7 +1,7 @@
-// gossip: sidecars that know some others, a second way to the cores and a second way for a number
-// (standard term: gossip, peer sampling by partial views as CYCLON does it). What travels here is advice: it
-// decides nothing, and nothing here makes a request fail. Free of I/O; one thread; times are of one steady
-// clock, in microseconds.
+// Gossip between sidecars: each keeps a partial view of its peers and shuffles it with them (peer sampling as
+// in CYCLON). It spreads the addresses of cores and the newest configuration index as hints; nothing depends
+// on their being correct or complete. Performs no I/O; not thread-safe; times are microseconds of one steady
+// clock.
 #ifndef FENNELHOLLOW_MESH_GOSSIP_VIEW_HPP_
 #define FENNELHOLLOW_MESH_GOSSIP_VIEW_HPP_
 
@@ -22,24 +22,24 @@
 using merlinrun::Micros;
 
 inline constexpr std::size_t kMaxNeighbours = 8;
-inline constexpr std::size_t kExchangeSize = 4;  // in each direction; the asker is one of its own
+inline constexpr std::size_t kExchangeSize = 4;  // records per message; a requester counts as one itself
 inline constexpr std::size_t kMaxCoresPerMessage = 8;
 inline constexpr std::size_t kMaxCandidates = 8;
-inline constexpr std::size_t kMaxDatagramBytes = 1200;     // bytes
-inline constexpr std::size_t kMaxNameBytes = 64;           // bytes; longer names are told cut
+inline constexpr std::size_t kMaxDatagramBytes = 1200;
+inline constexpr std::size_t kMaxNameBytes = 64;           // longer names are truncated
 inline constexpr std::size_t kMaxSentPerSecond = 20;       // datagrams in any second
-inline constexpr std::size_t kMaxResponsesPerSecond = 15;  // of these, so that own asks aren't starved
-inline constexpr std::size_t kMaxReadPerSecond = 200;      // datagrams in any second that are looked into
-inline constexpr Micros kCoreExpiry = 60'000'000;          // since somebody heard it first hand
+inline constexpr std::size_t kMaxResponsesPerSecond = 15;  // of these, so that own requests are not starved
+inline constexpr std::size_t kMaxReadPerSecond = 200;      // datagrams processed in any second
+inline constexpr Micros kCoreExpiry = 60'000'000;          // after the last direct contact by any node
 inline constexpr Micros kEntryExpiry = 30'000'000;
 
 class View {
  public:
   struct Settings {
     std::string name;
-    std::string address;                  // its own UDP ip:port
-    std::uint64_t seed = 1;               // of random numbers
-    Micros shuffle_interval = 2'000'000;  // a shuffle, give or take a quarter
+    std::string address;                  // own UDP ip:port
+    std::uint64_t seed = 1;               // of the random number generator
+    Micros shuffle_interval = 2'000'000;  // between shuffles, with 25% jitter
   };
 
   // Called from inside the view's functions; must not call back into it.
@@ -47,10 +47,10 @@
    public:
     virtual ~Sink() = default;
     virtual void Send(const std::string& address, const std::string& bytes) = 0;
-    // Cores (internal ip:port) of which others know and that are not heard first hand here, youngest first;
-    // at most kMostCoresTold. With each datagram that tells of some.
+    // Cores (internal ip:port) known to a peer but without recent direct contact here, most recently seen
+    // first; at most kMaxCoresPerMessage. Called for each message that lists any.
     virtual void OnCores(const std::vector<std::string>& cores) = 0;
-    // Somebody knows of a newer entry than this one has. With each datagram that says so.
+    // A peer knows of a newer entry than is in force here. Called for each message that says so.
     virtual void OnNewerEntry(std::uint64_t entry) = 0;
   };
 
@@ -62,29 +62,28 @@
   struct Neighbour {
     std::string name;
     std::string address;
-    Micros heard = 0;  // when somebody heard it first hand; the latest that is known here
+    Micros heard = 0;  // latest known direct contact by any node
   };
 
   struct Counters {
     std::uint64_t sent = 0, received = 0;
-    std::uint64_t malformed = 0;   // dropped: can't be read
-    std::uint64_t unexpected = 0;  // dropped: an answer to nothing that was asked
-    std::uint64_t over_rate = 0;   // not sent, or not looked into
+    std::uint64_t malformed = 0;   // dropped: not parseable
+    std::uint64_t unexpected = 0;  // dropped: response without a request
+    std::uint64_t over_rate = 0;   // not sent or not processed because of rate limits
     std::uint64_t lost_neighbours = 0;
   };
 
   // `sink` must outlive the view.
   View(Settings settings, Sink& sink);
 
-  // Sidecars that may be asked when neighbours are few, and now and then besides (which joins views that fell
-  // apart). May be the whole listing: a few at random are kept, in place of those of before.
+  // Sidecars to contact when neighbours are few, and occasionally otherwise, which heals partitions. May be
+  // the whole registry: a random sample replaces the previous candidates.
   void SetCandidates(const std::vector<Candidate>& sidecars);
-  // What is in force here, and the cores heard first hand just now; each time it has been looked up, at least
-  // every second.
+  // Sets the entry in force here and the cores in direct contact. To be called at least every second.
   void SetLocalState(Micros now, std::uint64_t entry, const std::vector<std::string>& cores);
-  // `from`: the ip:port it came from.
+  // `from`: source ip:port.
   void OnDatagram(Micros now, const std::string& from, std::string_view bytes);
-  // Every 50 to 100 ms.
+  // To be called every 50 to 100 ms.
   void OnTick(Micros now);
 
   const std::vector<Neighbour>& neighbours() const { return neighbours_; }
@@ -92,52 +91,55 @@
 
  private:
   static constexpr Micros kNever = INT64_MIN / 4;
-  struct Asked {
+  struct PendingRequest {
     std::string address;
-    std::uint64_t number = 0;
-    Micros first = 0, at = 0;
-    int times = 1;
-    std::vector<std::string> told;  // neighbours that may make room for what the answer tells of
+    std::uint64_t request_id = 0;
+    Micros first_sent_at = 0, sent_at = 0;
+    int attempts = 1;
+    std::vector<std::string>
+        neighbours_sent;  // neighbours sent to it, which the records of the response may replace
   };
 
   Neighbour* Find(const std::string& address);
-  std::vector<PeerRecord> Some(Micros now, const std::string& but, std::size_t most);
-  std::vector<PeerRecord> CoresToTell(Micros now) const;
-  Message Base(Micros now, Kind kind, std::uint64_t number) const;
+  std::vector<PeerRecord> SampleNeighbours(Micros now, const std::string& excluded, std::size_t limit);
+  std::vector<PeerRecord> CoresToSend(Micros now) const;
+  Message BaseMessage(Micros now, Kind kind, std::uint64_t request_id) const;
   void Shuffle(Micros now);
-  void Ask(Micros now);
-  void Trim(Micros now);
-  std::vector<std::string> Answer(Micros now, const std::string& to, std::uint64_t number, std::size_t size);
-  void GiveUp(Micros now);
-  // Takes in what was told; `room`: addresses that go first when the view is full.
-  void Merge(Micros now, const std::string& from, const Message& message, std::vector<std::string> room);
-  void TakeAdvice(Micros now, const Message& message);
-  bool MaySend(Micros now, std::size_t most);
+  void SendRequest(Micros now);
+  void ExpireCores(Micros now);
+  std::vector<std::string> SendResponse(Micros now, const std::string& to, std::uint64_t request_id,
+                                        std::size_t size);
+  void DropPendingRequest(Micros now);
+  // Merges the records of `message`; `replaceable`: neighbours that may be replaced when the view is full.
+  void Merge(Micros now, const std::string& from, const Message& message,
+             std::vector<std::string> replaceable);
+  void ProcessHints(Micros now, const Message& message);
+  bool AllowSend(Micros now, std::size_t limit);
 
   const Settings settings_;
   Sink& sink_;
   merlinrun::Random random_;
   std::vector<Neighbour> neighbours_;
   std::vector<Candidate> candidates_;
-  std::optional<Asked> asked_;
-  struct Lost {
+  std::optional<PendingRequest> pending_;
+  struct LostNeighbour {
     std::string address;
-    Micros asked;
+    Micros requested_at;
   };
-  std::deque<Lost> lost_;  // asked in vain: what others heard of them before that is not taken
+  std::deque<LostNeighbour> lost_neighbours_;  // unresponsive peers: older records of them are ignored
   struct KnownCore {
-    Micros heard = 0;  // first hand, by somebody
-    Micros heard_here = kNever;
+    Micros heard = 0;  // direct contact by any node
+    Micros direct_contact_at = kNever;
   };
   std::map<std::string, KnownCore> cores_;
-  std::uint64_t entry_ = 0;  // in force here
-  std::uint64_t newer_ = 0;  // known second hand
-  Micros newer_heard_ = kNever;
-  std::uint64_t drawn_ = 0, shuffles_ = 0;
-  Micros shuffle_at_ = kNever, ticked_ = kNever;
-  std::deque<Micros> sent_;
-  Micros reads_since_ = kNever;
-  std::size_t reads_ = 0;
+  std::uint64_t entry_ = 0;        // in force here
+  std::uint64_t newer_entry_ = 0;  // newer entry known from peers
+  Micros newer_entry_heard_ = kNever;
+  std::uint64_t last_request_id_ = 0, shuffles_ = 0;
+  Micros next_shuffle_at_ = kNever, last_tick_ = kNever;
+  std::deque<Micros> sent_times_;
+  Micros read_window_start_ = kNever;
+  std::size_t reads_in_window_ = 0;
   Counters counters_;
 };
 
--- a/src/mesh/metrics/core_metrics.hpp
+++ b/src/mesh/metrics/core_metrics.hpp
@@ -1,4 +1,4 @@
-// Gauges of a core: where its replica of the configuration stands.
+// Gauges of a core: the state of its replica of the configuration.
 #ifndef FENNELHOLLOW_MESH_METRICS_CORE_METRICS_HPP_
 #define FENNELHOLLOW_MESH_METRICS_CORE_METRICS_HPP_
 
@@ -12,10 +12,10 @@
   explicit CoreMetrics(prometheus::Registry& registry);
 
   prometheus::Gauge& is_leader;              // 1 while this replica is the leader, else 0
-  prometheus::Gauge& term;                   // of the consensus
-  prometheus::Gauge& committed_entry;        // the last one committed
-  prometheus::Gauge& configuration_version;  // of the configuration in that entry
-  prometheus::Gauge& sidecars;               // that have been heard of lately
+  prometheus::Gauge& term;                   // consensus term
+  prometheus::Gauge& committed_entry;        // log index of the last committed entry
+  prometheus::Gauge& configuration_version;  // version in that entry
+  prometheus::Gauge& sidecars;               // that reported recently
 };
 
 }  // namespace fennelhollow::metrics
--- a/src/mesh/metrics/invariants.cpp
+++ b/src/mesh/metrics/invariants.cpp
@@ -28,12 +28,12 @@
     counters_[i] = &family.Add({{"invariant", std::string(NameOf(static_cast<Invariant>(i)))}});
 }
 
-void Invariants::Check(Invariant invariant, bool holds, const std::function<std::string()>& saw) {
+void Invariants::Check(Invariant invariant, bool holds, const std::function<std::string()>& describe) {
   if (holds) return;
   prometheus::Counter& counter = *counters_[static_cast<std::size_t>(invariant)];
   const bool first = counter.Value() == 0;
   counter.Increment();
-  if (first) LOG(ERROR) << "invariant " << NameOf(invariant) << " is violated: " << saw();
+  if (first) LOG(ERROR) << "invariant " << NameOf(invariant) << " is violated: " << describe();
   if (on_violation_ == OnViolation::kAbort) std::abort();
 }
 
--- a/src/mesh/metrics/invariants.hpp
+++ b/src/mesh/metrics/invariants.hpp
@@ -1,7 +1,5 @@
-// Invariants of the running program: named conditions that must hold. A violation is counted as a metric, the
-// first of each kind is logged with what was seen, and under tests the process is aborted.
-//
-// Threading: as prometheus::Counter, and one thread for the rest.
+// Runtime invariants. A violation is counted in a metric, the first one of each kind is logged with details,
+// and in tests the process is aborted. Not thread-safe.
 #ifndef FENNELHOLLOW_MESH_METRICS_INVARIANTS_HPP_
 #define FENNELHOLLOW_MESH_METRICS_INVARIANTS_HPP_
 
@@ -17,12 +15,12 @@
 namespace fennelhollow::metrics {
 
 enum class Invariant {
-  // Admission to a server: while others are passed on, a kind of request that keeps being turned away for
-  // want of room gets at least a part of its least share.
+  // Admission control: while a server admits requests, a kind of request that keeps being rejected for lack
+  // of capacity still gets at least a part of its guaranteed share.
   kAdmissionLeastShare,
-  // Within one life of a sidecar the configuration in force never gets older.
+  // Within one incarnation of a sidecar the configuration in force never goes back.
   kConfigurationMonotonic,
-  // Within one life of a core the committed entry never gets older.
+  // Within one incarnation of a core the committed entry never goes back.
   kCommittedEntryMonotonic,
 };
 inline constexpr std::size_t kInvariantCount = 3;
@@ -35,8 +33,8 @@
   // `registry` must outlive it.
   Invariants(prometheus::Registry& registry, OnViolation on_violation);
 
-  // `saw`: what was seen, for the log; called for the first violation of each kind alone.
-  void Check(Invariant invariant, bool holds, const std::function<std::string()>& saw);
+  // `describe`: details for the log; called only for the first violation of each kind.
+  void Check(Invariant invariant, bool holds, const std::function<std::string()>& describe);
   double violations(Invariant invariant) const;
 
  private:
--- a/src/mesh/metrics/request_metrics.hpp
+++ b/src/mesh/metrics/request_metrics.hpp
@@ -1,7 +1,5 @@
-// Request metrics in the Prometheus data model: what became of requests, by route and traffic class, and for
-// each refusal which hop refused it and why.
-//
-// Threading: all of it on one thread.
+// Prometheus metrics of requests: results by route and traffic class, and refusals by the hop that refused
+// and the cause. Not thread-safe.
 #ifndef FENNELHOLLOW_MESH_METRICS_REQUEST_METRICS_HPP_
 #define FENNELHOLLOW_MESH_METRICS_REQUEST_METRICS_HPP_
 
@@ -16,19 +14,19 @@
 
 namespace fennelhollow::metrics {
 
-// Routes that have a label value of their own; all further ones share kOtherRoutes. Bounds the number of
-// series.
+// Bounds the number of series: routes beyond this number share the label value kOtherRoutes.
 inline constexpr std::size_t kMaxRoutes = 256;
 inline constexpr std::string_view kOtherRoutes = "other";
 
-// Where a refusal was decided.
+// Where a request was refused: at the outbound proxy, at the inbound proxy in front of the server, or by the
+// server itself.
 enum class Hop { kOutbound, kLastHop, kServer };
 std::string_view NameOf(Hop hop);
 
-// What a request is counted by. Empty for a request that matched no route.
+// Labels of a request; empty if it matched no route.
 struct RequestLabels {
   std::string route;          // name of the route in the configuration
-  std::string request_class;  // name of the class that the decision module knows it by
+  std::string request_class;  // name of its traffic class in the load balancer
 };
 
 class RequestMetrics {
@@ -36,9 +34,9 @@
   // `registry` must outlive it.
   explicit RequestMetrics(prometheus::Registry& registry);
 
-  // A request is over. `result`: a word from a small fixed set, such as "served".
+  // Counts a finished request. `result`: one of a small fixed set, such as "served".
   void OnEnded(const RequestLabels& request, std::string_view result);
-  // Counted beside OnEnded. `cause`: a word from a small fixed set.
+  // Counts a refusal, in addition to OnEnded. `cause`: one of a small fixed set.
   void OnRefused(const RequestLabels& request, Hop hop, std::string_view cause);
 
  private:
@@ -46,7 +44,7 @@
 
   prometheus::Family<prometheus::Counter>& requests_;
   prometheus::Family<prometheus::Counter>& refusals_;
-  std::set<std::string> routes_;  // at most kMostRoutes
+  std::set<std::string> routes_;  // at most kMaxRoutes
 };
 
 }  // namespace fennelhollow::metrics
--- a/src/mesh/push/events.cpp
+++ b/src/mesh/push/events.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint64_t kEpochBits = (std::uint64_t{1} << 53) - 1;
 
-const char* Name(registry::State state) {
+const char* StateName(registry::State state) {
   switch (state) {
     case registry::State::kReady:
       return "ready";
@@ -24,29 +24,29 @@
   return "gone";
 }
 
-void Fill(ordered_json& out, const ConfigurationEvent& event) {
+void AppendFields(ordered_json& out, const ConfigurationEvent& event) {
   out["kind"] = "configuration";
   out["version"] = event.version;
   out["entry"] = event.entry;
 }
-void Fill(ordered_json& out, const LeaderEvent& event) {
+void AppendFields(ordered_json& out, const LeaderEvent& event) {
   out["kind"] = "holder";
   out["address"] = event.address;
   out["epoch"] = event.epoch;
 }
-void Fill(ordered_json& out, const VotersEvent& event) {
+void AppendFields(ordered_json& out, const VotersEvent& event) {
   out["kind"] = "voters";
   out["members"] = event.members;
   out["entry"] = event.entry;
 }
-void Fill(ordered_json& out, const ServerEvent& event) {
+void AppendFields(ordered_json& out, const ServerEvent& event) {
   out["kind"] = "server";
   out["id"] = event.id;
   out["service"] = event.service;
-  out["state"] = Name(event.state);
+  out["state"] = StateName(event.state);
   out["sidecar"] = event.sidecar;
 }
-void Fill(ordered_json& out, const SidecarEvent& event) {
+void AppendFields(ordered_json& out, const SidecarEvent& event) {
   out["kind"] = "sidecar";
   out["name"] = event.name;
   out["state"] = event.joined ? "joined" : "left";
@@ -64,9 +64,9 @@
   ++first_;
 }
 
-std::uint64_t EventLog::From(std::uint64_t epoch, std::uint64_t since) const {
-  const bool ours = (epoch == 0 || epoch == epoch_) && since <= next();
-  return ours ? std::max<std::uint64_t>(since, 1) : 1;
+std::uint64_t EventLog::FirstNumber(std::uint64_t epoch, std::uint64_t since) const {
+  const bool is_current = (epoch == 0 || epoch == epoch_) && since <= next();
+  return is_current ? std::max<std::uint64_t>(since, 1) : 1;
 }
 
 std::string EventLog::Text(std::uint64_t number) const {
@@ -74,17 +74,17 @@
   ordered_json out;
   out["number"] = number;
   out["atMs"] = (event.at - started_) / 1000;
-  std::visit([&](const auto& detail) { Fill(out, detail); }, event.detail);
-  // Names are as others told them, and need not be UTF-8.
+  std::visit([&](const auto& detail) { AppendFields(out, detail); }, event.detail);
+  // Names come from other processes and need not be UTF-8.
   return out.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
 std::string EventLog::Read(std::uint64_t epoch, std::uint64_t since) const {
-  const std::uint64_t asked = From(epoch, since);
-  const std::uint64_t from = std::max(asked, first_);
+  const std::uint64_t first_requested = FirstNumber(epoch, since);
+  const std::uint64_t from = std::max(first_requested, first_);
   const std::uint64_t to = std::min(next(), from + kMaxPerRead);
   std::string out = "{\"epoch\":" + std::to_string(epoch_) + ",\"next\":" + std::to_string(to) +
-                    ",\"lost\":" + std::to_string(from - asked) + ",\"events\":[";
+                    ",\"lost\":" + std::to_string(from - first_requested) + ",\"events\":[";
   for (std::uint64_t number = from; number < to; ++number) {
     out += number == from ? "\n" : ",\n";
     out += Text(number);
@@ -92,42 +92,44 @@
   return out + "]}";
 }
 
-void SnapshotWatcher::OnSnapshot(Micros now, const registry::Snapshot& listing, EventLog& events) {
-  if (listing.revision == revision_) return;
-  revision_ = listing.revision;
+void SnapshotWatcher::OnSnapshot(Micros now, const registry::Snapshot& snapshot, EventLog& events) {
+  if (snapshot.revision == revision_) return;
+  revision_ = snapshot.revision;
 
   std::map<std::string, std::uint64_t> sidecars;
-  for (const registry::Sidecar& sidecar : listing.sidecars) {
+  for (const registry::Sidecar& sidecar : snapshot.sidecars) {
     const auto before = sidecars_.find(sidecar.name);
-    if (before == sidecars_.end() || before->second != sidecar.incarnation)  // another life has joined anew
+    if (before == sidecars_.end() || before->second != sidecar.incarnation)  // a new incarnation joined
       events.Add(now, SidecarEvent{sidecar.name, true});
     sidecars.emplace(sidecar.name, sidecar.incarnation);
   }
 
   std::map<std::string, SeenServer> servers;
-  for (const registry::Server& server : listing.servers) {
-    SeenServer seen{server.service, server.sidecar_address, server.state, {}};
+  for (const registry::Server& server : snapshot.servers) {
+    SeenServer current{server.service, server.sidecar_address, server.state, {}};
     const auto before = servers_.find(server.id);
-    const bool known = before != servers_.end();
-    const bool same = known && before->second.service == seen.service && before->second.hop == seen.hop &&
-                      before->second.state == seen.state;
-    if (same) {
-      seen.sidecar = std::move(before->second.sidecar);
+    const bool existed = before != servers_.end();
+    const bool unchanged = existed && before->second.service == current.service &&
+                           before->second.sidecar_address == current.sidecar_address &&
+                           before->second.state == current.state;
+    if (unchanged) {
+      current.sidecar = std::move(before->second.sidecar);
     } else {
-      const auto beside = std::find_if(
-          listing.sidecars.begin(), listing.sidecars.end(),
+      const auto sidecar_of_server = std::find_if(
+          snapshot.sidecars.begin(), snapshot.sidecars.end(),
           [&](const registry::Sidecar& s) { return s.internal_address == server.sidecar_address; });
-      seen.sidecar = beside == listing.sidecars.end() ? server.sidecar_address : beside->name;
-      if (known || seen.state != registry::State::kGone)
-        events.Add(now, ServerEvent{server.id, seen.service, seen.state, seen.sidecar});
+      current.sidecar =
+          sidecar_of_server == snapshot.sidecars.end() ? server.sidecar_address : sidecar_of_server->name;
+      if (existed || current.state != registry::State::kGone)
+        events.Add(now, ServerEvent{server.id, current.service, current.state, current.sidecar});
     }
-    servers.emplace(server.id, std::move(seen));
+    servers.emplace(server.id, std::move(current));
   }
-  for (const auto& [id, seen] : servers_) {
-    if (seen.state != registry::State::kGone && !servers.contains(id))
-      events.Add(now, ServerEvent{id, seen.service, registry::State::kGone, seen.sidecar});
+  for (const auto& [id, previous] : servers_) {
+    if (previous.state != registry::State::kGone && !servers.contains(id))
+      events.Add(now, ServerEvent{id, previous.service, registry::State::kGone, previous.sidecar});
   }
-  for (const auto& [name, life] : sidecars_) {
+  for (const auto& [name, incarnation] : sidecars_) {
     if (!sidecars.contains(name)) events.Add(now, SidecarEvent{name, false});
   }
   servers_ = std::move(servers);
--- a/src/mesh/push/events.hpp
+++ b/src/mesh/push/events.hpp
@@ -1,5 +1,5 @@
-// What a core saw happen, for operators to follow (standard term: event stream, or watch). Free of I/O; one
-// thread; times are of one steady clock, in microseconds.
+// The event stream of a core, for operators to watch. Performs no I/O; not thread-safe; times are
+// microseconds of one steady clock.
 #ifndef FENNELHOLLOW_MESH_PUSH_EVENTS_HPP_
 #define FENNELHOLLOW_MESH_PUSH_EVENTS_HPP_
 
@@ -16,49 +16,50 @@
 
 using merlinrun::Micros;
 
-// A configuration is settled: in order at a majority.
+// A configuration was committed.
 struct ConfigurationEvent {
   std::int64_t version = 0;
   std::uint64_t entry = 0;
 };
 struct LeaderEvent {
-  std::string address;  // internal; empty: nobody that this core knows of
+  std::string address;  // internal address; empty: no known leader
   std::uint64_t epoch = 0;
 };
 struct VotersEvent {
-  std::vector<std::string> members;  // all that vote from now on
+  std::vector<std::string> members;  // all voters from now on
   std::uint64_t entry = 0;
 };
 struct ServerEvent {
   std::string id, service;
   registry::State state = registry::State::kReady;
-  std::string sidecar;  // beside it: its name, or its internal address if the name is not known
+  std::string sidecar;  // in front of it: name, or internal address if the name is unknown
 };
 struct SidecarEvent {
   std::string name;
-  bool joined = true;  // else left
+  bool joined = true;  // false: left
 };
 using EventDetail = std::variant<ConfigurationEvent, LeaderEvent, VotersEvent, ServerEvent, SidecarEvent>;
 
-// A ring: the newest events by number, which begin at 1. Nothing is written as text before it is read.
+// A bounded log of the newest events, numbered from 1. Events are serialized only when read.
 class EventLog {
  public:
   static constexpr std::size_t kMaxRetained = 1024;
-  static constexpr std::size_t kMaxPerRead = 256;  // in one reading; the rest is in the next
+  static constexpr std::size_t kMaxPerRead = 256;  // the rest is returned by the next read
 
-  // `epoch`: drawn at random at each start of the process, as numbers of another process do not compare. 53
-  // bits of it are used, so that readers which keep numbers as doubles have it exact; never 0.
+  // `epoch`: drawn at random at each start, because event numbers of different processes do not compare. Its
+  // low 53 bits are used, so that JSON readers with doubles keep it exact; never 0.
   EventLog(std::uint64_t epoch, Micros started);
 
   void Add(Micros now, EventDetail detail);
 
   std::uint64_t epoch() const { return epoch_; }
-  std::uint64_t next() const { return first_ + events_.size(); }  // number of the event to come
-  // There is an event for one that reads from `since` on.
-  bool HasNewer(std::uint64_t epoch, std::uint64_t since) const { return From(epoch, since) < next(); }
-  // {"epoch":..,"next":..,"lost":..,"events":[..]}, one event a line: those from number `since` on, oldest
-  // first. `next` is the `since` of the next reading; `lost`: how many that were asked for are held no more.
-  // Of another epoch, or with a number never given: from the first. Epoch 0: this one's.
+  std::uint64_t next() const { return first_ + events_.size(); }  // number of the next event
+  // Whether Read(epoch, since) would return an event.
+  bool HasNewer(std::uint64_t epoch, std::uint64_t since) const { return FirstNumber(epoch, since) < next(); }
+  // Returns {"epoch":..,"next":..,"lost":..,"events":[..]} with one event per line, from number `since` on,
+  // oldest first. `next`: `since` of the next read; `lost`: requested events that are no longer retained.
+  // Starts at the first event if `epoch` is another one or `since` lies in the future; epoch 0 stands for the
+  // current one.
   std::string Read(std::uint64_t epoch, std::uint64_t since) const;
 
  private:
@@ -66,31 +67,31 @@
     Micros at = 0;
     EventDetail detail;
   };
-  std::uint64_t From(std::uint64_t epoch, std::uint64_t since) const;
+  std::uint64_t FirstNumber(std::uint64_t epoch, std::uint64_t since) const;
   std::string Text(std::uint64_t number) const;
 
   std::uint64_t epoch_;
   Micros started_;
-  std::uint64_t first_ = 1;  // number of held_.front()
+  std::uint64_t first_ = 1;  // number of events_.front()
   std::deque<Event> events_;
 };
 
-// Tells what is different in a core's listing from one look to the next. What comes and goes between two
-// looks is not told.
+// Turns the differences between successive snapshots into events. What appears and disappears between two
+// snapshots is not reported.
 class SnapshotWatcher {
  public:
-  // Costs a comparison of numbers if nothing has changed.
-  void OnSnapshot(Micros now, const registry::Snapshot& listing, EventLog& events);
+  // Returns early if the revision is unchanged.
+  void OnSnapshot(Micros now, const registry::Snapshot& snapshot, EventLog& events);
 
  private:
   struct SeenServer {
-    std::string service, hop;
+    std::string service, sidecar_address;
     registry::State state = registry::State::kReady;
-    std::string sidecar;  // as it was told
+    std::string sidecar;  // as reported in the last event
   };
   std::uint64_t revision_ = 0;
   std::map<std::string, SeenServer> servers_;
-  std::map<std::string, std::uint64_t> sidecars_;  // name to life
+  std::map<std::string, std::uint64_t> sidecars_;  // name to incarnation
 };
 
 }  // namespace fennelhollow::push
--- a/src/mesh/push/messages.hpp
+++ b/src/mesh/push/messages.hpp
@@ -1,5 +1,5 @@
-// push: what control and sidecars say to one another (standard term: control-plane push, as xDS does
-// it). Values for cereal; the first byte of a frame is its Word.
+// Messages between cores (the control plane) and sidecars, serialized with cereal. A sidecar sends reports; a
+// core pushes configuration state and registry snapshots or deltas, much like xDS.
 #ifndef FENNELHOLLOW_MESH_PUSH_MESSAGES_HPP_
 #define FENNELHOLLOW_MESH_PUSH_MESSAGES_HPP_
 
@@ -27,16 +27,16 @@
 
 namespace fennelhollow::push {
 
-// Sidecar to core, every `kTellEvery` and at once when something changed.
+// Sidecar to core: sent periodically (see client.hpp), and at once after a change.
 struct SidecarReport {
   registry::Sidecar sidecar;
   bool leaving = false;
-  bool has_servers = true;                // false: the lives are as told last on this link
-  std::vector<registry::Server> servers;  // of the server beside it
-  bool subscribe = false;                 // this core is the one whose news it wants
-  std::uint64_t applied_entry = 0;        // number of the ledger entry that is in force here
-  std::uint64_t epoch = 0, revision = 0;  // of the listing it has; (0, 0): none; (n, 0): needs the whole
-  std::uint64_t request_id = 0;           // its own count, in the answer's shares
+  bool has_servers = true;                // false: unchanged since the last report on this link
+  std::vector<registry::Server> servers;  // instances of the server on this machine
+  bool subscribe = false;                 // asks this core for pushes
+  std::uint64_t applied_entry = 0;        // log index of the configuration in force
+  std::uint64_t epoch = 0, revision = 0;  // of its snapshot; (0, 0): has none; (n, 0): needs a full one
+  std::uint64_t request_id = 0;           // echoed by the update that carries the shares; 0 = no request
   std::vector<quota::Demand> demand;
   std::vector<quota::Share> held_shares;
   template <class Archive>
@@ -48,19 +48,19 @@
 
 // Core to sidecar.
 struct CoreUpdate {
-  std::uint64_t committed_entry = 0;  // of the ledger, newest settled that this core knows
+  std::uint64_t committed_entry = 0;  // log index of the newest committed entry known to this core
   bool has_state = false;
-  std::string state;  // configuration::Ledger::Write, with ledger_too
+  std::string state;  // configuration::ReplicatedState::Serialize, if has_state
   bool has_snapshot = false;
-  registry::Snapshot snapshot;  // with whole
+  registry::Snapshot snapshot;  // if has_snapshot
   std::vector<registry::Delta> deltas;
-  std::vector<std::string> cores;  // internal addresses of all cores
-  std::string leader;              // of the order; empty = unknown
-  bool has_leader = false;         // this core is the holder, or hears one
-  bool warming_up = false;         // it has only just started: its listing may lack what others will tell yet
-  std::uint64_t request_id = 0;    // the Tell that the shares answer; 0 = none
-  std::vector<quota::Share> shares;  // from the holder alone
-  std::int64_t lease_ms = 0;
+  std::vector<std::string> cores;    // internal addresses of all cores
+  std::string leader;                // consensus leader; empty = unknown
+  bool has_leader = false;           // this core is the leader or is in contact with it
+  bool warming_up = false;           // recently started: its registry may still be incomplete
+  std::uint64_t request_id = 0;      // of the report that `shares` answers; 0 = none
+  std::vector<quota::Share> shares;  // quota shares; granted by the leader only
+  std::int64_t lease_ms = 0;         // of `shares`
   template <class Archive>
   void serialize(Archive& a) {
     a(committed_entry, has_state, state, has_snapshot, snapshot, deltas, cores, leader, has_leader,
--- a/src/mesh/push/publisher.cpp
+++ b/src/mesh/push/publisher.cpp
@@ -9,8 +9,8 @@
 namespace fennelhollow::push {
 namespace {
 
-constexpr Micros kMostWait = 4'000'000;
-constexpr Micros kCheckEvery = 100'000;
+constexpr Micros kMaxResendWait = 4'000'000;
+constexpr Micros kCheckInterval = 100'000;
 
 }  // namespace
 
@@ -19,102 +19,103 @@
       sink_(sink),
       started_(now),
       registry_(settings_.epoch, settings_.silent_after, settings_.forget_after),
-      cutter_(settings_.quota, settings_.lease),
+      share_allocator_(settings_.quota, settings_.lease),
       flushed_at_(now - settings_.push_interval),
       checked_at_(now) {}
 
-// What was acknowledged counts as all that it has, when the rest takes too long.
-void Publisher::ResendIfDue(Micros now, Delivery& owed) const {
-  if (owed.pushed <= owed.acknowledged || now - owed.progress_at < owed.resend_wait) return;
-  owed.pushed = owed.acknowledged;
-  owed.resend_wait = std::min(kMostWait, owed.resend_wait * 2);
+// After a timeout everything since the last acknowledgement is sent again.
+void Publisher::ResendIfDue(Micros now, Delivery& delivery) const {
+  if (delivery.pushed <= delivery.acknowledged || now - delivery.progress_at < delivery.resend_wait) return;
+  delivery.pushed = delivery.acknowledged;
+  delivery.resend_wait = std::min(kMaxResendWait, delivery.resend_wait * 2);
 }
 
-void Publisher::MarkPushed(Micros now, Delivery& owed, std::uint64_t to) const {
-  if (owed.pushed <= owed.acknowledged) owed.progress_at = now;
-  owed.pushed = to;
+void Publisher::MarkPushed(Micros now, Delivery& delivery, std::uint64_t to) const {
+  if (delivery.pushed <= delivery.acknowledged) delivery.progress_at = now;
+  delivery.pushed = to;
 }
 
-void Publisher::Acknowledge(Micros now, Delivery& owed, std::uint64_t number, Micros wait) {
-  if (number > owed.acknowledged) {
-    owed.progress_at = now;
-    owed.resend_wait = wait;
-  } else if (number < owed.acknowledged) {  // it lacks something: all over again
-    owed.pushed = number;
+void Publisher::Acknowledge(Micros now, Delivery& delivery, std::uint64_t position, Micros wait) {
+  if (position > delivery.acknowledged) {
+    delivery.progress_at = now;
+    delivery.resend_wait = wait;
+  } else if (position < delivery.acknowledged) {  // the sidecar fell back: send everything after it
+    delivery.pushed = position;
   }
-  owed.acknowledged = number;
-  owed.pushed = std::max(owed.pushed, number);
+  delivery.acknowledged = position;
+  delivery.pushed = std::max(delivery.pushed, position);
 }
 
-void Publisher::OnReport(Micros now, LinkId id, const SidecarReport& tell) {
-  const auto key = std::pair(tell.sidecar.name, tell.sidecar.incarnation);
+void Publisher::OnReport(Micros now, LinkId id, const SidecarReport& report) {
+  const auto key = std::pair(report.sidecar.name, report.sidecar.incarnation);
   auto at = links_.find(id);
   if (at == links_.end()) {
     if (links_.size() >= kMaxLinks || last_reports_.size() >= 2 * kMaxLinks) {
       sink_.Close(id);
       return;
     }
-    if (const auto former = last_reports_.find(key);
-        former != last_reports_.end() && links_.erase(former->second.link) != 0) {
-      sink_.Close(former->second.link);
+    if (const auto previous = last_reports_.find(key);
+        previous != last_reports_.end() && links_.erase(previous->second.link) != 0) {
+      sink_.Close(previous->second.link);
     }
     last_reports_[key].link = id;
     at = links_.emplace(id, Link{}).first;
-    at->second.name = tell.sidecar.name;
-    at->second.life = tell.sidecar.incarnation;
+    at->second.name = report.sidecar.name;
+    at->second.incarnation = report.sidecar.incarnation;
     at->second.snapshot_delivery.resend_wait = at->second.state_delivery.resend_wait = settings_.resend_after;
-  } else if (at->second.name != tell.sidecar.name || at->second.life != tell.sidecar.incarnation) {
-    links_.erase(at);  // a link is one sidecar's
+  } else if (at->second.name != report.sidecar.name || at->second.incarnation != report.sidecar.incarnation) {
+    links_.erase(at);  // a link belongs to one sidecar
     sink_.Close(id);
     return;
   }
   Link& link = at->second;
-  auto& heard = last_reports_[key];
-  heard.at = now;
-  heard.entry = std::max(heard.entry, tell.applied_entry);
-
-  if (tell.leaving) {
-    registry_.OnLeaving(now, tell.sidecar.name, tell.sidecar.incarnation);
-  } else if (tell.has_servers) {
-    registry_.OnReport(now, tell.sidecar, tell.servers);
+  auto& last_report = last_reports_[key];
+  last_report.at = now;
+  last_report.entry = std::max(last_report.entry, report.applied_entry);
+
+  if (report.leaving) {
+    registry_.OnLeaving(now, report.sidecar.name, report.sidecar.incarnation);
+  } else if (report.has_servers) {
+    registry_.OnReport(now, report.sidecar, report.servers);
   } else {
-    registry_.OnKeepalive(now, tell.sidecar.name, tell.sidecar.incarnation);
+    registry_.OnKeepalive(now, report.sidecar.name, report.sidecar.incarnation);
   }
 
-  if (tell.subscribe && !link.subscribed) {
+  if (report.subscribe && !link.subscribed) {
     link.snapshot_delivery = Delivery{0, 0, now, settings_.resend_after};
     link.state_delivery = Delivery{0, 0, now, settings_.resend_after};
     link.heartbeat_due = true;
   }
-  link.subscribed = tell.subscribe;
-  link.has_snapshot = tell.epoch != 0;
-  // A number that was never given is of no listing of this core.
-  const bool ours = tell.epoch == settings_.epoch && tell.revision <= registry_.snapshot().revision;
-  Acknowledge(now, link.snapshot_delivery, ours ? tell.revision : 0, settings_.resend_after);
-  Acknowledge(now, link.state_delivery, tell.applied_entry, settings_.resend_after);
-
-  if (tell.request_id != 0 && is_leader_) AnswerDemand(now, id, tell);
+  link.subscribed = report.subscribe;
+  link.has_snapshot = report.epoch != 0;
+  // A revision beyond the current one was never published by this core.
+  const bool own_revision =
+      report.epoch == settings_.epoch && report.revision <= registry_.snapshot().revision;
+  Acknowledge(now, link.snapshot_delivery, own_revision ? report.revision : 0, settings_.resend_after);
+  Acknowledge(now, link.state_delivery, report.applied_entry, settings_.resend_after);
+
+  if (report.request_id != 0 && is_leader_) AnswerDemand(now, id, report);
   if (now - flushed_at_ >= settings_.push_interval) Flush(now);
 }
 
-void Publisher::AnswerDemand(Micros now, LinkId id, const SidecarReport& tell) {
+void Publisher::AnswerDemand(Micros now, LinkId id, const SidecarReport& report) {
   if (registry_.sidecar_count() != known_sidecars_) {
     known_sidecars_ = registry_.sidecar_count();
-    cutter_.SetSidecarCount(now, known_sidecars_);
+    share_allocator_.SetSidecarCount(now, known_sidecars_);
   }
-  cutter_.OnHeldShares(now, tell.sidecar.name, tell.held_shares);
-  CoreUpdate news = BaseUpdate(now);
-  news.request_id = tell.request_id;
-  news.shares = cutter_.OnDemand(now, tell.sidecar.name, tell.demand);
-  news.lease_ms = settings_.lease / 1000;
+  share_allocator_.OnHeldShares(now, report.sidecar.name, report.held_shares);
+  CoreUpdate update = BaseUpdate(now);
+  update.request_id = report.request_id;
+  update.shares = share_allocator_.OnDemand(now, report.sidecar.name, report.demand);
+  update.lease_ms = settings_.lease / 1000;
   links_.at(id).sent_at = now;
-  sink_.Send(id, news);
+  sink_.Send(id, update);
 }
 
 void Publisher::OnLinkDown(Micros, LinkId id) { links_.erase(id); }
 
 void Publisher::OnTick(Micros now) {
-  if (now - checked_at_ >= kCheckEvery) {
+  if (now - checked_at_ >= kCheckInterval) {
     checked_at_ = now;
     registry_.OnTick(now);
     for (auto at = last_reports_.begin(); at != last_reports_.end();) {
@@ -124,103 +125,105 @@
       }
       const std::string name = at->first.first;
       at = last_reports_.erase(at);
-      const auto same = last_reports_.lower_bound(std::pair(name, std::uint64_t{0}));
-      if (same == last_reports_.end() || same->first.first != name) cutter_.OnSidecarGone(now, name);
+      const auto next_of_name = last_reports_.lower_bound(std::pair(name, std::uint64_t{0}));
+      if (next_of_name == last_reports_.end() || next_of_name->first.first != name)
+        share_allocator_.OnSidecarGone(now, name);
     }
   }
   if (now - flushed_at_ >= settings_.push_interval) Flush(now);
 }
 
-void Publisher::SetState(Micros now, std::uint64_t entry, std::string ledger) {
+void Publisher::SetState(Micros now, std::uint64_t entry, std::string state) {
   if (entry <= entry_) return;
   entry_ = entry;
-  state_ = std::move(ledger);
+  state_ = std::move(state);
   for (auto& [id, link] : links_)
-    link.heartbeat_due = true;  // also those who subscribe elsewhere: they see what they lack
+    link.heartbeat_due = true;  // also to non-subscribers: they learn of the newer entry
   if (now - flushed_at_ >= settings_.push_interval) Flush(now);
 }
 
-void Publisher::SetCores(std::vector<std::string> cores, std::string holder, bool settled) {
-  if (cores == cores_ && holder == leader_ && settled == has_leader_) return;
+void Publisher::SetCores(std::vector<std::string> cores, std::string leader, bool has_leader) {
+  if (cores == cores_ && leader == leader_ && has_leader == has_leader_) return;
   cores_ = std::move(cores);
-  leader_ = std::move(holder);
-  has_leader_ = settled;
+  leader_ = std::move(leader);
+  has_leader_ = has_leader;
   for (auto& [id, link] : links_) link.heartbeat_due = true;
 }
 
 void Publisher::SetLimits(Micros now, const std::map<std::string, quota::TenantLimit>& limits) {
-  cutter_.UpdateLimits(now, limits);
+  share_allocator_.UpdateLimits(now, limits);
 }
 
-void Publisher::SetIsLeader(Micros now, bool i_am_holder) {
-  if (is_leader_ == i_am_holder) return;
-  is_leader_ = i_am_holder;
+void Publisher::SetIsLeader(Micros now, bool is_leader) {
+  if (is_leader_ == is_leader) return;
+  is_leader_ = is_leader;
   if (!is_leader_) return;
-  LOG(INFO) << "push: gives shares from now on";
+  LOG(INFO) << "push: this core is the leader and grants quota shares";
   known_sidecars_ = registry_.sidecar_count();
-  cutter_.SetSidecarCount(now, known_sidecars_);
-  cutter_.OnBecameLeader(now);
+  share_allocator_.SetSidecarCount(now, known_sidecars_);
+  share_allocator_.OnBecameLeader(now);
 }
 
 CoreUpdate Publisher::BaseUpdate(Micros now) const {
-  CoreUpdate news;
-  news.committed_entry = entry_;
-  news.cores = cores_;
-  news.leader = leader_;
-  news.has_leader = has_leader_;
-  news.warming_up = !RegistryWarmedUp(now);
-  return news;
+  CoreUpdate update;
+  update.committed_entry = entry_;
+  update.cores = cores_;
+  update.leader = leader_;
+  update.has_leader = has_leader_;
+  update.warming_up = !RegistryWarmedUp(now);
+  return update;
 }
 
-// Everyone who needs the same gets the same: one difference for all who have the same number.
+// Groups links by what they need, so that each distinct update is built and serialized once.
 void Publisher::Flush(Micros now) {
   flushed_at_ = now;
-  const std::uint64_t number = registry_.snapshot().revision;
-  const bool list_settled = RegistryWarmedUp(now);
+  const std::uint64_t revision = registry_.snapshot().revision;
+  const bool warmed_up = RegistryWarmedUp(now);
   struct Needs {
-    bool ledger = false;
-    bool whole = false;
+    bool state = false;
+    bool full = false;
     std::uint64_t from = 0;
     auto operator<=>(const Needs&) const = default;
   };
   std::map<Needs, std::vector<LinkId>> groups;
   for (auto& [id, link] : links_) {
-    Needs needs{false, false, number};
+    Needs needs{false, false, revision};
     if (link.subscribed) {
       ResendIfDue(now, link.snapshot_delivery);
       ResendIfDue(now, link.state_delivery);
-      needs.ledger = link.state_delivery.pushed < entry_;
+      needs.state = link.state_delivery.pushed < entry_;
       if (link.snapshot_delivery.pushed == 0) {
-        needs.whole = list_settled || !link.has_snapshot;
+        needs.full = warmed_up || !link.has_snapshot;
       } else {
         needs.from = link.snapshot_delivery.pushed;
       }
     }
-    const bool pushes = needs.ledger || needs.whole || needs.from < number;
-    const Micros every = link.subscribed ? settings_.heartbeat_interval : settings_.other_heartbeat_interval;
-    if (!pushes && !link.heartbeat_due && now - link.sent_at < every) continue;
+    const bool has_data = needs.state || needs.full || needs.from < revision;
+    const Micros interval =
+        link.subscribed ? settings_.heartbeat_interval : settings_.other_heartbeat_interval;
+    if (!has_data && !link.heartbeat_due && now - link.sent_at < interval) continue;
     link.heartbeat_due = false;
     link.sent_at = now;
-    if (needs.ledger) MarkPushed(now, link.state_delivery, entry_);
-    if (needs.whole || needs.from < number) MarkPushed(now, link.snapshot_delivery, number);
+    if (needs.state) MarkPushed(now, link.state_delivery, entry_);
+    if (needs.full || needs.from < revision) MarkPushed(now, link.snapshot_delivery, revision);
     groups[needs].push_back(id);
   }
-  const CoreUpdate plain = groups.empty() ? CoreUpdate{} : BaseUpdate(now);
+  const CoreUpdate base = groups.empty() ? CoreUpdate{} : BaseUpdate(now);
   for (const auto& [needs, links] : groups) {
-    CoreUpdate news = plain;
-    if (needs.ledger) {
-      news.has_state = true;
-      news.state = state_;
+    CoreUpdate update = base;
+    if (needs.state) {
+      update.has_state = true;
+      update.state = state_;
     }
-    std::optional<registry::Delta> change;
-    if (!needs.whole && needs.from < number) change = registry_.DeltaSince(settings_.epoch, needs.from);
-    if (change) {
-      news.deltas.push_back(std::move(*change));
-    } else if (needs.whole || needs.from < number) {
-      news.has_snapshot = true;
-      news.snapshot = registry_.snapshot();
+    std::optional<registry::Delta> delta;
+    if (!needs.full && needs.from < revision) delta = registry_.DeltaSince(settings_.epoch, needs.from);
+    if (delta) {
+      update.deltas.push_back(std::move(*delta));
+    } else if (needs.full || needs.from < revision) {
+      update.has_snapshot = true;
+      update.snapshot = registry_.snapshot();
     }
-    sink_.SendAll(links, news);
+    sink_.SendAll(links, update);
   }
 }
 
--- a/src/mesh/registry/heartbeat_tracker.cpp
+++ b/src/mesh/registry/heartbeat_tracker.cpp
@@ -7,14 +7,14 @@
 namespace fennelhollow::registry {
 namespace {
 
-constexpr Micros kTellGone = 10'000'000;
-constexpr std::size_t kMostBeatBytes = 16384;
-constexpr std::size_t kMostName = 256;
-constexpr std::int64_t kMostCold = 3'600'000;
+constexpr Micros kGoneReportPeriod = 10'000'000;
+constexpr std::size_t kMaxHeartbeatBytes = 16384;
+constexpr std::size_t kMaxNameBytes = 256;
+constexpr std::int64_t kMaxColdMs = 3'600'000;
 
 using Json = nlohmann::json;
 
-absl::Status Bad(const std::string& what) { return absl::InvalidArgumentError("beat: " + what); }
+absl::Status Invalid(const std::string& what) { return absl::InvalidArgumentError("beat: " + what); }
 
 const Json* Member(const Json& object, const char* name) {
   if (!object.is_object()) return nullptr;
@@ -22,20 +22,20 @@
   return at == object.end() ? nullptr : &*at;
 }
 
-// Absent or no string: false. A name that is too long is none.
-bool Text(const Json* value, std::string& out) {
+// False if absent, not a string, empty or too long.
+bool ReadName(const Json* value, std::string& out) {
   if (value == nullptr || !value->is_string()) return false;
   const auto& text = value->get_ref<const std::string&>();
-  if (text.empty() || text.size() > kMostName) return false;
+  if (text.empty() || text.size() > kMaxNameBytes) return false;
   out = text;
   return true;
 }
 
-bool Whole(const Json* value, std::int64_t least, std::int64_t most, std::int64_t& out) {
+bool ReadInteger(const Json* value, std::int64_t lower, std::int64_t upper, std::int64_t& out) {
   if (value == nullptr || !value->is_number()) return false;
   if (value->is_number_unsigned()) {
     const auto n = value->get<std::uint64_t>();
-    if (n > static_cast<std::uint64_t>(most)) return false;
+    if (n > static_cast<std::uint64_t>(upper)) return false;
     out = static_cast<std::int64_t>(n);
   } else if (value->is_number_integer()) {
     out = value->get<std::int64_t>();
@@ -44,33 +44,33 @@
     if (!(d >= -9e15 && d <= 9e15)) return false;
     out = static_cast<std::int64_t>(d);
   }
-  return out >= least && out <= most;
+  return out >= lower && out <= upper;
 }
 
-absl::Status Read(std::string_view json, Server& server, bool& draining) {
-  if (json.size() > kMostBeatBytes) return Bad("too long");
-  const Json beat = Json::parse(json.begin(), json.end(), nullptr, false);
-  if (!beat.is_object()) return Bad("no JSON object");
-  const Json* information = Member(beat, "information");
-  const Json* report = Member(beat, "statusReport");
-  if (information == nullptr || report == nullptr) return Bad("no information or no statusReport");
-  if (!Text(Member(beat, "address"), server.address)) return Bad("no address");
-  if (!Text(Member(*information, "service"), server.service)) return Bad("no service");
-  Text(Member(*information, "zone"), server.zone);
-  Text(Member(*information, "version"), server.version);
+absl::Status ParseHeartbeat(std::string_view json, Server& server, bool& draining) {
+  if (json.size() > kMaxHeartbeatBytes) return Invalid("too long");
+  const Json heartbeat = Json::parse(json.begin(), json.end(), nullptr, false);
+  if (!heartbeat.is_object()) return Invalid("no JSON object");
+  const Json* information = Member(heartbeat, "information");
+  const Json* report = Member(heartbeat, "statusReport");
+  if (information == nullptr || report == nullptr) return Invalid("no information or no statusReport");
+  if (!ReadName(Member(heartbeat, "address"), server.address)) return Invalid("no address");
+  if (!ReadName(Member(*information, "service"), server.service)) return Invalid("no service");
+  ReadName(Member(*information, "zone"), server.zone);
+  ReadName(Member(*information, "version"), server.version);
   std::int64_t number = 0;
-  if (!Whole(Member(*information, "slots"), 0, 1'000'000, number)) return Bad("no slots");
+  if (!ReadInteger(Member(*information, "slots"), 0, 1'000'000, number)) return Invalid("no slots");
   server.slots = static_cast<std::int32_t>(number);
   std::string state;
-  if (!Text(Member(*report, "state"), state) || (state != "ready" && state != "draining"))
-    return Bad("no state");
+  if (!ReadName(Member(*report, "state"), state) || (state != "ready" && state != "draining"))
+    return Invalid("no state");
   draining = state == "draining";
-  if (!Whole(Member(*report, "callSequence"), 0, std::numeric_limits<std::int64_t>::max(), number)) {
-    return Bad("no callSequence");
+  if (!ReadInteger(Member(*report, "callSequence"), 0, std::numeric_limits<std::int64_t>::max(), number)) {
+    return Invalid("no callSequence");
   }
   server.sequence = static_cast<std::uint64_t>(number);
-  if (Whole(Member(*report, "coldRemainingMs"), 0, std::numeric_limits<std::int64_t>::max(), number)) {
-    server.cold_remaining_ms = std::min(number, kMostCold);
+  if (ReadInteger(Member(*report, "coldRemainingMs"), 0, std::numeric_limits<std::int64_t>::max(), number)) {
+    server.cold_remaining_ms = std::min(number, kMaxColdMs);
   }
   return absl::OkStatus();
 }
@@ -82,18 +82,18 @@
 
 }  // namespace
 
-void HeartbeatTracker::End(Micros now, Instance& life) {
-  if (life.server.state == State::kGone) return;
-  life.server.state = State::kGone;
-  life.gone_at = now;
+void HeartbeatTracker::MarkGone(Micros now, Instance& instance) {
+  if (instance.server.state == State::kGone) return;
+  instance.server.state = State::kGone;
+  instance.gone_at = now;
   ++changes_;
 }
 
 void HeartbeatTracker::EvictIfFull() {
   while (instances_.size() >= kMaxInstances) {
-    // The longest gone; if none is, the longest silent.
-    const auto key = [](const Instance& l) {
-      return l.server.state == State::kGone ? std::pair(0, l.gone_at) : std::pair(1, l.heartbeat_at);
+    // Evicts the one gone longest; if none is gone, the one silent longest.
+    const auto key = [](const Instance& i) {
+      return i.server.state == State::kGone ? std::pair(0, i.gone_at) : std::pair(1, i.heartbeat_at);
     };
     instances_.erase(
         std::min_element(instances_.begin(), instances_.end(),
@@ -103,73 +103,73 @@
 }
 
 absl::Status HeartbeatTracker::OnHeartbeat(Micros now, std::string_view id, std::string_view json,
-                                           const std::string& hop, const std::string& zone) {
-  if (id.empty() || id.size() > kMostName) return Bad("no id");
+                                           const std::string& sidecar_address, const std::string& zone) {
+  if (id.empty() || id.size() > kMaxNameBytes) return Invalid("no id");
   Server server;
   bool draining = false;
   server.zone = zone;
-  if (auto read = Read(json, server, draining); !read.ok()) return read;
+  if (auto read = ParseHeartbeat(json, server, draining); !read.ok()) return read;
   server.id = id;
-  server.sidecar_address = hop;
+  server.sidecar_address = sidecar_address;
   auto at = instances_.find(id);
   if (at != instances_.end()) {
     if (at->second.ended || server.sequence <= at->second.server.sequence) return absl::OkStatus();
   } else {
     EvictIfFull();
-    for (auto& [other, life] : instances_) {  // an address is one life's
-      if (life.server.address != server.address) continue;
-      life.ended = true;
-      End(now, life);
+    for (auto& [other, instance] : instances_) {  // an address belongs to one instance
+      if (instance.server.address != server.address) continue;
+      instance.ended = true;
+      MarkGone(now, instance);
     }
     at = instances_.emplace(server.id, Instance{}).first;
     ++changes_;
   }
-  Instance& life = at->second;
-  life.draining |= draining;
-  server.state = life.draining ? State::kDraining : State::kReady;
-  if (Differs(life.server, server)) ++changes_;
-  life.server = std::move(server);
-  life.heartbeat_at = now;
+  Instance& instance = at->second;
+  instance.draining |= draining;
+  server.state = instance.draining ? State::kDraining : State::kReady;
+  if (Differs(instance.server, server)) ++changes_;
+  instance.server = std::move(server);
+  instance.heartbeat_at = now;
   return absl::OkStatus();
 }
 
 void HeartbeatTracker::OnDeparture(Micros now, std::string_view id) {
-  if (id.empty() || id.size() > kMostName) return;
+  if (id.empty() || id.size() > kMaxNameBytes) return;
   auto at = instances_.find(id);
-  if (at ==
-      instances_.end()) {  // of a life that was known to a process before this one: remembered all the same
+  // An unknown instance is remembered, too: a former incarnation of this sidecar may have known it.
+  if (at == instances_.end()) {
     EvictIfFull();
     at = instances_.emplace(std::string(id), Instance{}).first;
     at->second.server.id = id;
   }
   at->second.ended = true;
-  End(now, at->second);
+  MarkGone(now, at->second);
 }
 
 void HeartbeatTracker::OnUnreachable(Micros now, std::string_view id) {
-  if (const auto at = instances_.find(id); at != instances_.end()) End(now, at->second);
+  if (const auto at = instances_.find(id); at != instances_.end()) MarkGone(now, at->second);
 }
 
-void HeartbeatTracker::OnTick(Micros now, Micros beat_interval) {
-  // What this process slept through says nothing of the server: its beats may wait in a socket.
-  const Micros slept = last_tick_ >= 0 && now - last_tick_ > beat_interval ? now - last_tick_ : 0;
+void HeartbeatTracker::OnTick(Micros now, Micros heartbeat_interval) {
+  // While this process was suspended heartbeats may have queued in a socket: the gap does not count.
+  const Micros suspended = last_tick_ >= 0 && now - last_tick_ > heartbeat_interval ? now - last_tick_ : 0;
   last_tick_ = now;
-  for (auto& [id, life] : instances_) {
-    life.heartbeat_at = std::min(now, life.heartbeat_at + slept);
-    if (now - life.heartbeat_at >= 3 * beat_interval) End(now, life);
+  for (auto& [id, instance] : instances_) {
+    instance.heartbeat_at = std::min(now, instance.heartbeat_at + suspended);
+    if (now - instance.heartbeat_at >= 3 * heartbeat_interval) MarkGone(now, instance);
   }
 }
 
 std::vector<Server> HeartbeatTracker::Instances(Micros now) const {
-  std::vector<Server> lives;
-  for (const auto& [id, life] : instances_) {
-    if (life.server.state == State::kGone && now - life.gone_at > kTellGone) continue;
-    if (life.server.address.empty()) continue;  // departed before its first beat here: nothing to tell
-    lives.push_back(life.server);
-    auto& cold = lives.back().cold_remaining_ms;
-    cold = std::max<std::int64_t>(0, cold - (now - life.heartbeat_at) / 1000);
+  std::vector<Server> instances;
+  for (const auto& [id, instance] : instances_) {
+    if (instance.server.state == State::kGone && now - instance.gone_at > kGoneReportPeriod) continue;
+    if (instance.server.address.empty()) continue;  // departed before its first heartbeat: nothing to report
+    instances.push_back(instance.server);
+    auto& cold = instances.back().cold_remaining_ms;
+    cold = std::max<std::int64_t>(0, cold - (now - instance.heartbeat_at) / 1000);
   }
-  return lives;
+  return instances;
 }
 
 const Server* HeartbeatTracker::Find(std::string_view id) const {
--- a/src/mesh/registry/registry.cpp
+++ b/src/mesh/registry/registry.cpp
@@ -6,15 +6,15 @@
 namespace fennelhollow::registry {
 namespace {
 
-// A told cold time that differs by less from what was to be expected is the same.
-constexpr std::int64_t kColdJumpMs = 1000;
-constexpr std::size_t kMostFormer = 4;
+// A reported cold time within this tolerance of the expected value is no change.
+constexpr std::int64_t kColdToleranceMs = 1000;
+constexpr std::size_t kMaxPastIncarnations = 4;
 
 const std::string& Key(const Server& s) { return s.id; }
 const std::string& Key(const Sidecar& s) { return s.name; }
 
 template <class T>
-auto Place(std::vector<T>& sorted, const std::string& key) {
+auto LowerBound(std::vector<T>& sorted, const std::string& key) {
   return std::lower_bound(sorted.begin(), sorted.end(), key,
                           [](const T& a, const std::string& k) { return Key(a) < k; });
 }
@@ -27,8 +27,8 @@
 }
 
 template <class T>
-void Put(std::vector<T>& sorted, const T& value) {
-  const auto at = Place(sorted, Key(value));
+void Upsert(std::vector<T>& sorted, const T& value) {
+  const auto at = LowerBound(sorted, Key(value));
   if (at != sorted.end() && Key(*at) == Key(value)) {
     *at = value;
   } else {
@@ -37,121 +37,123 @@
 }
 
 template <class T>
-void Drop(std::vector<T>& sorted, const std::string& key) {
-  const auto at = Place(sorted, key);
+void Erase(std::vector<T>& sorted, const std::string& key) {
+  const auto at = LowerBound(sorted, key);
   if (at != sorted.end() && Key(*at) == key) sorted.erase(at);
 }
 
 template <class T>
-void Merge(std::vector<T>& sorted, const std::vector<T>& put, std::vector<std::string> gone) {
-  std::vector<T> fresh;
-  for (const T& value : put) {
-    const auto at = Place(sorted, Key(value));
+void MergeChanges(std::vector<T>& sorted, const std::vector<T>& updated, std::vector<std::string> removed) {
+  std::vector<T> inserted;
+  for (const T& value : updated) {
+    const auto at = LowerBound(sorted, Key(value));
     if (at != sorted.end() && Key(*at) == Key(value)) {
       *at = value;
     } else {
-      fresh.push_back(value);
+      inserted.push_back(value);
     }
   }
   const auto less = [](const T& a, const T& b) { return Key(a) < Key(b); };
-  if (!fresh.empty()) {
-    std::sort(fresh.begin(), fresh.end(), less);
+  if (!inserted.empty()) {
+    std::sort(inserted.begin(), inserted.end(), less);
     const auto middle = static_cast<std::ptrdiff_t>(sorted.size());
-    sorted.insert(sorted.end(), fresh.begin(), fresh.end());
+    sorted.insert(sorted.end(), inserted.begin(), inserted.end());
     std::inplace_merge(sorted.begin(), sorted.begin() + middle, sorted.end(), less);
   }
-  if (!gone.empty()) {
-    std::sort(gone.begin(), gone.end());
-    std::erase_if(sorted, [&](const T& v) { return std::binary_search(gone.begin(), gone.end(), Key(v)); });
+  if (!removed.empty()) {
+    std::sort(removed.begin(), removed.end());
+    std::erase_if(sorted,
+                  [&](const T& v) { return std::binary_search(removed.begin(), removed.end(), Key(v)); });
   }
 }
 
-// But for what changes with every beat.
-bool SameButCold(const Server& a, const Server& b) {
+// Equal except for the fields that change with every heartbeat.
+bool SameExceptColdTime(const Server& a, const Server& b) {
   return a.service == b.service && a.address == b.address && a.zone == b.zone && a.version == b.version &&
          a.slots == b.slots && a.state == b.state && a.sidecar_address == b.sidecar_address;
 }
 
-std::int64_t ColdAfter(std::int64_t cold_ms, Micros passed) {
+std::int64_t RemainingColdMs(std::int64_t cold_ms, Micros passed) {
   return std::max<std::int64_t>(0, cold_ms - std::max<Micros>(0, passed) / 1000);
 }
 
 template <class T>
-void Split(const std::vector<T>& sorted, const std::set<std::string>& touched, std::vector<T>& put,
-           std::vector<std::string>& gone) {
-  for (const auto& key : touched) {
+void CollectChanges(const std::vector<T>& sorted, const std::set<std::string>& changed,
+                    std::vector<T>& updated, std::vector<std::string>& removed) {
+  for (const auto& key : changed) {
     if (const T* value = Find(sorted, key)) {
-      put.push_back(*value);
+      updated.push_back(*value);
     } else {
-      gone.push_back(key);
+      removed.push_back(key);
     }
   }
 }
 
 }  // namespace
 
-// What the listing should say of this server, from all who tell of it: usually one sidecar. The newest beat
-// wins.
-void Registry::UpdateServer(Micros now, const std::string& id, ChangedKeys& touched) {
+// Recomputes the snapshot entry of a server from all sidecars that report it (usually one); the newest
+// heartbeat wins.
+void Registry::UpdateServer(Micros now, const std::string& id, ChangedKeys& changed) {
   const Server* best = nullptr;
-  Micros told = 0;
-  if (const auto by = reporters_by_server_.find(id); by != reporters_by_server_.end()) {
-    for (const auto& name : by->second) {
-      const Reporter& teller = reporters_.at(name);
-      if (!IsActive(teller)) continue;
-      for (const Server& server : teller.servers) {
+  Micros reported_at = 0;
+  if (const auto reported_by = reporters_by_server_.find(id); reported_by != reporters_by_server_.end()) {
+    for (const auto& name : reported_by->second) {
+      const Reporter& reporter = reporters_.at(name);
+      if (!IsActive(reporter)) continue;
+      for (const Server& server : reporter.servers) {
         if (server.id != id || (best != nullptr && server.sequence <= best->sequence)) continue;
         best = &server;
-        told = teller.reported_at;
+        reported_at = reporter.reported_at;
       }
     }
   }
-  const Server* listed = Find(snapshot_.servers, id);
+  const Server* current = Find(snapshot_.servers, id);
   if (best == nullptr || best->state == State::kGone) {
-    if (listed == nullptr) return;
-    Drop(snapshot_.servers, id);
+    if (current == nullptr) return;
+    Erase(snapshot_.servers, id);
     cold_measured_at_.erase(id);
   } else {
-    const std::int64_t cold = ColdAfter(best->cold_remaining_ms, now - told);
-    if (listed != nullptr && SameButCold(*listed, *best)) {
+    const std::int64_t cold = RemainingColdMs(best->cold_remaining_ms, now - reported_at);
+    if (current != nullptr && SameExceptColdTime(*current, *best)) {
       const auto since = cold_measured_at_.find(id);
-      const std::int64_t expected =
-          since == cold_measured_at_.end() ? 0 : ColdAfter(listed->cold_remaining_ms, now - since->second);
-      if (std::abs(cold - expected) <= kColdJumpMs) return;
+      const std::int64_t expected = since == cold_measured_at_.end()
+                                        ? 0
+                                        : RemainingColdMs(current->cold_remaining_ms, now - since->second);
+      if (std::abs(cold - expected) <= kColdToleranceMs) return;
     }
     Server server = *best;
     server.cold_remaining_ms = cold;
-    Put(snapshot_.servers, server);
+    Upsert(snapshot_.servers, server);
     if (cold > 0) {
       cold_measured_at_[id] = now;
     } else {
       cold_measured_at_.erase(id);
     }
   }
-  touched.servers.push_back(id);
+  changed.servers.push_back(id);
 }
 
-void Registry::UpdateServers(Micros now, const Reporter& teller, ChangedKeys& touched) {
-  for (const Server& server : teller.servers) UpdateServer(now, server.id, touched);
+void Registry::UpdateServers(Micros now, const Reporter& reporter, ChangedKeys& changed) {
+  for (const Server& server : reporter.servers) UpdateServer(now, server.id, changed);
 }
 
-void Registry::UpdateSidecar(const std::string& name, ChangedKeys& touched) {
+void Registry::UpdateSidecar(const std::string& name, ChangedKeys& changed) {
   const auto at = reporters_.find(name);
-  const Sidecar* listed = Find(snapshot_.sidecars, name);
+  const Sidecar* current = Find(snapshot_.sidecars, name);
   if (at == reporters_.end()) {
-    if (listed == nullptr) return;
-    Drop(snapshot_.sidecars, name);
+    if (current == nullptr) return;
+    Erase(snapshot_.sidecars, name);
   } else {
-    if (listed != nullptr && *listed == at->second.sidecar) return;
-    Put(snapshot_.sidecars, at->second.sidecar);
+    if (current != nullptr && *current == at->second.sidecar) return;
+    Upsert(snapshot_.sidecars, at->second.sidecar);
   }
-  touched.sidecars.push_back(name);
+  changed.sidecars.push_back(name);
 }
 
-void Registry::Commit(ChangedKeys touched) {
-  if (touched.servers.empty() && touched.sidecars.empty()) return;
+void Registry::Commit(ChangedKeys changed) {
+  if (changed.servers.empty() && changed.sidecars.empty()) return;
   ++snapshot_.revision;
-  delta_log_.push_back(std::move(touched));
+  delta_log_.push_back(std::move(changed));
   if (delta_log_.size() > kMaxLoggedDeltas) delta_log_.pop_front();
 }
 
@@ -162,145 +164,147 @@
     at = reporters_.emplace(from.name, Reporter{}).first;
     at->second.sidecar = from;
   }
-  Reporter& teller = at->second;
-  const auto& former = teller.past_incarnations;
-  if (std::find(former.begin(), former.end(), from.incarnation) != former.end()) return;
-  if (teller.sidecar.incarnation != from.incarnation) {
-    teller.past_incarnations.push_back(teller.sidecar.incarnation);
-    if (teller.past_incarnations.size() > kMostFormer) teller.past_incarnations.pop_front();
+  Reporter& reporter = at->second;
+  const auto& past = reporter.past_incarnations;
+  if (std::find(past.begin(), past.end(), from.incarnation) != past.end()) return;
+  if (reporter.sidecar.incarnation != from.incarnation) {
+    reporter.past_incarnations.push_back(reporter.sidecar.incarnation);
+    if (reporter.past_incarnations.size() > kMaxPastIncarnations) reporter.past_incarnations.pop_front();
   }
   std::set<std::string> ids;
-  for (const Server& server : teller.servers) {
+  for (const Server& server : reporter.servers) {
     ids.insert(server.id);
-    const auto by = reporters_by_server_.find(server.id);
-    by->second.erase(from.name);
-    if (by->second.empty()) reporters_by_server_.erase(by);
+    const auto reported_by = reporters_by_server_.find(server.id);
+    reported_by->second.erase(from.name);
+    if (reported_by->second.empty()) reporters_by_server_.erase(reported_by);
   }
-  teller.sidecar = from;
-  teller.servers.assign(servers.begin(), servers.begin() + static_cast<std::ptrdiff_t>(
-                                                               std::min(servers.size(), kMaxInstances)));
-  teller.last_heard = teller.reported_at = now;
-  teller.silent = teller.left = false;
-  for (const Server& server : teller.servers) {
+  reporter.sidecar = from;
+  reporter.servers.assign(servers.begin(), servers.begin() + static_cast<std::ptrdiff_t>(
+                                                                 std::min(servers.size(), kMaxInstances)));
+  reporter.last_heard = reporter.reported_at = now;
+  reporter.silent = reporter.left = false;
+  for (const Server& server : reporter.servers) {
     ids.insert(server.id);
     reporters_by_server_[server.id].insert(from.name);
   }
-  ChangedKeys touched;
-  for (const auto& id : ids) UpdateServer(now, id, touched);
-  UpdateSidecar(from.name, touched);
-  Commit(std::move(touched));
+  ChangedKeys changed;
+  for (const auto& id : ids) UpdateServer(now, id, changed);
+  UpdateSidecar(from.name, changed);
+  Commit(std::move(changed));
 }
 
-bool Registry::OnKeepalive(Micros now, const std::string& name, std::uint64_t life) {
+bool Registry::OnKeepalive(Micros now, const std::string& name, std::uint64_t incarnation) {
   const auto at = reporters_.find(name);
-  if (at == reporters_.end() || at->second.left || at->second.sidecar.incarnation != life) return false;
+  if (at == reporters_.end() || at->second.left || at->second.sidecar.incarnation != incarnation)
+    return false;
   at->second.last_heard = now;
   if (at->second.silent) {
     at->second.silent = false;
-    ChangedKeys touched;
-    UpdateServers(now, at->second, touched);
-    Commit(std::move(touched));
+    ChangedKeys changed;
+    UpdateServers(now, at->second, changed);
+    Commit(std::move(changed));
   }
   return true;
 }
 
-void Registry::OnLeaving(Micros now, const std::string& name, std::uint64_t life) {
+void Registry::OnLeaving(Micros now, const std::string& name, std::uint64_t incarnation) {
   const auto at = reporters_.find(name);
-  if (at == reporters_.end() || at->second.left || at->second.sidecar.incarnation != life) return;
+  if (at == reporters_.end() || at->second.left || at->second.sidecar.incarnation != incarnation) return;
   at->second.left = true;
   at->second.last_heard = now;
-  at->second.past_incarnations.push_back(life);
-  if (at->second.past_incarnations.size() > kMostFormer) at->second.past_incarnations.pop_front();
-  ChangedKeys touched;
-  UpdateServers(now, at->second, touched);
-  Commit(std::move(touched));
+  at->second.past_incarnations.push_back(incarnation);
+  if (at->second.past_incarnations.size() > kMaxPastIncarnations) at->second.past_incarnations.pop_front();
+  ChangedKeys changed;
+  UpdateServers(now, at->second, changed);
+  Commit(std::move(changed));
 }
 
 void Registry::OnTick(Micros now) {
-  const Micros slept = last_tick_ >= 0 && now - last_tick_ > silent_after_ / 2 ? now - last_tick_ : 0;
+  const Micros suspended = last_tick_ >= 0 && now - last_tick_ > silent_after_ / 2 ? now - last_tick_ : 0;
   last_tick_ = now;
   std::size_t present = 0;
   std::size_t overdue = 0;
-  for (auto& [name, teller] : reporters_) {
-    teller.last_heard = std::min(now, teller.last_heard + slept);
-    if (teller.left || now - teller.last_heard >= forget_after_) continue;
+  for (auto& [name, reporter] : reporters_) {
+    reporter.last_heard = std::min(now, reporter.last_heard + suspended);
+    if (reporter.left || now - reporter.last_heard >= forget_after_) continue;
     ++present;
-    if (now - teller.last_heard >= silent_after_) ++overdue;
+    if (now - reporter.last_heard >= silent_after_) ++overdue;
   }
-  // Most silent at once; and then as long again as they need to dial and tell, one after the other.
+  // Extended while most are silent, so that all can reconnect and report after that.
   if (overdue >= kSelfPreservationMinimum && overdue * 2 > present)
     self_preservation_until_ = now + 2 * silent_after_;
-  const Micros bound =
+  const Micros silence_limit =
       now < self_preservation_until_ ? std::max(silent_after_, forget_after_ / 3 * 2) : silent_after_;
-  ChangedKeys touched;
+  ChangedKeys changed;
   for (auto at = reporters_.begin(); at != reporters_.end();) {
-    Reporter& teller = at->second;
-    if (now - teller.last_heard >= forget_after_) {
-      const Reporter gone = std::move(teller);
+    Reporter& reporter = at->second;
+    if (now - reporter.last_heard >= forget_after_) {
+      const Reporter removed = std::move(reporter);
       const std::string name = at->first;
       at = reporters_.erase(at);
-      for (const Server& server : gone.servers) {
-        if (const auto by = reporters_by_server_.find(server.id); by != reporters_by_server_.end()) {
-          by->second.erase(name);
-          if (by->second.empty()) reporters_by_server_.erase(by);
+      for (const Server& server : removed.servers) {
+        if (const auto reported_by = reporters_by_server_.find(server.id);
+            reported_by != reporters_by_server_.end()) {
+          reported_by->second.erase(name);
+          if (reported_by->second.empty()) reporters_by_server_.erase(reported_by);
         }
       }
-      UpdateServers(now, gone, touched);
-      UpdateSidecar(name, touched);
+      UpdateServers(now, removed, changed);
+      UpdateSidecar(name, changed);
       continue;
     }
-    if (const bool silent = now - teller.last_heard >= bound; silent != teller.silent) {
-      teller.silent = silent;
-      UpdateServers(now, teller, touched);
+    if (const bool silent = now - reporter.last_heard >= silence_limit; silent != reporter.silent) {
+      reporter.silent = silent;
+      UpdateServers(now, reporter, changed);
     }
     ++at;
   }
-  // A cold time that has run out is told once, so that nobody who gets the listing late takes a warm server
-  // for a cold one.
+  // An elapsed cold time is published once, so that a late subscriber does not take a warm server for a cold
+  // one.
   for (auto at = cold_measured_at_.begin(); at != cold_measured_at_.end();) {
-    const auto server = Place(snapshot_.servers, at->first);
-    if (ColdAfter(server->cold_remaining_ms, now - at->second) > 0) {
+    const auto server = LowerBound(snapshot_.servers, at->first);
+    if (RemainingColdMs(server->cold_remaining_ms, now - at->second) > 0) {
       ++at;
       continue;
     }
     server->cold_remaining_ms = 0;
-    touched.servers.push_back(at->first);
+    changed.servers.push_back(at->first);
     at = cold_measured_at_.erase(at);
   }
-  Commit(std::move(touched));
+  Commit(std::move(changed));
 }
 
-std::optional<Delta> Registry::DeltaSince(std::uint64_t epoch, std::uint64_t number) const {
-  if (epoch != snapshot_.epoch || number > snapshot_.revision ||
-      snapshot_.revision - number > delta_log_.size()) {
+std::optional<Delta> Registry::DeltaSince(std::uint64_t epoch, std::uint64_t revision) const {
+  if (epoch != snapshot_.epoch || revision > snapshot_.revision ||
+      snapshot_.revision - revision > delta_log_.size()) {
     return std::nullopt;
   }
-  Delta change;
-  change.epoch = epoch;
-  change.from_revision = number;
-  change.to_revision = snapshot_.revision;
+  Delta delta;
+  delta.epoch = epoch;
+  delta.from_revision = revision;
+  delta.to_revision = snapshot_.revision;
   std::set<std::string> servers;
   std::set<std::string> sidecars;
-  for (auto at = delta_log_.end() - static_cast<std::ptrdiff_t>(snapshot_.revision - number);
+  for (auto at = delta_log_.end() - static_cast<std::ptrdiff_t>(snapshot_.revision - revision);
        at != delta_log_.end(); ++at) {
     servers.insert(at->servers.begin(), at->servers.end());
     sidecars.insert(at->sidecars.begin(), at->sidecars.end());
   }
-  Split(snapshot_.servers, servers, change.servers, change.removed_servers);
-  Split(snapshot_.sidecars, sidecars, change.sidecars, change.removed_sidecars);
-  return change;
+  CollectChanges(snapshot_.servers, servers, delta.servers, delta.removed_servers);
+  CollectChanges(snapshot_.sidecars, sidecars, delta.sidecars, delta.removed_sidecars);
+  return delta;
 }
 
-bool Registry::WarmedUp(Micros now, Micros started, Micros settle) const {
-  return !reporters_.empty() && now - started >= settle;
+bool Registry::WarmedUp(Micros now, Micros started, Micros warm_up) const {
+  return !reporters_.empty() && now - started >= warm_up;
 }
 
-bool ApplyDelta(Snapshot& listing, const Delta& change) {
-  if (change.epoch != listing.epoch || change.from_revision > listing.revision) return false;
-  if (change.to_revision <= listing.revision) return true;
-  Merge(listing.servers, change.servers, change.removed_servers);
-  Merge(listing.sidecars, change.sidecars, change.removed_sidecars);
-  listing.revision = change.to_revision;
+bool ApplyDelta(Snapshot& snapshot, const Delta& delta) {
+  if (delta.epoch != snapshot.epoch || delta.from_revision > snapshot.revision) return false;
+  if (delta.to_revision <= snapshot.revision) return true;
+  MergeChanges(snapshot.servers, delta.servers, delta.removed_servers);
+  MergeChanges(snapshot.sidecars, delta.sidecars, delta.removed_sidecars);
+  snapshot.revision = delta.to_revision;
   return true;
 }
 
--- a/src/mesh/registry/registry.hpp
+++ b/src/mesh/registry/registry.hpp
@@ -1,5 +1,5 @@
-// roster: which servers and sidecars there are (standard term: service registry), built from tellers alone.
-// Free of I/O.
+// Service registry: the servers and sidecars of the mesh, built only from the reports of sidecars. Performs
+// no I/O; not thread-safe; times are microseconds of one steady clock.
 #ifndef FENNELHOLLOW_MESH_REGISTRY_REGISTRY_HPP_
 #define FENNELHOLLOW_MESH_REGISTRY_REGISTRY_HPP_
 
@@ -22,18 +22,18 @@
 
 enum class State : std::uint8_t { kReady, kDraining, kGone };
 
-// One life of a server, as its sidecar tells it.
+// One instance of a server, as reported by the sidecar on its machine.
 struct Server {
   std::string id;
   std::string service;
-  std::string address;  // ip:port, reachable on its own machine only
+  std::string address;  // ip:port, reachable only on its own machine
   std::string zone;
   std::string version;
   std::int32_t slots = 0;
   State state = State::kReady;
-  std::int64_t cold_remaining_ms = 0;  // at the time of telling
-  std::uint64_t sequence = 0;          // of its beats
-  std::string sidecar_address;         // internal address (ip:port) of the sidecar beside it
+  std::int64_t cold_remaining_ms = 0;  // at the time of the report
+  std::uint64_t sequence = 0;          // of its heartbeats
+  std::string sidecar_address;         // internal address (ip:port) of the sidecar in front of it
   bool operator==(const Server&) const = default;
   template <class Archive>
   void serialize(Archive& a) {
@@ -41,13 +41,13 @@
   }
 };
 
-// A sidecar, as it tells of itself.
+// A sidecar, as it describes itself.
 struct Sidecar {
-  std::string name;               // nodeName
-  std::uint64_t incarnation = 0;  // drawn at its start
-  std::string internal_address;   // its internal address
+  std::string name;               // nodeName of its settings
+  std::uint64_t incarnation = 0;  // drawn at random at each start
+  std::string internal_address;   // ip:port
   std::string zone;
-  std::string service;  // of the server beside it
+  std::string service;  // of its server
   bool operator==(const Sidecar&) const = default;
   template <class Archive>
   void serialize(Archive& a) {
@@ -55,24 +55,24 @@
   }
 };
 
-// In a sidecar: the lives of the server on its own machine.
+// In a sidecar: tracks the instances of the server on its machine by their heartbeats.
 class HeartbeatTracker {
  public:
-  // Takes a beat as PROTOCOL.md has it. kInvalidArgument with one line if it can't be read. An older sequence
-  // than one that was taken changes nothing and is OK. `hop`: this sidecar's. At most kMostLives are kept
-  // (oldest ended ones go first).
-  absl::Status OnHeartbeat(Micros now, std::string_view id, std::string_view json, const std::string& hop,
-                           const std::string& zone);
-  // No beat of this id counts any more, also if none has come yet: one may be seconds late.
+  // Handles a heartbeat in the format of PROTOCOL.md; kInvalidArgument with a one-line reason if malformed.
+  // An outdated sequence number is ignored and returns OK. `sidecar_address`: internal address of this
+  // sidecar. At most kMaxInstances are kept; instances that are gone are evicted first.
+  absl::Status OnHeartbeat(Micros now, std::string_view id, std::string_view json,
+                           const std::string& sidecar_address, const std::string& zone);
+  // Ends the instance for good: later heartbeats of this id are ignored, even if none has arrived yet.
   void OnDeparture(Micros now, std::string_view id);
-  // Nothing listens at its address any more, or its beats have been silent for three intervals: gone until
-  // the next beat.
+  // Its address refuses connections: marked gone until the next heartbeat, as after three missed intervals.
   void OnUnreachable(Micros now, std::string_view id);
-  void OnTick(Micros now, Micros beat_interval);
-  // Those gone in the last ten seconds included: others may not know yet. Cold times are as of `now`.
+  void OnTick(Micros now, Micros heartbeat_interval);
+  // Includes instances gone within the last ten seconds, as others may not know yet. Cold times are as of
+  // `now`.
   std::vector<Server> Instances(Micros now) const;
   const Server* Find(std::string_view id) const;
-  // Rises with each change that others have to be told at once (state, new life, end).
+  // Increases with each change that has to be propagated at once (new instance, state change).
   std::uint64_t changes() const { return changes_; }
 
  private:
@@ -80,10 +80,10 @@
     Server server;
     Micros heartbeat_at = 0;
     Micros gone_at = 0;
-    bool draining = false;  // has said so once: never ready again
-    bool ended = false;     // departed, or another life took its address: no beat brings it back
+    bool draining = false;  // reported draining once: never ready again
+    bool ended = false;     // departed, or its address was reused: no heartbeat revives it
   };
-  void End(Micros now, Instance& life);
+  void MarkGone(Micros now, Instance& instance);
   void EvictIfFull();
   std::map<std::string, Instance, std::less<>> instances_;
   Micros last_tick_ = -1;
@@ -91,18 +91,19 @@
 };
 inline constexpr std::size_t kMaxInstances = 8;
 
-// What a core knows, and pushes to its subscribers by number.
+// The registry of a core, pushed to its subscribers by revision.
 struct Snapshot {
-  std::uint64_t epoch = 0;  // drawn by this core at its start: numbers of another epoch do not compare
+  std::uint64_t epoch = 0;  // drawn at random at each start of the core; revisions compare only within it
   std::uint64_t revision = 0;
   std::vector<Server> servers;    // sorted by id
-  std::vector<Sidecar> sidecars;  // sorted by name: a sidecar's number is its place here
+  std::vector<Sidecar> sidecars;  // sorted by name; the position is the rank of a sidecar
   template <class Archive>
   void serialize(Archive& a) {
     a(epoch, revision, servers, sidecars);
   }
 };
-struct Delta {  // from `from` to `to`
+// The changes between two revisions.
+struct Delta {
   std::uint64_t epoch = 0, from_revision = 0, to_revision = 0;
   std::vector<Server> servers;  // new or changed
   std::vector<std::string> removed_servers;
@@ -114,37 +115,36 @@
   }
 };
 
-// In a core.
+// In a core: the registry built from sidecar reports.
 class Registry {
  public:
-  // The first listing has number 1: a number 0 is told by those who have none.
+  // The first snapshot has revision 1; subscribers without a snapshot report revision 0.
   Registry(std::uint64_t epoch, Micros silent_after, Micros forget_after)
       : silent_after_(silent_after), forget_after_(forget_after) {
     snapshot_.epoch = epoch;
     snapshot_.revision = 1;
   }
-  // A sidecar tells what it is and which lives its server has; replaces what it told before. An older life of
-  // the same name is replaced by a newer one (the newest that connects).
+  // A full report of a sidecar and its servers; replaces its previous one. A new incarnation replaces the
+  // former one of the same name, whose later reports are ignored.
   void OnReport(Micros now, const Sidecar& from, const std::vector<Server>& servers);
-  // It says something without its lives: they are as it told them last. False if it isn't known, or left, or
-  // was replaced.
-  bool OnKeepalive(Micros now, const std::string& name, std::uint64_t life);
-  // It says that it ends (SIGTERM): its servers are off the list at once; it keeps its number until it is
-  // forgotten.
-  void OnLeaving(Micros now, const std::string& name, std::uint64_t life);
-  // Silent tellers: after `silent_after` their servers are off the list; after `forget_after` they are
-  // forgotten. If most are silent at once (kFewTellers or more) it is rather this core that was cut off:
-  // then, and until twice `silent_after` after most are back, servers stay for two thirds of `forget_after`
-  // (self-preservation). A gap in these calls is this process's own, and counts against nobody. Call it each
-  // 100 ms or so.
+  // A report without servers: they are unchanged. False if the sidecar is unknown, has left or was replaced.
+  bool OnKeepalive(Micros now, const std::string& name, std::uint64_t incarnation);
+  // The sidecar shuts down: its servers are removed at once; it stays listed until it is forgotten.
+  void OnLeaving(Micros now, const std::string& name, std::uint64_t incarnation);
+  // To be called about every 100 ms. Removes the servers of sidecars silent for `silent_after`, and forgets
+  // sidecars silent for `forget_after`. Self-preservation: if most sidecars, and at least
+  // kSelfPreservationMinimum, are silent at once, this core itself was probably cut off; then servers are
+  // kept for two thirds of `forget_after`, until twice `silent_after` after most are back. A gap between
+  // calls means that this process was suspended and does not count as silence.
   void OnTick(Micros now);
   const Snapshot& snapshot() const { return snapshot_; }
-  // The difference from a number that a subscriber has; absent if it is too old or of another epoch: send
-  // all.
-  std::optional<Delta> DeltaSince(std::uint64_t epoch, std::uint64_t number) const;
-  // True `settle` after the start, when somebody has told something: all tellers have dialled and told by
-  // then. Before that an absence means nothing, and nothing may be pushed as a whole to one who has a list.
-  bool WarmedUp(Micros now, Micros started, Micros settle) const;
+  // The changes since a subscriber's revision; absent if that is too old or of another epoch, so that a full
+  // snapshot is needed.
+  std::optional<Delta> DeltaSince(std::uint64_t epoch, std::uint64_t revision) const;
+  // True from `warm_up` after the start, if any sidecar has reported: by then all have connected and
+  // reported. Before that a missing entry means nothing, and no full snapshot may replace one that a
+  // subscriber has.
+  bool WarmedUp(Micros now, Micros started, Micros warm_up) const;
   std::size_t sidecar_count() const { return reporters_.size(); }
 
  private:
@@ -152,39 +152,39 @@
     Sidecar sidecar;
     std::vector<Server> servers;
     Micros last_heard = 0;
-    Micros reported_at = 0;  // when `servers` were
+    Micros reported_at = 0;  // when `servers` was received
     bool silent = false;
     bool left = false;
-    std::deque<std::uint64_t>
-        past_incarnations;  // replaced lives, and ones that left: they count for nothing any more
+    std::deque<std::uint64_t> past_incarnations;  // replaced or left: their reports are ignored
   };
-  struct ChangedKeys {  // what one change touched: its state is looked up when it is told
+  struct ChangedKeys {  // of one revision; their values are looked up when a delta is built
     std::vector<std::string> servers;
     std::vector<std::string> sidecars;
   };
-  bool IsActive(const Reporter& teller) const { return !teller.silent && !teller.left; }
-  void UpdateServer(Micros now, const std::string& id, ChangedKeys& touched);
-  void UpdateServers(Micros now, const Reporter& teller, ChangedKeys& touched);
-  void UpdateSidecar(const std::string& name, ChangedKeys& touched);
-  void Commit(ChangedKeys touched);
+  bool IsActive(const Reporter& reporter) const { return !reporter.silent && !reporter.left; }
+  void UpdateServer(Micros now, const std::string& id, ChangedKeys& changed);
+  void UpdateServers(Micros now, const Reporter& reporter, ChangedKeys& changed);
+  void UpdateSidecar(const std::string& name, ChangedKeys& changed);
+  void Commit(ChangedKeys changed);
 
   Micros silent_after_, forget_after_;
   Micros last_tick_ = -1;
   Micros self_preservation_until_ = 0;
   std::map<std::string, Reporter> reporters_;
-  std::map<std::string, std::set<std::string>> reporters_by_server_;  // server id -> names
-  std::map<std::string, Micros>
-      cold_measured_at_;  // when a listed server's cold time was as the listing says
+  std::map<std::string, std::set<std::string>> reporters_by_server_;  // server id -> sidecar names
+  // By server id: when the cold time in the snapshot was current.
+  std::map<std::string, Micros> cold_measured_at_;
   Snapshot snapshot_;
-  std::deque<ChangedKeys> delta_log_;  // the last one led to listing_.number
+  std::deque<ChangedKeys> delta_log_;  // the last one led to snapshot_.revision
 };
 inline constexpr std::size_t kSelfPreservationMinimum = 3;
 inline constexpr std::size_t kMaxSidecars = 4096;
-inline constexpr std::size_t kMaxLoggedDeltas = 512;  // changes
+inline constexpr std::size_t kMaxLoggedDeltas = 512;
 
-// Applies a change; false if it does not follow on what `listing` is. A change tells what is, so one that
-// begins before `listing` follows too, and one that ends before it changes nothing.
-bool ApplyDelta(Snapshot& listing, const Delta& change);
+// Applies a delta; false if it starts after the revision of `snapshot` or is of another epoch. A delta
+// carries whole values, so one that starts earlier can be applied too, and one that ends earlier changes
+// nothing.
+bool ApplyDelta(Snapshot& snapshot, const Delta& delta);
 
 }  // namespace fennelhollow::registry
 
--- a/src/mesh/settings/schema.cpp
+++ b/src/mesh/settings/schema.cpp
@@ -19,7 +19,7 @@
 
 using nlohmann::json;
 
-std::string Found(const json& value, bool secret) {
+std::string DescribeFound(const json& value, bool secret) {
   switch (value.type()) {
     case json::value_t::object:
       return "a table";
@@ -33,59 +33,60 @@
   }
 }
 
-// The schema of member `name` of what `schema` describes; null if it has none.
-const json* Below(const json& schema, const std::string& name) {
+// The schema of member `name`, or null.
+const json* MemberSchema(const json& schema, const std::string& name) {
   if (const auto of = schema.find("properties"); of != schema.end() && of->contains(name))
     return &(*of)[name];
   if (const auto of = schema.find("additionalProperties"); of != schema.end() && of->is_object()) return &*of;
   return nullptr;
 }
 
-std::string Wanted(const json* schema) {
+std::string DescribeWanted(const json* schema) {
   return schema != nullptr && schema->contains("description") ? (*schema)["description"].get<std::string>()
                                                               : "another kind of value";
 }
 
-void Join(std::string& path, std::string_view name) {
+void AppendMember(std::string& path, std::string_view name) {
   if (!path.empty()) path += '.';
   path += PrintableLine(name);
 }
 
-// What `context` (the validator's: "<root>", then "[name]" or "[number]") leads to, in words.
-std::string Say(const json& root, const json& value, const std::vector<std::string>& context,
-                const std::string& above) {
-  std::string path(above);
-  const json *schema = &root, *at = &value;
+// Describes the error at `context`, the path reported by the validator: "<root>", then "[name]" or "[index]".
+std::string DescribeError(const json& root, const json& value, const std::vector<std::string>& context,
+                          const std::string& parent_path) {
+  std::string path(parent_path);
+  const json *schema = &root, *found_at = &value;
   bool secret = false;
   for (std::size_t i = 1; i < context.size() && schema != nullptr; ++i) {
     const std::string& step = context[i];
     if (step.size() < 2) break;
     const std::string name = step.substr(1, step.size() - 2);
-    if (at->is_array()) {
+    if (found_at->is_array()) {
       std::size_t index = 0;
       std::from_chars(name.data(), name.data() + name.size(), index);
-      if (index >= at->size()) break;
+      if (index >= found_at->size()) break;
       absl::StrAppend(&path, "[", index, "]");
-      at = &(*at)[index];
+      found_at = &(*found_at)[index];
       schema = schema->contains("items") ? &(*schema)["items"] : nullptr;
     } else {
-      if (!at->is_object() || !at->contains(name)) break;
-      Join(path, name);
-      at = &(*at)[name];
-      schema = Below(*schema, name);
+      if (!found_at->is_object() || !found_at->contains(name)) break;
+      AppendMember(path, name);
+      found_at = &(*found_at)[name];
+      schema = MemberSchema(*schema, name);
     }
     secret = secret || (schema != nullptr && schema->value("writeOnly", false));
   }
-  if (schema != nullptr && at->is_object() && schema->contains("required")) {
+  if (schema != nullptr && found_at->is_object() && schema->contains("required")) {
     for (const json& needed : (*schema)["required"]) {
       const std::string name = needed.get<std::string>();
-      if (at->contains(name)) continue;
-      Join(path, name);
-      return absl::StrCat(path, ": found nothing, wanted ", Wanted(Below(*schema, name)));
+      if (found_at->contains(name)) continue;
+      AppendMember(path, name);
+      return absl::StrCat(path, ": found nothing, wanted ", DescribeWanted(MemberSchema(*schema, name)));
     }
   }
   if (path.empty()) path = "the whole";
-  return absl::StrCat(path, ": found ", Found(*at, secret), ", wanted ", Wanted(schema));
+  return absl::StrCat(path, ": found ", DescribeFound(*found_at, secret), ", wanted ",
+                      DescribeWanted(schema));
 }
 
 }  // namespace
@@ -102,26 +103,26 @@
     valijson::SchemaParser(valijson::SchemaParser::kDraft7)
         .populateSchema(valijson::adapters::NlohmannJsonAdapter(compiled->text), compiled->schema);
   } catch (const std::exception& e) {
-    LOG(FATAL) << "a schema of the program's own can't be read: " << e.what();
+    LOG(FATAL) << "invalid built-in JSON schema: " << e.what();
   }
   compiled_ = std::move(compiled);
 }
 
 Schema::~Schema() = default;
 
-absl::Status Schema::Check(const json& value, const std::string& above) const {
+absl::Status Schema::Check(const json& value, const std::string& parent_path) const {
   try {
     const valijson::adapters::NlohmannJsonAdapter adapter(value);
-    // First without results: it stops at the first fault, and gathers nothing where there is none.
+    // Without results first, which is cheaper; most values are valid.
     if (valijson::Validator().validate(compiled_->schema, adapter, nullptr)) return absl::OkStatus();
     valijson::ValidationResults results;
     valijson::Validator().validate(compiled_->schema, adapter, &results);
     valijson::ValidationResults::Error error;
-    if (!results.popError(error)) error.context.clear();  // the first is the innermost
-    return absl::InvalidArgumentError(Say(compiled_->text, value, error.context, above));
+    if (!results.popError(error)) error.context.clear();  // the first error is the innermost
+    return absl::InvalidArgumentError(DescribeError(compiled_->text, value, error.context, parent_path));
   } catch (const std::exception& e) {
     return absl::InvalidArgumentError(
-        absl::StrCat(above, ": can't be checked: ", PrintableLine(e.what(), 200)));
+        absl::StrCat(parent_path, ": can't be checked: ", PrintableLine(e.what(), 200)));
   }
 }
 
@@ -144,12 +145,12 @@
   }
 }
 
-std::string PrintableLine(std::string_view text, std::size_t most) {
-  std::string line(text.substr(0, most));
+std::string PrintableLine(std::string_view text, std::size_t max_bytes) {
+  std::string line(text.substr(0, max_bytes));
   for (char& c : line) {
-    if (c < ' ' || c > '~') c = '?';  // also half of a character that was cut
+    if (c < ' ' || c > '~') c = '?';  // also bytes of a truncated UTF-8 character
   }
-  if (text.size() > most) line += "...";
+  if (text.size() > max_bytes) line += "...";
   return line;
 }
 
--- a/src/mesh/settings/schema.hpp
+++ b/src/mesh/settings/schema.hpp
@@ -1,4 +1,4 @@
-// A JSON schema, and one plain line for what does not fit it.
+// JSON schema validation with one-line error messages.
 #ifndef FENNELHOLLOW_MESH_SETTINGS_SCHEMA_HPP_
 #define FENNELHOLLOW_MESH_SETTINGS_SCHEMA_HPP_
 
@@ -11,32 +11,31 @@
 
 namespace fennelhollow::settings {
 
-// Immutable after it is made; one may be used by several threads at once.
+// Immutable; may be used by several threads at once.
 class Schema {
  public:
-  // `text`: a JSON schema of the source's own, in which each field's `description` says what is wanted there.
-  // A `text` that can't be read ends the program.
+  // `text`: a built-in JSON schema; the `description` of each field is used in error messages. Terminates the
+  // program if it is malformed.
   explicit Schema(std::string_view text);
   ~Schema();
   Schema(const Schema&) = delete;
   Schema& operator=(const Schema&) = delete;
 
-  // kInvalidArgument, on one line: which field (its path, after `above`), what was found and what is wanted.
-  // Strings at fields that the schema calls `writeOnly` (secrets) are not repeated. `value` has been through
-  // Normalize.
-  absl::Status Check(const nlohmann::json& value, const std::string& above = "") const;
+  // kInvalidArgument with one line: the path of the field (prefixed with `parent_path`), what was found and
+  // what is wanted. Values of `writeOnly` fields (secrets) are not included. Expects the output of Normalize.
+  absl::Status Check(const nlohmann::json& value, const std::string& parent_path = "") const;
 
  private:
   struct Compiled;
   std::unique_ptr<const Compiled> compiled_;
 };
 
-// Makes `value` plain to check and read: members that are null count as not told and go; numbers without a
-// fraction become integers; integers too large for 64 bits with a sign become fractions.
+// Canonicalizes `value`: drops null members, turns integral floats into integers, and integers beyond int64
+// into floats.
 void Normalize(nlohmann::json& value);
 
-// A line out of foreign text: at most `most` bytes of it, what can't be printed replaced.
-std::string PrintableLine(std::string_view text, std::size_t most = 40);
+// Makes untrusted text printable on one line: truncated to `max_bytes`, with unprintable bytes replaced.
+std::string PrintableLine(std::string_view text, std::size_t max_bytes = 40);
 
 }  // namespace fennelhollow::settings
 
--- a/src/mesh/settings/settings.cpp
+++ b/src/mesh/settings/settings.cpp
@@ -20,11 +20,11 @@
 
 using nlohmann::json;
 
-// Guard against a file that is none of ours, and against aliases that grow when they are followed.
-constexpr std::size_t kFileBytes = 1 << 20, kNodes = 100000;
-constexpr int kDepth = 32;
+// Bounds for files that are no settings at all, and for YAML aliases that expand exponentially.
+constexpr std::size_t kMaxFileBytes = 1 << 20, kMaxNodes = 100000;
+constexpr int kMaxDepth = 32;
 
-constexpr std::string_view kForm = R"json({
+constexpr std::string_view kFileSchema = R"json({
   "description": "a table", "type": "object",
   "required": ["selfNode", "network"],
   "properties": {
@@ -124,11 +124,11 @@
   }
 })json";
 
-struct Bound {
+struct BoundField {
   const char* name;
   double Bounds::*member;
 };
-constexpr Bound kBounds[] = {
+constexpr BoundField kBoundFields[] = {
     {"seedLagS", &Bounds::seed_lag_s},
     {"addressReuseS", &Bounds::address_reuse_s},
     {"contactMs", &Bounds::contact_ms},
@@ -150,35 +150,35 @@
     {"recoveryS", &Bounds::recovery_s},
 };
 
-const Schema& Form() {
-  static const Schema* form = [] {
-    json text = json::parse(kForm);
+const Schema& FileSchema() {
+  static const Schema* schema = [] {
+    json text = json::parse(kFileSchema);
     json& bounds = text["properties"]["contractTerms"]["properties"]["bounds"]["properties"];
-    for (const Bound& bound : kBounds) {
-      bounds[bound.name] = {
+    for (const BoundField& field : kBoundFields) {
+      bounds[field.name] = {
           {"description", "a number of 0 or more"}, {"type", "number"}, {"minimum", 0}, {"maximum", 1e9}};
     }
     return new Schema(text.dump());
   }();
-  return *form;
+  return *schema;
 }
 
-absl::Status Wrong(const std::string& path, const std::string& found, const std::string& wanted) {
-  return absl::InvalidArgumentError(absl::StrCat(path, ": found ", found, ", wanted ", wanted));
+absl::Status InvalidField(const std::string& path, const std::string& found, const std::string& expected) {
+  return absl::InvalidArgumentError(absl::StrCat(path, ": found ", found, ", wanted ", expected));
 }
 
 json Scalar(const YAML::Node& node) {
   const std::string& text = node.Scalar();
-  if (node.Tag() != "?") return text;  // quoted, or its kind is told
+  if (node.Tag() != "?") return text;  // quoted, or explicitly tagged
   if (text.empty() || text == "~" || text == "null" || text == "Null" || text == "NULL") return nullptr;
   if (text == "true" || text == "True" || text == "TRUE") return true;
   if (text == "false" || text == "False" || text == "FALSE") return false;
   if (text.find_first_not_of("+-.0123456789eE") != std::string::npos) return text;
   const char* first = text.data() + (text.starts_with('+') && !text.starts_with("+-") ? 1 : 0);
   const char* last = text.data() + text.size();
-  std::int64_t whole = 0;
-  if (const auto read = std::from_chars(first, last, whole); read.ec == std::errc() && read.ptr == last) {
-    return whole;
+  std::int64_t integer = 0;
+  if (const auto read = std::from_chars(first, last, integer); read.ec == std::errc() && read.ptr == last) {
+    return integer;
   }
   double number = 0;
   if (const auto read = std::from_chars(first, last, number);
@@ -188,10 +188,11 @@
   return text;
 }
 
-// `nodes`: how many more may come.
+// `nodes`: remaining budget of nodes.
 absl::StatusOr<json> FromYaml(const YAML::Node& node, const std::string& path, int depth,
                               std::size_t& nodes) {
-  if (nodes == 0 || depth > kDepth) return Wrong(path.empty() ? "the whole" : path, "too much", "less");
+  if (nodes == 0 || depth > kMaxDepth)
+    return InvalidField(path.empty() ? "the whole" : path, "too much", "less");
   --nodes;
   if (node.IsScalar()) return Scalar(node);
   if (node.IsSequence()) {
@@ -206,11 +207,11 @@
   if (node.IsMap()) {
     json table = json::object();
     for (const auto& member : node) {
-      if (!member.first.IsScalar()) continue;  // no field of ours has such a name
+      if (!member.first.IsScalar()) continue;  // can't be a known field
       const std::string& name = member.first.Scalar();
-      const std::string below = absl::StrCat(path, path.empty() ? "" : ".", PrintableLine(name));
-      if (table.contains(name)) return Wrong(below, "it twice", "it once");
-      auto value = FromYaml(member.second, below, depth + 1, nodes);
+      const std::string member_path = absl::StrCat(path, path.empty() ? "" : ".", PrintableLine(name));
+      if (table.contains(name)) return InvalidField(member_path, "it twice", "it once");
+      auto value = FromYaml(member.second, member_path, depth + 1, nodes);
       if (!value.ok()) return value;
       table[name] = *std::move(value);
     }
@@ -219,7 +220,7 @@
   return json(nullptr);
 }
 
-bool IsIp(const std::string& text) {
+bool IsIpv4(const std::string& text) {
   in_addr address{};
   return inet_pton(AF_INET, text.c_str(), &address) == 1 && text.find('\0') == std::string::npos;
 }
@@ -228,7 +229,7 @@
   const auto& text = value.get_ref<const std::string&>();
   const std::size_t colon = text.rfind(':');
   const char* last = text.data() + text.size();
-  if (colon != std::string::npos && IsIp(text.substr(0, colon))) {
+  if (colon != std::string::npos && IsIpv4(text.substr(0, colon))) {
     std::uint16_t port = 0;
     const auto read = std::from_chars(text.data() + colon + 1, last, port);
     if (read.ec == std::errc() && read.ptr == last && port > 0) {
@@ -236,12 +237,12 @@
       return absl::OkStatus();
     }
   }
-  return Wrong(path, absl::StrCat("\"", PrintableLine(text), "\""),
-               "an address ip:port (IPv4, port from 1 to 65535)");
+  return InvalidField(path, absl::StrCat("\"", PrintableLine(text), "\""),
+                      "an address ip:port (IPv4, port from 1 to 65535)");
 }
 
 template <class T>
-void Take(const json& table, const char* name, T& to) {
+void ReadField(const json& table, const char* name, T& to) {
   const auto at = table.find(name);
   if (at == table.end()) return;
   if constexpr (std::is_same_v<T, std::int64_t>) {
@@ -251,44 +252,44 @@
   }
 }
 
-// `table`'s table of that name, empty if it is left out.
-const json& Table(const json& table, const char* name) {
+// The member table `name`, empty if missing.
+const json& Subtable(const json& table, const char* name) {
   static const json* const empty = new json(json::object());
   const auto at = table.find(name);
   return at == table.end() ? *empty : *at;
 }
 
-// `file` fits the form.
-absl::StatusOr<Settings> Read(const json& file) {
+// Expects a `file` that was validated against the schema.
+absl::StatusOr<Settings> ReadSettings(const json& file) {
   Settings settings;
-  const json& self = Table(file, "selfNode");
+  const json& self = Subtable(file, "selfNode");
   settings.node_name = self["nodeName"].get<std::string>();
   settings.serves = self["serves"].get<std::vector<std::string>>();
   settings.ip = self["ipAddress"].get<std::string>();
-  if (!IsIp(settings.ip)) {
-    return Wrong("selfNode.ipAddress", absl::StrCat("\"", PrintableLine(settings.ip), "\""),
-                 "an IPv4 address");
+  if (!IsIpv4(settings.ip)) {
+    return InvalidField("selfNode.ipAddress", absl::StrCat("\"", PrintableLine(settings.ip), "\""),
+                        "an IPv4 address");
   }
-  Take(self, "role", settings.role);
-  Take(self, "machineClass", settings.machine_class);
-  Take(self, "zone", settings.zone);
-  Take(self, "region", settings.region);
-  Take(self, "service", settings.service);
-  Take(self, "dataDirectory", settings.data_directory);
-  Take(self, "lossCounted", settings.loss_counted);
-  Take(self, "firstStart", settings.first_start);
-  const json& limits = Table(self, "limits");
-  Take(limits, "cpuShare", settings.cpu_share);
-  Take(limits, "memoryMb", settings.memory_mb);
-  Take(limits, "fileDescriptors", settings.file_descriptors);
-  Take(limits, "diskMb", settings.disk_mb);
+  ReadField(self, "role", settings.role);
+  ReadField(self, "machineClass", settings.machine_class);
+  ReadField(self, "zone", settings.zone);
+  ReadField(self, "region", settings.region);
+  ReadField(self, "service", settings.service);
+  ReadField(self, "dataDirectory", settings.data_directory);
+  ReadField(self, "lossCounted", settings.loss_counted);
+  ReadField(self, "firstStart", settings.first_start);
+  const json& limits = Subtable(self, "limits");
+  ReadField(limits, "cpuShare", settings.cpu_share);
+  ReadField(limits, "memoryMb", settings.memory_mb);
+  ReadField(limits, "fileDescriptors", settings.file_descriptors);
+  ReadField(limits, "diskMb", settings.disk_mb);
   if (self.contains("applicationAddress")) {
     const auto read =
         ReadAddress(self["applicationAddress"], "selfNode.applicationAddress", settings.application);
     if (!read.ok()) return read;
   }
 
-  const json& network = Table(file, "network");
+  const json& network = Subtable(file, "network");
   const json& listen = network["listenAddresses"];
   for (const char* name : {"inbound", "outbound", "readiness", "controlPlane", "internal"}) {
     if (!listen.contains(name)) continue;
@@ -300,22 +301,23 @@
   settings.first_port = range[0].get<std::uint16_t>();
   settings.last_port = range[1].get<std::uint16_t>();
   if (settings.first_port > settings.last_port) {
-    return Wrong("network.internalPortRange", absl::StrCat(settings.first_port, " to ", settings.last_port),
-                 "the first port not above the last");
+    return InvalidField("network.internalPortRange",
+                        absl::StrCat(settings.first_port, " to ", settings.last_port),
+                        "the first port not above the last");
   }
   for (const json& seed : network["seedNodes"]) {
     const std::string at = absl::StrCat("network.seedNodes[", settings.seeds.size(), "]");
     const auto read = ReadAddress(seed, at, settings.seeds.emplace_back());
     if (!read.ok()) return read;
   }
-  Take(network, "zones", settings.zones);
+  ReadField(network, "zones", settings.zones);
 
-  Take(Table(file, "platformSettings"), "heartbeatIntervalMs", settings.heartbeat_interval_ms);
-  const json& terms = Table(file, "contractTerms");
-  Take(Table(terms, "faultTolerance"), "machineLosses", settings.machine_losses);
-  const json& bounds = Table(terms, "bounds");
-  for (const Bound& bound : kBounds) Take(bounds, bound.name, settings.bounds.*bound.member);
-  Take(bounds, "revocationClosed", settings.bounds.revocation_closed);
+  ReadField(Subtable(file, "platformSettings"), "heartbeatIntervalMs", settings.heartbeat_interval_ms);
+  const json& contract_terms = Subtable(file, "contractTerms");
+  ReadField(Subtable(contract_terms, "faultTolerance"), "machineLosses", settings.machine_losses);
+  const json& bounds = Subtable(contract_terms, "bounds");
+  for (const BoundField& field : kBoundFields) ReadField(bounds, field.name, settings.bounds.*field.member);
+  ReadField(bounds, "revocationClosed", settings.bounds.revocation_closed);
   return settings;
 }
 
@@ -329,8 +331,8 @@
 }
 
 Address Settings::InternalListenAddress() const {
-  const auto told = listen.find("internal");
-  return told == listen.end() ? InternalAddress() : told->second;
+  const auto configured = listen.find("internal");
+  return configured == listen.end() ? InternalAddress() : configured->second;
 }
 
 bool Settings::Serves(std::string_view what) const {
@@ -338,21 +340,22 @@
 }
 
 absl::StatusOr<Settings> Parse(const std::string& yaml) {
-  if (yaml.size() > kFileBytes) {
-    return Wrong("the whole", absl::StrCat(yaml.size(), " bytes"), absl::StrCat("at most ", kFileBytes));
+  if (yaml.size() > kMaxFileBytes) {
+    return InvalidField("the whole", absl::StrCat(yaml.size(), " bytes"),
+                        absl::StrCat("at most ", kMaxFileBytes));
   }
   try {
-    std::size_t nodes = kNodes;
+    std::size_t nodes = kMaxNodes;
     auto file = FromYaml(YAML::Load(yaml), "", 0, nodes);
     if (!file.ok()) return file.status();
     Normalize(*file);
-    const auto checked = Form().Check(*file);
+    const auto checked = FileSchema().Check(*file);
     if (!checked.ok()) return checked;
-    return Read(*file);
+    return ReadSettings(*file);
   } catch (const YAML::Exception& e) {
-    return Wrong(absl::StrCat("line ", e.mark.line + 1), PrintableLine(e.msg, 120), "YAML");
+    return InvalidField(absl::StrCat("line ", e.mark.line + 1), PrintableLine(e.msg, 120), "YAML");
   } catch (const std::exception& e) {
-    return Wrong("the whole", PrintableLine(e.what(), 120), "settings");
+    return InvalidField("the whole", PrintableLine(e.what(), 120), "settings");
   }
 }
 
@@ -363,7 +366,7 @@
     const std::string line = absl::StrCat(path, ": ", std::strerror(errno));
     return errno == ENOENT ? absl::NotFoundError(line) : absl::UnavailableError(line);
   }
-  std::string yaml(kFileBytes + 1, '\0');
+  std::string yaml(kMaxFileBytes + 1, '\0');
   file.read(yaml.data(), static_cast<std::streamsize>(yaml.size()));
   if (file.bad()) return absl::UnavailableError(absl::StrCat(path, ": can't be read"));
   yaml.resize(static_cast<std::size_t>(file.gcount()));
--- a/src/mesh/settings/settings.hpp
+++ b/src/mesh/settings/settings.hpp
@@ -1,4 +1,4 @@
-// settings (the screen): settings (standard term: process configuration), checked against a schema.
+// The settings file of a process (YAML), validated against a schema.
 #ifndef FENNELHOLLOW_MESH_SETTINGS_SETTINGS_HPP_
 #define FENNELHOLLOW_MESH_SETTINGS_SETTINGS_HPP_
 
@@ -18,7 +18,7 @@
   std::string Text() const { return ip + ":" + std::to_string(port); }
 };
 
-// Times in milliseconds or seconds as their names say; what the file leaves out has the value here.
+// Units are in the names (milliseconds, seconds). Fields missing in the file keep these defaults.
 struct Bounds {
   double seed_lag_s = 3, address_reuse_s = 2;
   double contact_ms = 3000, acknowledge_ms = 5000, catch_up_s = 4, drain_ms = 2500, grace_period_s = 6;
@@ -31,7 +31,7 @@
 };
 
 struct Settings {
-  std::string node_name, role, machine_class, ip, zone, region, service, data_directory;  // empty = not told
+  std::string node_name, role, machine_class, ip, zone, region, service, data_directory;  // empty = not set
   std::vector<std::string> serves;
   bool loss_counted = false;
   bool first_start = false;
@@ -47,19 +47,17 @@
   Bounds bounds;
   bool Serves(std::string_view what) const;
   bool HasDisk() const { return !data_directory.empty(); }
-  // Where other processes of the system reach this one, and where its seeds do: every machine uses the same
-  // ports.
+  // Where other processes reach this one. All machines use the same ports, so this holds for the seeds, too.
   Address InternalAddress() const { return {ip, first_port}; }
-  // Where it listens for them: the same, unless listenAddresses.internal names another one, to which a relay
-  // in between passes on.
+  // Where it listens for them: the same, unless listenAddresses.internal is set because a relay in between
+  // forwards to it.
   Address InternalListenAddress() const;
   std::vector<std::string> SeedInternalAddresses() const;
 };
 
-// Unknown fields are passed over. kInvalidArgument with one plain line that says which field is wrong, and
-// how.
+// Unknown fields are ignored. kInvalidArgument with one line that names the invalid field and the reason.
 absl::StatusOr<Settings> Parse(const std::string& yaml);
-// kNotFound, kUnavailable when it can't be read; else as Parse.
+// kNotFound if the file is missing, kUnavailable if it can't be read; otherwise as Parse.
 absl::StatusOr<Settings> Load(const std::string& path);
 
 }  // namespace fennelhollow::settings
--- a/src/mesh/transport/codec.hpp
+++ b/src/mesh/transport/codec.hpp
@@ -1,4 +1,4 @@
-// The codec between own processes: cereal, and one plain error for what can't be read.
+// Serialization of messages between the mesh's own processes, with cereal, hardened against malformed input.
 #ifndef FENNELHOLLOW_MESH_TRANSPORT_CODEC_HPP_
 #define FENNELHOLLOW_MESH_TRANSPORT_CODEC_HPP_
 
@@ -21,7 +21,8 @@
 
 namespace fennelhollow::transport {
 
-// The first frame on every link, from who dialled; one listener takes all kinds of links.
+// The first frame on every link, sent by the side that dialled; one listener accepts all kinds of links.
+// kProxy: requests between sidecars; kControl: sidecar to core; kCore: between cores.
 enum class Purpose : std::uint8_t { kProxy = 1, kControl = 2, kCore = 3 };
 inline constexpr std::uint32_t kVersion = 2;
 struct Hello {
@@ -29,27 +30,27 @@
   std::uint32_t version = kVersion;
   Purpose purpose = Purpose::kProxy;
   std::string from;               // node name
-  std::string address;            // its internal address, ip:port
-  std::uint64_t incarnation = 0;  // drawn at its start
+  std::string address;            // internal address of the sender, ip:port
+  std::uint64_t incarnation = 0;  // drawn at random at each start of the process
   template <class Archive>
   void serialize(Archive& a) {
     a(magic, version, purpose, from, address, incarnation);
   }
 };
-// Whether it is from a program that speaks as this one does.
+// Whether the sender uses the same protocol version.
 inline bool IsCompatible(const Hello& hello) {
   return hello.magic == Hello{}.magic && hello.version == kVersion;
 }
 
-// Reads what cereal's PortableBinaryOutputArchive wrote. Guards against frames that claim more than they
-// bring: cereal's own input makes room for a claimed length before it has read a byte.
+// Reads the format of cereal's PortableBinaryOutputArchive. Unlike cereal's own input archive it does not
+// allocate memory for a claimed length before that many bytes are available.
 class Reader : public cereal::InputArchive<Reader, cereal::AllowEmptyClassElision> {
  public:
   explicit Reader(std::string_view bytes) : InputArchive(this), remaining_(bytes) {
-    unsigned char little = 0;
-    ReadBytes(&little, 1);
-    if (little > 1) throw cereal::Exception("neither byte order");
-    swap_ = (little == 1) != (std::endian::native == std::endian::little);
+    unsigned char byte_order = 0;
+    ReadBytes(&byte_order, 1);
+    if (byte_order > 1) throw cereal::Exception("invalid byte order mark");
+    swap_ = (byte_order == 1) != (std::endian::native == std::endian::little);
   }
   std::size_t remaining() const { return remaining_.size(); }
 
@@ -64,13 +65,13 @@
     ReadBytes(bytes, sizeof bytes);
     if (swap_) std::reverse(bytes, bytes + sizeof bytes);
     if constexpr (std::is_same_v<T, bool>) {
-      if (bytes[0] > 1) throw cereal::Exception("neither true nor false");
+      if (bytes[0] > 1) throw cereal::Exception("invalid bool");
       value = bytes[0] == 1;
     } else {
       std::memcpy(&value, bytes, sizeof bytes);
     }
   }
-  // A count of what takes a byte each at least.
+  // A count of elements that take at least one byte each.
   std::size_t ReadCount() {
     std::uint64_t count = 0;
     ReadNumber(count);
@@ -80,13 +81,13 @@
 
  private:
   void Require(std::uint64_t n) const {
-    if (n > remaining_.size()) throw cereal::Exception("more is claimed than has come");
+    if (n > remaining_.size()) throw cereal::Exception("length exceeds the frame");
   }
   std::string_view remaining_;
   bool swap_ = false;
 };
 
-// The names are cereal's.
+// Names required by cereal.
 template <class T>
 std::enable_if_t<std::is_arithmetic_v<T>> CEREAL_LOAD_FUNCTION_NAME(Reader& a, T& value) {
   a.ReadNumber(value);
@@ -103,11 +104,12 @@
   text.resize(a.ReadCount());
   a.ReadBytes(text.data(), text.size());
 }
-// Grows with what has come: an element may take far more room here than in the frame.
+// Grows element by element: one may need far more memory than bytes in the frame.
 template <class T, class Allocator>
 void CEREAL_LOAD_FUNCTION_NAME(Reader& a, std::vector<T, Allocator>& list) {
   list.clear();
-  for (std::size_t left = a.ReadCount(); left > 0; --left) a(list.emplace_back());
+  for (std::size_t remaining_count = a.ReadCount(); remaining_count > 0; --remaining_count)
+    a(list.emplace_back());
 }
 
 template <class T>
@@ -131,23 +133,23 @@
   return std::move(buffer.out);
 }
 
-// kDataLoss: too short, too long, or claims more than has come.
+// kDataLoss if malformed or of the wrong length.
 template <class T>
 absl::StatusOr<T> Unpack(std::string_view bytes) {
   T value{};
   try {
     Reader reader(bytes);
     reader(value);
-    if (reader.remaining() > 0) return absl::DataLossError("a frame has more bytes than it should");
-  } catch (const std::exception&) {  // cereal's own, and length errors of what it fills
-    return absl::DataLossError("a frame can't be read");
+    if (reader.remaining() > 0) return absl::DataLossError("trailing bytes in frame");
+  } catch (const std::exception&) {  // of cereal, and length errors of containers
+    return absl::DataLossError("malformed frame");
   }
   return value;
 }
 
 }  // namespace fennelhollow::transport
 
-// What writes for it; cereal asks when it loads enumerations.
+// The matching output archive; required by cereal to load enumerations.
 template <>
 struct cereal::traits::detail::get_output_from_input<fennelhollow::transport::Reader> {
   using type = cereal::PortableBinaryOutputArchive;
