--- a/src/mesh/consensus/election.cpp
+++ b/src/mesh/consensus/election.cpp
@@ -1,4 +1,4 @@
-// A change of leader: first a question that binds nobody (pre-vote), then promises for a new term.
+// Leader election: a non-binding pre-vote, then a prepare/promise round for a new term.
 #include <glog/logging.h>
 
 #include <algorithm>
@@ -8,12 +8,14 @@
 namespace fennelhollow::consensus {
 
 namespace {
-constexpr int kNameBits = 24;  // of an term: two candidates that count alike shall not meet
-}
-
-std::uint64_t Replica::Impl::TermAbove(std::uint64_t term) const {
-  const std::uint64_t name = merlinrun::StableHash(settings_.self) & ((std::uint64_t{1} << kNameBits) - 1);
-  return (((term >> kNameBits) + 1) << kNameBits) | name;
+// The low bits of a term are a hash of its candidate, so that concurrent candidates use different terms.
+constexpr int kReplicaHashBits = 24;
+}  // namespace
+
+std::uint64_t Replica::Impl::NextTerm(std::uint64_t term) const {
+  const std::uint64_t replica_hash =
+      merlinrun::StableHash(settings_.self) & ((std::uint64_t{1} << kReplicaHashBits) - 1);
+  return (((term >> kReplicaHashBits) + 1) << kReplicaHashBits) | replica_hash;
 }
 
 std::set<ReplicaId> Replica::Impl::VotersOf(const Entry& entry) const {
@@ -23,139 +25,142 @@
   return all;
 }
 
-bool Replica::Impl::HearsLeader() const {
-  if (role_ == Role::kLeader) return HearsMajority();
-  return heard_any_ && now_ - heard_leader_ < settings_.election_timeout;
+bool Replica::Impl::HasLeaderContact() const {
+  if (role_ == Role::kLeader) return HasQuorumContact();
+  return leader_heard_ && now_ - leader_heard_at_ < settings_.election_timeout;
 }
 
 void Replica::Impl::StartPreVote() {
   role_ = Role::kPreCandidate;
   ++pre_vote_round_;
-  granted_.clear();
-  granted_.insert({settings_.self, durable_.storage_id});
-  began_ = now_;
+  granted_votes_.clear();
+  granted_votes_.insert({settings_.self, durable_.storage_id});
+  election_started_at_ = now_;
   SendPreVote();
-  if (HasQuorum(durable_.accepted, granted_, true)) StartCandidacy(false);
+  if (HasQuorum(durable_.accepted, granted_votes_, true)) StartElection(false);
 }
 
 void Replica::Impl::SendPreVote() {
-  asked_at_ = now_;
-  Message ask = Begin(MessageType::kPreVote);
-  ask.round = pre_vote_round_;
-  for (const ReplicaId& member : VotersOf(durable_.accepted)) Send(member, ask);
+  votes_requested_at_ = now_;
+  Message request = NewMessage(MessageType::kPreVote);
+  request.round = pre_vote_round_;
+  for (const ReplicaId& member : VotersOf(durable_.accepted)) Send(member, request);
 }
 
 void Replica::Impl::OnPreVote(const ReplicaId& from, const Message& m) {
-  // One that was removed while it was away asks by its old view.
+  // A voter that was removed while it was unreachable does not know that yet.
   if (role_ == Role::kLeader) AddLearner(from);
-  Message vote = Begin(MessageType::kPreVoteAnswer);
-  vote.round = m.round;
-  vote.flag = !HearsLeader() && DiskOk();
-  Send(from, vote);
+  Message response = NewMessage(MessageType::kPreVoteResponse);
+  response.round = m.round;
+  response.flag = !HasLeaderContact() && DiskHealthy();
+  Send(from, response);
 }
 
-void Replica::Impl::OnPreVoteAnswer(const ReplicaId& from, const Message& m) {
+void Replica::Impl::OnPreVoteResponse(const ReplicaId& from, const Message& m) {
   if (role_ != Role::kPreCandidate || m.round != pre_vote_round_) return;
   if (!m.flag) {
     if (!m.leader.empty() && m.leader != settings_.self) {
-      Learn({m.leader});
-      if (VotersOf(durable_.accepted).count(m.leader) == 0) Send(m.leader, Begin(MessageType::kJoin));
+      AddDiscovered({m.leader});
+      if (VotersOf(durable_.accepted).count(m.leader) == 0) Send(m.leader, NewMessage(MessageType::kJoin));
     }
     return;
   }
-  granted_.insert({from, m.storage_id});
-  if (HasQuorum(durable_.accepted, granted_, true)) StartCandidacy(false);
+  granted_votes_.insert({from, m.storage_id});
+  if (HasQuorum(durable_.accepted, granted_votes_, true)) StartElection(false);
 }
 
-void Replica::Impl::StartCandidacy(bool by_name) {
+void Replica::Impl::StartElection(bool leader_consents) {
   role_ = Role::kCandidate;
-  by_name_ = by_name;
-  prepared_ = false;
+  leader_consents_ = leader_consents;
+  own_promise_persisted_ = false;
   SetLeader("", leader_term_);
-  term_ = TermAbove(std::max(highest_seen_, durable_.promised_term));
+  term_ = NextTerm(std::max(highest_term_seen_, durable_.promised_term));
   durable_.promised_term = term_;
   promised_to_ = settings_.self;
   promised_incarnation_ = settings_.incarnation;
-  answer_due_ = false;
-  best_ = durable_.accepted;
-  granted_.clear();
-  began_ = now_;
-  asked_at_ = now_;
-  Flush();  // Prepare goes out when the own promise is on disk
+  promise_pending_ = false;
+  newest_promised_ = durable_.accepted;
+  granted_votes_.clear();
+  election_started_at_ = now_;
+  votes_requested_at_ = now_;
+  PersistIfNeeded();  // OnWritten sends kPrepare
 }
 
 void Replica::Impl::SendPrepare() {
-  asked_at_ = now_;
-  Message prepare = Begin(MessageType::kPrepare);
+  votes_requested_at_ = now_;
+  Message prepare = NewMessage(MessageType::kPrepare);
   prepare.term = term_;
-  prepare.accepted = IdOf(best_);
-  prepare.flag = by_name_;
-  for (const ReplicaId& member : VotersOf(best_)) {
-    const bool has =
-        std::any_of(granted_.begin(), granted_.end(), [&](const auto& vote) { return vote.first == member; });
-    if (!has) Send(member, prepare);
+  prepare.accepted = IdOf(newest_promised_);
+  prepare.flag = leader_consents_;
+  for (const ReplicaId& member : VotersOf(newest_promised_)) {
+    const bool granted = std::any_of(granted_votes_.begin(), granted_votes_.end(),
+                                     [&](const auto& vote) { return vote.first == member; });
+    if (!granted) Send(member, prepare);
   }
 }
 
 void Replica::Impl::OnPrepare(const ReplicaId& from, const Message& m) {
-  const bool again =
+  const bool repeated =
       m.term == durable_.promised_term && promised_to_ == from && promised_incarnation_ == m.incarnation;
-  const bool may = m.term > durable_.promised_term && (m.flag || !HearsLeader());
-  if (!again && !may) {
-    Message refusal = Begin(MessageType::kPromise);
+  const bool grant = m.term > durable_.promised_term && (m.flag || !HasLeaderContact());
+  if (!repeated && !grant) {
+    Message refusal = NewMessage(MessageType::kPromise);
     refusal.term = m.term;
     Send(from, refusal);
     return;
   }
-  if (may) {
+  if (grant) {
     if (role_ == Role::kLeader) StepDown("another is a candidate");
     role_ = Role::kFollower;
-    heard_any_ = false;
+    leader_heard_ = false;
     SetLeader("", leader_term_);
     durable_.promised_term = m.term;
     promised_to_ = from;
     promised_incarnation_ = m.incarnation;
     ResetElectionTimer();
   }
-  promised_has_ = m.accepted;
-  answer_due_ = true;
-  Flush();
-  AnswerPrepare();
+  candidate_accepted_ = m.accepted;
+  promise_pending_ = true;
+  PersistIfNeeded();
+  SendPromiseIfPersisted();
 }
 
-// Once the promise is on disk.
-void Replica::Impl::AnswerPrepare() {
-  if (!answer_due_ || disk_promised_ < durable_.promised_term || unwritten_) return;
-  answer_due_ = false;
-  Message promise = Begin(MessageType::kPromise);
+// A promise that a crash could undo would let two leaders use this vote.
+void Replica::Impl::SendPromiseIfPersisted() {
+  if (!promise_pending_ || persisted_promised_term_ < durable_.promised_term || initial_write_pending_)
+    return;
+  promise_pending_ = false;
+  Message promise = NewMessage(MessageType::kPromise);
   promise.term = durable_.promised_term;
   promise.flag = true;
   promise.accepted = IdOf(durable_.accepted);
-  if (promise.accepted > promised_has_) promise.entry.push_back(durable_.accepted);
+  if (promise.accepted > candidate_accepted_) promise.entry.push_back(durable_.accepted);
   Send(promised_to_, promise);
 }
 
 void Replica::Impl::OnPromise(const ReplicaId& from, const Message& m) {
-  if (role_ != Role::kCandidate || m.term != term_ || !prepared_) return;
+  if (role_ != Role::kCandidate || m.term != term_ || !own_promise_persisted_) return;
   if (!m.flag) {
-    if (m.promised_term > term_) {  // overtaken: asks again, above it
+    if (m.promised_term > term_) {  // a newer term exists: retry above it
       role_ = Role::kFollower;
-      deadline_ = now_ + random_.Upto(settings_.election_timeout / 2);
+      election_deadline_ = now_ + random_.Upto(settings_.election_timeout / 2);
     }
     return;
   }
-  if (!m.entry.empty() && IdOf(m.entry[0]) == m.accepted && m.accepted > IdOf(best_)) best_ = m.entry[0];
-  if (m.accepted > IdOf(best_)) return;  // it has something newer, that didn't come with it
-  granted_.insert({from, m.storage_id});
-  TryWin();
+  if (!m.entry.empty() && IdOf(m.entry[0]) == m.accepted && m.accepted > IdOf(newest_promised_))
+    newest_promised_ = m.entry[0];
+  if (m.accepted > IdOf(newest_promised_)) return;  // newer than anything received so far
+  granted_votes_.insert({from, m.storage_id});
+  LeadIfElected();
 }
 
-void Replica::Impl::TryWin() {
-  if (!prepared_ || !HasQuorum(best_, granted_, true)) return;
-  if (!IsVoter(best_, settings_.self, durable_.storage_id)) {  // was removed, and is told so only now
+void Replica::Impl::LeadIfElected() {
+  if (!own_promise_persisted_ || !HasQuorum(newest_promised_, granted_votes_, true)) return;
+  // This replica has been removed from the voters in the meantime.
+  if (!IsVoter(newest_promised_, settings_.self, durable_.storage_id)) {
     role_ = Role::kFollower;
-    removed_in_ = IdOf(best_);
-    Learn(best_.voters);
+    removed_by_ = IdOf(newest_promised_);
+    AddDiscovered(newest_promised_.voters);
     ResetElectionTimer();
     return;
   }
@@ -163,29 +168,29 @@
 }
 
 void Replica::Impl::TickElection() {
-  if (!successor_.empty()) SendTakeOver();
+  if (!successor_.empty()) SendTimeoutNow();
   if (role_ == Role::kCandidate) {
-    if (now_ - began_ > kCandidacy) {
+    if (now_ - election_started_at_ > kCandidacyTimeout) {
       role_ = Role::kFollower;
-      deadline_ = now_ + random_.Upto(settings_.election_timeout / 2);
-    } else if (prepared_ && now_ - asked_at_ >= kResendAsk) {
+      election_deadline_ = now_ + random_.Upto(settings_.election_timeout / 2);
+    } else if (own_promise_persisted_ && now_ - votes_requested_at_ >= kVoteResendInterval) {
       SendPrepare();
     }
     return;
   }
   if (role_ == Role::kPreCandidate) {
-    if (!DiskOk() || now_ < no_candidacy_until_) {
+    if (!DiskHealthy() || now_ < no_candidacy_until_) {
       role_ = Role::kFollower;
       ResetElectionTimer();
-    } else if (now_ - asked_at_ >= kResendAsk) {
+    } else if (now_ - votes_requested_at_ >= kVoteResendInterval) {
       SendPreVote();
     }
     return;
   }
-  if (now_ < deadline_) return;
+  if (now_ < election_deadline_) return;
   SetLeader("", leader_term_);
-  if (removed_in_ > IdOf(durable_.accepted)) return;  // waits to be let in
-  if (IsVoter(durable_.accepted, settings_.self, durable_.storage_id) && DiskOk() &&
+  if (removed_by_ > IdOf(durable_.accepted)) return;  // until it is added again
+  if (IsVoter(durable_.accepted, settings_.self, durable_.storage_id) && DiskHealthy() &&
       now_ >= no_candidacy_until_)
     StartPreVote();
 }
--- a/src/mesh/consensus/impl.hpp
+++ b/src/mesh/consensus/impl.hpp
@@ -1,14 +1,14 @@
-// The inside of Replica, one part a file: replica.cpp (calls, disk, ticks), election.cpp, leading.cpp,
+// Implementation of Replica: replica.cpp (messages, disk writes, ticks), election.cpp, leading.cpp and
 // membership.cpp.
 //
-// A Paxos register with whole entries. What has to hold:
-//  - a promise or an acceptance counts once the sender's disk has it, as the vote of (member, store);
-//  - a voter promises an term once, to one candidate, and never goes back to an older one;
-//  - a candidate that has promises of the voters of the newest entry among them (of both sets, while a change
-//  of voters
-//    may be under way) puts just that entry, under its own term, before anything else;
-//  - a leader puts entry n+1 only after n is committed.
-// Times serve progress alone: no vote is safe because of a clock.
+// A Paxos register whose value is the whole replicated state. Safety rests on these invariants:
+//  - A promise or an acceptance counts only once it is on the sender's disk, as a vote of (replica,
+//  storage_id).
+//  - A voter promises a term to one candidate only, and never returns to an older term.
+//  - A candidate needs promises from a majority of the voters of the newest entry among those promises, or of
+//    both sets if that entry changes voters. It first replicates that entry again under its own term.
+//  - A leader replicates entry n+1 only after entry n is committed.
+// Timeouts affect liveness only.
 #ifndef FENNELHOLLOW_MESH_CONSENSUS_IMPL_HPP_
 #define FENNELHOLLOW_MESH_CONSENSUS_IMPL_HPP_
 
@@ -22,12 +22,12 @@
 
 namespace fennelhollow::consensus {
 
-using Votes = std::set<std::pair<ReplicaId, std::uint64_t>>;  // (member, store)
+using Votes = std::set<std::pair<ReplicaId, std::uint64_t>>;  // (replica, storage_id)
 
-// Whether `votes` has a majority of the voters of `entry`, and, if `joint`, of those before them.
+// Whether `votes` contains a majority of the voters of `entry` and, if `joint`, of its previous voters.
 bool HasQuorum(const Entry& entry, const Votes& votes, bool joint);
-bool IsVoter(const Entry& entry, const ReplicaId& member, std::uint64_t store);
-bool IsVoterOf(const Entry& entry, const ReplicaId& member);  // with whatever store
+bool IsVoter(const Entry& entry, const ReplicaId& member, std::uint64_t storage_id);
+bool IsVoterWithAnyStorage(const Entry& entry, const ReplicaId& member);
 
 class Replica::Impl {
  public:
@@ -37,216 +37,220 @@
   void OnWritten(Micros now, std::uint64_t token, bool ok);
   void OnTick(Micros now);
   void SetSeedPeers(std::vector<ReplicaId> seed_peers);
-  void Propose(Micros now, std::uint64_t call, std::uint64_t on_top_of, std::string state);
-  void ConfirmLeadership(Micros now, std::uint64_t call);
+  void Propose(Micros now, std::uint64_t request_id, std::uint64_t base_index, std::string state);
+  void ConfirmLeadership(Micros now, std::uint64_t request_id);
   void TransferLeadership(Micros now);
   void PrepareShutdown(Micros now);
   bool ReadyForShutdown() const;
   void OnConnectionRefused(Micros now, const ReplicaId& peer);
 
-  bool is_leader() const { return role_ == Role::kLeader && committed_.term == term_; }
-  bool is_connected() const { return is_leader() ? HearsMajority() : !leader_.empty() && HearsLeader(); }
+  bool is_leader() const { return role_ == Role::kLeader && committed_id_.term == term_; }
+  bool is_connected() const {
+    return is_leader() ? HasQuorumContact() : !leader_.empty() && HasLeaderContact();
+  }
   const ReplicaId& leader() const { return leader_; }
   std::uint64_t term() const { return leader_term_; }
-  const Entry& last_committed() const { return newest_; }
-  bool replicating() const { return under_way_; }
+  const Entry& last_committed() const { return committed_entry_; }
+  bool replicating() const { return replicating_; }
   std::vector<ReplicaId> known_replicas() const;
   std::uint64_t malformed_messages() const { return malformed_messages_; }
 
  private:
   enum class Role { kFollower, kPreCandidate, kCandidate, kLeader };
-  static constexpr Micros kResendEntry = 200'000;
-  static constexpr Micros kResendAsk = 100'000;
-  static constexpr Micros kJoinEvery = 250'000;
-  static constexpr Micros kCandidacy = 1'000'000;  // ends without a majority
-  static constexpr Micros kProposal = 4'000'000;   // until its caller is told that it is unclear
-  static constexpr Micros kConfirm = 900'000;      // until its caller is told so
-  static constexpr Micros kDiskSlow = 250'000;     // a write out for longer: no candidacy
-  static constexpr Micros kDiskBad = 1'000'000;    // a write out for longer: the leader hands over
-  static constexpr Micros kDiskRetry = 200'000;
-  static constexpr Micros kLeave = 1'000'000;       // to find a successor
-  static constexpr Micros kLeaveBusy = 300'000;     // what is under way may be committed first
-  static constexpr Micros kTakeOverFor = 400'000;   // the successor is told again and again
-  static constexpr Micros kLeft = 3'000'000;        // no candidacy after it
-  static constexpr Micros kLeaveEvery = 100'000;    // the leader is asked again
-  static constexpr Micros kLeaveAlone = 1'000'000;  // for a successor to show up before this one ends
-  static constexpr Micros kRefusedJitter = 100'000;
-  static constexpr Micros kResendRound = 50'000;
-  static constexpr Micros kLearnerGone = 10'000'000;
-  static constexpr Micros kJoinAfter = 2'000'000;  // a voter without a leader asks others than its own view
-  static constexpr std::size_t kFewestVoters = 3;
-  static constexpr std::size_t kMostLearners = 16;
-  static constexpr std::size_t kMostContacts = 64;
-  static constexpr std::size_t kMostConfirms = 4096;
-
-  struct Peer {  // the leader's picture of another member
-    std::uint64_t store = 0;
-    Micros heard = 0;
-    bool answered = false;  // since this leader began
+  static constexpr Micros kEntryResendInterval = 200'000;
+  static constexpr Micros kVoteResendInterval = 100'000;
+  static constexpr Micros kJoinInterval = 250'000;
+  static constexpr Micros kCandidacyTimeout = 1'000'000;
+  static constexpr Micros kProposalTimeout = 4'000'000;  // then reported as Outcome::kIndeterminate
+  static constexpr Micros kConfirmTimeout = 900'000;     // then reported as Outcome::kIndeterminate
+  static constexpr Micros kSlowWrite = 250'000;          // no candidacy while a write takes longer
+  static constexpr Micros kStalledWrite = 1'000'000;     // a leader then transfers leadership
+  static constexpr Micros kWriteRetryDelay = 200'000;
+  static constexpr Micros kTransferTimeout = 1'000'000;   // then steps down without a successor
+  static constexpr Micros kTransferCommitWait = 300'000;  // for the entry that is being replicated
+  static constexpr Micros kTimeoutNowPeriod = 400'000;    // resent to the successor for this long
+  static constexpr Micros kNoCandidacyAfterTransfer = 3'000'000;
+  static constexpr Micros kShutdownNoticeInterval = 100'000;
+  static constexpr Micros kSuccessorWait = 1'000'000;  // minimum wait for a learner to replace this voter
+  static constexpr Micros kRefusedElectionJitter = 100'000;
+  static constexpr Micros kRoundResendInterval = 50'000;
+  static constexpr Micros kLearnerTimeout = 10'000'000;
+  // A leaderless voter contacts replicas beyond the voters it knows after this delay.
+  static constexpr Micros kVoterJoinDelay = 2'000'000;
+  static constexpr std::size_t kMinVoters = 3;
+  static constexpr std::size_t kMaxLearners = 16;
+  static constexpr std::size_t kMaxKnownReplicas = 64;
+  static constexpr std::size_t kMaxPendingConfirms = 4096;
+
+  // What the leader knows about another replica.
+  struct Peer {
+    std::uint64_t storage_id = 0;
+    Micros last_heard = 0;
+    bool acknowledged = false;  // has acknowledged anything in this term
     std::uint64_t incarnation = 0;
-    bool leaves = false;  // this incarnation is about to end
-    EntryId acked;        // on its disk
-    EntryId held;         // in its memory
+    bool shutting_down = false;  // only this incarnation
+    EntryId acked;               // persisted
+    EntryId accepted_in_memory;  // perhaps not persisted yet
     std::uint64_t round = 0;
     EntryId sent;
     Micros sent_at = 0;
   };
-  struct Call {
-    std::uint64_t call = 0;
-    Micros began = 0;
+  struct PendingRequest {
+    std::uint64_t id = 0;
+    Micros started_at = 0;
   };
 
   // replica.cpp
-  Message Begin(MessageType type) const;
+  Message NewMessage(MessageType type) const;
   void Send(const ReplicaId& to, const Message& message);
   void OnLeaderMessage(const ReplicaId& from, const Message& m);
-  void Flush();  // begins a write if there is something to write and none is out
-  bool OnDisk() const;
-  bool DiskOk() const;
+  void PersistIfNeeded();  // no-op while a write is in progress
+  bool IsPersisted() const;
+  bool DiskHealthy() const;
   void SendAck(std::uint64_t round);
-  void TryCommit(EntryId committed);
-  void Commit();
+  void CommitIfAccepted(EntryId committed);
+  void CommitAccepted();
   void SetLeader(const ReplicaId& leader, std::uint64_t term);
-  void ResetElectionTimer();  // sets the time at which the group counts as without a leader
-  void Learn(const std::vector<ReplicaId>& members);
-  std::set<ReplicaId> Others() const;
+  void ResetElectionTimer();  // randomized
+  void AddDiscovered(const std::vector<ReplicaId>& members);
+  std::set<ReplicaId> DiscoveryTargets() const;
 
   // election.cpp
   std::set<ReplicaId> VotersOf(const Entry& entry) const;
   void StartPreVote();
   void SendPreVote();
   void OnPreVote(const ReplicaId& from, const Message& m);
-  void OnPreVoteAnswer(const ReplicaId& from, const Message& m);
-  void StartCandidacy(bool by_name);
+  void OnPreVoteResponse(const ReplicaId& from, const Message& m);
+  void StartElection(bool leader_consents);
   void SendPrepare();
   void OnPrepare(const ReplicaId& from, const Message& m);
-  void AnswerPrepare();
+  void SendPromiseIfPersisted();
   void OnPromise(const ReplicaId& from, const Message& m);
-  void TryWin();
+  void LeadIfElected();
   void TickElection();
-  bool HearsLeader() const;
-  std::uint64_t TermAbove(std::uint64_t term) const;
+  bool HasLeaderContact() const;
+  std::uint64_t NextTerm(std::uint64_t term) const;
 
   // leading.cpp
   Message LeaderMessage(MessageType type) const;
   void StartLeading();
-  void StepDown(const char* why);
+  void StepDown(const char* reason);
   std::vector<ReplicaId> Learners() const;
-  void Replicate(Entry entry);  // begins to settle it
+  void Replicate(Entry entry);
   void CountOwnVote();
   void OnAck(const ReplicaId& from, const Message& m);
-  void TryCommitOwn();
+  void CommitIfQuorum();
   void SendHeartbeat(const ReplicaId& to);
   void SendHeartbeats();
   void SendEntry(const ReplicaId& to, Peer& peer);
-  void StartRound();
-  void TryConfirm();
-  bool HearsMajority() const;
+  void StartConfirmRound();
+  void CompleteRoundIfQuorum();
+  bool HasQuorumContact() const;
   bool TryTransferLeadership();
-  void SendTakeOver();
-  void OnTakeOver(const ReplicaId& from, const Message& m);
+  void SendTimeoutNow();
+  void OnTimeoutNow(const ReplicaId& from, const Message& m);
   void TickLeading();
 
   // membership.cpp
   void AddLearner(const ReplicaId& member);
   void OnJoin(const ReplicaId& from, const Message& m);
-  void OnContacts(const Message& m);
+  void OnKnownReplicas(const Message& m);
   void SendJoins();
   void TickMembership();
-  void OnLeave(const ReplicaId& from, const Message& m);
-  void ChangeVoters();  // replicates the next change that is due
+  void OnShutdownNotice(const ReplicaId& from, const Message& m);
+  void ChangeVoters();  // starts the most urgent change, if any
   bool FinishChange();
-  bool TakeNewDisk();
+  bool ReplaceVoterStorage();
   bool ReplaceVoter();
   bool AddVoter();
   bool RemoveVoter();
   bool DemoteVoter();
-  std::vector<ReplicaId> Candidates() const;  // learners that may vote
-  ReplicaId LeavingVoter() const;             // empty: none
-  ReplicaId UnansweredVoter() const;
+  std::vector<ReplicaId> PromotableLearners() const;
+  ReplicaId VoterShuttingDown() const;  // empty: none
+  ReplicaId UnresponsiveVoter() const;
   ReplicaId SilentVoter(Micros for_at_least) const;
-  std::map<ReplicaId, std::uint64_t> Voters() const;  // of the newest committed entry, with their stores
+  std::map<ReplicaId, std::uint64_t> Voters() const;  // committed, with storage ids
   bool AllVotersCaughtUp() const;
   void ReplicateVoters(const std::map<ReplicaId, std::uint64_t>& voters);
   bool CaughtUp(const Peer& peer) const;
-  bool IsVoterId(const ReplicaId& member) const;  // a voter, whatever its store
+  bool IsVoterInAccepted(const ReplicaId& member) const;  // with any storage
 
   const ReplicaSettings settings_;
   Sink& sink_;
   merlinrun::Random random_;
   Micros now_ = 0;
 
-  PersistentState durable_;  // as it shall be on disk
-  // What the disk has for sure.
-  std::uint64_t disk_promised_ = 0;
-  EntryId disk_accepted_;
-  bool unwritten_ = false;  // a founder's first record
-  // The write that is out.
-  std::uint64_t token_ = 0;
+  PersistentState durable_;  // newest, perhaps not persisted yet
+  // The last completed write.
+  std::uint64_t persisted_promised_term_ = 0;
+  EntryId persisted_accepted_;
+  bool initial_write_pending_ = false;  // of an initial voter
+  // The write in progress.
+  std::uint64_t write_token_ = 0;
   bool writing_ = false;
   std::uint64_t writing_promised_ = 0;
   EntryId writing_accepted_;
   Micros writing_since_ = 0;
   bool write_failed_ = false;
-  Micros retry_at_ = 0;
+  Micros write_retry_at_ = 0;
 
-  Entry newest_;       // committed
-  EntryId committed_;  // of newest_
-  bool any_committed_ = false;
+  Entry committed_entry_;  // last committed
+  EntryId committed_id_;
+  bool has_committed_ = false;
 
   Role role_ = Role::kFollower;
   ReplicaId leader_;
   std::uint64_t leader_term_ = 0;
-  Micros heard_leader_ = 0;
-  bool heard_any_ = false;
-  Micros deadline_ = 0;
-  std::set<ReplicaId> contacts_;  // as given
-  std::set<ReplicaId> learned_;   // from others
-  std::set<ReplicaId> learners_;  // as told by a leader
-  Micros next_join_ = 0;
-  Micros lost_since_ = 0;  // without a leader
+  Micros leader_heard_at_ = 0;
+  bool leader_heard_ = false;
+  Micros election_deadline_ = 0;
+  std::set<ReplicaId> seed_peers_;
+  std::set<ReplicaId> discovered_;  // from messages of other replicas
+  std::set<ReplicaId> learners_;    // from the leader's last message
+  Micros next_join_at_ = 0;
+  Micros leaderless_since_ = 0;
   std::uint64_t malformed_messages_ = 0;
 
   // The candidate that durable_.promised_term was given to.
   ReplicaId promised_to_;
   std::uint64_t promised_incarnation_ = 0;
-  EntryId promised_has_;
-  bool answer_due_ = false;
+  EntryId candidate_accepted_;
+  bool promise_pending_ = false;
 
-  // Asking, candidacy, holding.
-  std::uint64_t term_ = 0;
-  std::uint64_t highest_seen_ = 0;  // promised by anybody
+  // Pre-vote, candidacy and leadership.
+  std::uint64_t term_ = 0;               // of this replica as candidate or leader
+  std::uint64_t highest_term_seen_ = 0;  // by any replica
   std::uint64_t pre_vote_round_ = 0;
-  Votes granted_;  // who said yes, or promised
-  Micros began_ = 0;
-  Micros asked_at_ = 0;
-  bool by_name_ = false;
-  bool prepared_ = false;  // the own promise is on disk
-  Entry best_;             // newest among the promises
-  EntryId removed_in_;     // an entry heard of as a candidate, in which this member is no voter
+  Votes granted_votes_;  // pre-votes, then promises
+  Micros election_started_at_ = 0;
+  Micros votes_requested_at_ = 0;
+  bool leader_consents_ = false;
+  bool own_promise_persisted_ = false;
+  Entry newest_promised_;  // newest entry among the promises
+  EntryId removed_by_;     // entry received in a promise that does not list this replica as voter
 
   std::map<ReplicaId, Peer> peers_;
-  Micros even_since_ = 0;   // an even number of voters, at this leader; 0 = odd
-  bool under_way_ = false;  // durable_.accepted is being committed
-  Micros replicated_at_ = 0;
-  Votes votes_;
-  bool has_call_ = false;
-  Call call_;
-  Micros heartbeat_at_ = 0;
-  std::uint64_t round_ = 0;
-  bool round_out_ = false;
-  std::vector<Call> confirms_;       // of the round that is out
-  std::vector<Call> confirms_next_;  // wait for the next one
-  Micros leaving_since_ = 0;
-  bool leaving_ = false;
+  Micros even_voters_since_ = 0;  // 0 = the number of voters is odd
+  bool replicating_ = false;      // durable_.accepted is not committed yet
+  Micros replication_started_at_ = 0;
+  Votes accept_votes_;
+  bool has_proposal_ = false;
+  PendingRequest proposal_;
+  Micros last_heartbeat_at_ = 0;
+  std::uint64_t heartbeat_round_ = 0;
+  bool round_pending_ = false;
+  std::vector<PendingRequest> round_confirms_;   // answered by the pending round
+  std::vector<PendingRequest> queued_confirms_;  // answered by the next round
+  Micros transfer_started_at_ = 0;
+  bool transferring_ = false;
   Micros no_candidacy_until_ = 0;
-  // This process is about to end.
-  bool ends_ = false;
-  Micros ends_since_ = 0;
-  Micros next_leave_ = 0;
-  bool others_have_all_ = false;  // as the leader said last
+  // Shutdown, from PrepareShutdown on.
+  bool shutting_down_ = false;
+  Micros shutdown_started_at_ = 0;
+  Micros next_shutdown_notice_at_ = 0;
+  bool voters_caught_up_ = false;  // from the leader's last message
   ReplicaId successor_;
-  Micros successor_until_ = 0;
+  Micros timeout_now_until_ = 0;
 };
 
 }  // namespace fennelhollow::consensus
--- a/src/mesh/consensus/membership.cpp
+++ b/src/mesh/consensus/membership.cpp
@@ -1,4 +1,5 @@
-// Who votes: one change at a time, each an entry that needs a majority of the voters before and after it.
+// Membership changes by joint consensus: one at a time, each committed by a majority of the old and of the
+// new voters.
 #include <glog/logging.h>
 
 #include <algorithm>
@@ -8,15 +9,17 @@
 
 namespace fennelhollow::consensus {
 
-bool IsVoterOf(const Entry& entry, const ReplicaId& member) {
+bool IsVoterWithAnyStorage(const Entry& entry, const ReplicaId& member) {
   return std::find(entry.voters.begin(), entry.voters.end(), member) != entry.voters.end();
 }
 
-bool Replica::Impl::IsVoterId(const ReplicaId& member) const { return IsVoterOf(durable_.accepted, member); }
+bool Replica::Impl::IsVoterInAccepted(const ReplicaId& member) const {
+  return IsVoterWithAnyStorage(durable_.accepted, member);
+}
 
 void Replica::Impl::AddLearner(const ReplicaId& member) {
-  if (peers_.count(member) > 0 || (!IsVoterId(member) && Learners().size() >= kMostLearners)) return;
-  peers_[member].heard = now_;
+  if (peers_.count(member) > 0 || (!IsVoterInAccepted(member) && Learners().size() >= kMaxLearners)) return;
+  peers_[member].last_heard = now_;
   SendHeartbeat(member);
 }
 
@@ -25,98 +28,102 @@
     AddLearner(from);
     return;
   }
-  Message view = Begin(MessageType::kContacts);
-  if (!HearsLeader()) view.leader.clear();
-  view.others = known_replicas();
-  Send(from, view);
+  Message response = NewMessage(MessageType::kKnownReplicas);
+  if (!HasLeaderContact()) response.leader.clear();
+  response.others = known_replicas();
+  Send(from, response);
 }
 
-void Replica::Impl::OnContacts(const Message& m) {
-  if (role_ == Role::kLeader || HearsLeader()) return;
-  Learn(m.others);
+void Replica::Impl::OnKnownReplicas(const Message& m) {
+  if (role_ == Role::kLeader || HasLeaderContact()) return;
+  AddDiscovered(m.others);
   if (m.leader.empty() || m.leader == settings_.self) return;
-  Learn({m.leader});
-  Send(m.leader, Begin(MessageType::kJoin));
+  AddDiscovered({m.leader});
+  Send(m.leader, NewMessage(MessageType::kJoin));
 }
 
 void Replica::Impl::SendJoins() {
-  next_join_ = now_ + kJoinEvery;
-  for (const ReplicaId& member : Others()) Send(member, Begin(MessageType::kJoin));
+  next_join_at_ = now_ + kJoinInterval;
+  for (const ReplicaId& member : DiscoveryTargets()) Send(member, NewMessage(MessageType::kJoin));
 }
 
 bool Replica::Impl::CaughtUp(const Peer& peer) const {
-  return peer.answered && now_ - peer.heard < settings_.election_timeout && peer.acked == IdOf(newest_);
+  return peer.acknowledged && now_ - peer.last_heard < settings_.election_timeout &&
+         peer.acked == IdOf(committed_entry_);
 }
 
 void Replica::Impl::TickMembership() {
   if (role_ == Role::kLeader) {
     std::erase_if(peers_, [&](const auto& item) {
-      const auto& before = durable_.accepted.previous_voters;
-      return now_ - item.second.heard > kLearnerGone && !IsVoterId(item.first) &&
-             std::find(before.begin(), before.end(), item.first) == before.end();
+      const auto& previous = durable_.accepted.previous_voters;
+      return now_ - item.second.last_heard > kLearnerTimeout && !IsVoterInAccepted(item.first) &&
+             std::find(previous.begin(), previous.end(), item.first) == previous.end();
     });
     ChangeVoters();
     return;
   }
-  if (ends_ && now_ >= next_leave_ && !leader_.empty() && IsVoterId(settings_.self)) {
-    next_leave_ = now_ + kLeaveEvery;
-    Send(leader_, Begin(MessageType::kLeave));
+  if (shutting_down_ && now_ >= next_shutdown_notice_at_ && !leader_.empty() &&
+      IsVoterInAccepted(settings_.self)) {
+    next_shutdown_notice_at_ = now_ + kShutdownNoticeInterval;
+    Send(leader_, NewMessage(MessageType::kShutdownNotice));
   }
-  if (now_ < next_join_ || HearsLeader()) return;
-  // A voter asks those of its own view first; they may all have been replaced meanwhile.
-  if (IsVoter(durable_.accepted, settings_.self, durable_.storage_id) && now_ < lost_since_ + kJoinAfter)
+  if (now_ < next_join_at_ || HasLeaderContact()) return;
+  // A voter first tries an election among the voters it knows; they may all have been replaced meanwhile.
+  if (IsVoter(durable_.accepted, settings_.self, durable_.storage_id) &&
+      now_ < leaderless_since_ + kVoterJoinDelay)
     return;
   SendJoins();
 }
 
-// One change at a time, in the order of what a second loss would cost.
+// Most urgent first: by how much a second failure would hurt without the change.
 void Replica::Impl::ChangeVoters() {
-  if (!is_leader() || under_way_ || leaving_) return;
-  if (FinishChange() || TakeNewDisk() || ReplaceVoter() || AddVoter() || RemoveVoter()) return;
+  if (!is_leader() || replicating_ || transferring_) return;
+  if (FinishChange() || ReplaceVoterStorage() || ReplaceVoter() || AddVoter() || RemoveVoter()) return;
   DemoteVoter();
 }
 
 std::map<ReplicaId, std::uint64_t> Replica::Impl::Voters() const {
   std::map<ReplicaId, std::uint64_t> voters;
-  for (std::size_t i = 0; i < newest_.voters.size(); ++i)
-    voters[newest_.voters[i]] = newest_.voter_storage_ids[i];
+  for (std::size_t i = 0; i < committed_entry_.voters.size(); ++i)
+    voters[committed_entry_.voters[i]] = committed_entry_.voter_storage_ids[i];
   return voters;
 }
 
-// The joint entry is committed: from here on the new voters alone count.
+// Leaves the joint configuration once it is committed: only the new voters count from then on.
 bool Replica::Impl::FinishChange() {
-  if (newest_.previous_voters.empty()) return false;
+  if (committed_entry_.previous_voters.empty()) return false;
   ReplicateVoters(Voters());
   return true;
 }
 
-// Of a voter that came back without its disk: another voter, which gets the place of the old one.
-bool Replica::Impl::TakeNewDisk() {
+// A voter that returned with empty storage has lost its promises, so it counts as a new voter that replaces
+// the old one.
+bool Replica::Impl::ReplaceVoterStorage() {
   std::map<ReplicaId, std::uint64_t> voters = Voters();
-  for (auto& [voter, store] : voters) {
+  for (auto& [voter, storage_id] : voters) {
     const auto it = peers_.find(voter);
-    if (it == peers_.end() || !CaughtUp(it->second) || it->second.store == store) continue;
+    if (it == peers_.end() || !CaughtUp(it->second) || it->second.storage_id == storage_id) continue;
     LOG(INFO) << "consensus: " << voter << " votes with a new disk";
-    store = it->second.store;
+    storage_id = it->second.storage_id;
     ReplicateVoters(voters);
     return true;
   }
   return false;
 }
 
-std::vector<ReplicaId> Replica::Impl::Candidates() const {
+std::vector<ReplicaId> Replica::Impl::PromotableLearners() const {
   const std::map<ReplicaId, std::uint64_t> voters = Voters();
   std::vector<ReplicaId> candidates;
   for (const auto& [member, peer] : peers_) {
-    if (CaughtUp(peer) && !peer.leaves && voters.count(member) == 0) candidates.push_back(member);
+    if (CaughtUp(peer) && !peer.shutting_down && voters.count(member) == 0) candidates.push_back(member);
   }
   return candidates;
 }
 
-ReplicaId Replica::Impl::LeavingVoter() const {
-  for (const ReplicaId& voter : newest_.voters) {
+ReplicaId Replica::Impl::VoterShuttingDown() const {
+  for (const ReplicaId& voter : committed_entry_.voters) {
     const auto it = peers_.find(voter);
-    if (it != peers_.end() && it->second.leaves) return voter;
+    if (it != peers_.end() && it->second.shutting_down) return voter;
   }
   return {};
 }
@@ -124,50 +131,50 @@
 ReplicaId Replica::Impl::SilentVoter(Micros for_at_least) const {
   ReplicaId silent;
   Micros heard = now_ - for_at_least + 1;
-  for (const ReplicaId& voter : newest_.voters) {
+  for (const ReplicaId& voter : committed_entry_.voters) {
     const auto it = peers_.find(voter);
-    if (it == peers_.end() || it->second.heard >= heard) continue;
-    heard = it->second.heard;
+    if (it == peers_.end() || it->second.last_heard >= heard) continue;
+    heard = it->second.last_heard;
     silent = voter;
   }
   return silent;
 }
 
-// Has not answered a single heartbeat of this leader, though there was time for several: it was gone before
-// the leader began, and has been silent for longer than this leader can tell.
-ReplicaId Replica::Impl::UnansweredVoter() const {
-  for (const ReplicaId& voter : newest_.voters) {
+// A voter that has not acknowledged any heartbeat of this leader within the election timeout: it was down
+// before this term, so replace_after would count from too late a time.
+ReplicaId Replica::Impl::UnresponsiveVoter() const {
+  for (const ReplicaId& voter : committed_entry_.voters) {
     const auto it = peers_.find(voter);
-    if (it == peers_.end() || it->second.answered) continue;
-    if (now_ - it->second.heard >= settings_.election_timeout) return voter;
+    if (it == peers_.end() || it->second.acknowledged) continue;
+    if (now_ - it->second.last_heard >= settings_.election_timeout) return voter;
   }
   return {};
 }
 
 bool Replica::Impl::ReplaceVoter() {
-  const std::vector<ReplicaId> candidates = Candidates();
+  const std::vector<ReplicaId> candidates = PromotableLearners();
   if (candidates.empty()) return false;
-  ReplicaId replaced = LeavingVoter();
-  if (replaced.empty()) replaced = UnansweredVoter();
+  ReplicaId replaced = VoterShuttingDown();
+  if (replaced.empty()) replaced = UnresponsiveVoter();
   if (replaced.empty()) replaced = SilentVoter(settings_.replace_after);
   if (replaced.empty()) return false;
   LOG(INFO) << "consensus: " << candidates[0] << " votes in the place of " << replaced;
   std::map<ReplicaId, std::uint64_t> voters = Voters();
   voters.erase(replaced);
-  voters[candidates[0]] = peers_[candidates[0]].store;
+  voters[candidates[0]] = peers_[candidates[0]].storage_id;
   ReplicateVoters(voters);
   return true;
 }
 
-// Even numbers bear no more losses than the odd ones below them: passed through only on the way to the next
-// odd one.
+// An even number of voters tolerates no more failures than one voter less, so voters are added only where the
+// next odd number can be reached.
 bool Replica::Impl::AddVoter() {
-  const std::vector<ReplicaId> candidates = Candidates();
+  const std::vector<ReplicaId> candidates = PromotableLearners();
   std::map<ReplicaId, std::uint64_t> voters = Voters();
   const std::size_t wanted = voters.size() % 2 == 0 ? 1 : 2;
   if (candidates.size() < wanted || voters.size() + wanted > settings_.max_voters) return false;
   LOG(INFO) << "consensus: " << candidates[0] << " becomes a voter";
-  voters[candidates[0]] = peers_[candidates[0]].store;
+  voters[candidates[0]] = peers_[candidates[0]].storage_id;
   ReplicateVoters(voters);
   return true;
 }
@@ -175,23 +182,23 @@
 bool Replica::Impl::RemoveVoter() {
   std::map<ReplicaId, std::uint64_t> voters = Voters();
   const ReplicaId silent = SilentVoter(settings_.remove_after);
-  if (voters.size() <= kFewestVoters || silent.empty()) return false;
+  if (voters.size() <= kMinVoters || silent.empty()) return false;
   LOG(INFO) << "consensus: " << silent << " votes no longer";
   voters.erase(silent);
   ReplicateVoters(voters);
   return true;
 }
 
-// Left with an even number, as after a replacement among four: cut two from two, none of them would have a
-// majority. One becomes a learner again, though it is heard.
+// With an even number of voters, a partition into halves leaves no majority on either side: one voter becomes
+// a learner again, even if it is reachable.
 bool Replica::Impl::DemoteVoter() {
   std::map<ReplicaId, std::uint64_t> voters = Voters();
-  if (voters.size() % 2 != 0 || voters.size() <= kFewestVoters) {
-    even_since_ = 0;
+  if (voters.size() % 2 != 0 || voters.size() <= kMinVoters) {
+    even_voters_since_ = 0;
     return false;
   }
-  if (even_since_ == 0) even_since_ = now_;
-  if (now_ - even_since_ < settings_.remove_after) return false;
+  if (even_voters_since_ == 0) even_voters_since_ = now_;
+  if (now_ - even_voters_since_ < settings_.remove_after) return false;
   auto last = std::prev(voters.end());
   if (last->first == settings_.self) --last;
   LOG(INFO) << "consensus: " << last->first << " is a learner again, as an even number voted";
@@ -201,69 +208,72 @@
 }
 
 bool Replica::Impl::AllVotersCaughtUp() const {
-  for (const ReplicaId& voter : newest_.voters) {
+  for (const ReplicaId& voter : committed_entry_.voters) {
     if (voter == settings_.self) continue;
     const auto it = peers_.find(voter);
     if (it == peers_.end() || !CaughtUp(it->second)) return false;
   }
-  return !under_way_;
+  return !replicating_;
 }
 
-// ---- a voter that is about to end
+// ---- shutdown of a voter
 
 void Replica::Impl::PrepareShutdown(Micros now) {
   now_ = std::max(now_, now);
-  ends_ = true;
-  ends_since_ = now_;
-  others_have_all_ = false;
+  shutting_down_ = true;
+  shutdown_started_at_ = now_;
+  voters_caught_up_ = false;
   TransferLeadership(now);
 }
 
-// Where it leads on for want of a successor, TransferLeadership's own bound ends that.
+// A leader without a successor steps down after kTransferTimeout.
 bool Replica::Impl::ReadyForShutdown() const {
   if (role_ == Role::kLeader) return false;
-  const bool voted = IsVoterId(settings_.self) || IsVoterOf(newest_, settings_.self);
-  if (!voted && durable_.accepted.previous_voters.empty()) return true;
-  if (!HearsLeader() || now_ - ends_since_ < kLeaveAlone) return false;
-  const bool somebody_waits = std::any_of(learners_.begin(), learners_.end(), [&](const ReplicaId& learner) {
+  const bool is_voter =
+      IsVoterInAccepted(settings_.self) || IsVoterWithAnyStorage(committed_entry_, settings_.self);
+  if (!is_voter && durable_.accepted.previous_voters.empty()) return true;
+  if (!HasLeaderContact() || now_ - shutdown_started_at_ < kSuccessorWait) return false;
+  const bool learner_waiting = std::any_of(learners_.begin(), learners_.end(), [&](const ReplicaId& learner) {
     return learner != settings_.self;
   });
-  return others_have_all_ && !somebody_waits;
+  return voters_caught_up_ && !learner_waiting;
 }
 
-void Replica::Impl::OnLeave(const ReplicaId& from, const Message& m) {
+void Replica::Impl::OnShutdownNotice(const ReplicaId& from, const Message& m) {
   const auto it = peers_.find(from);
-  if (role_ != Role::kLeader || it == peers_.end() || it->second.leaves) return;
-  LOG(INFO) << "consensus: " << from << " is about to end";
+  if (role_ != Role::kLeader || it == peers_.end() || it->second.shutting_down) return;
+  LOG(INFO) << "consensus: " << from << " is shutting down";
   it->second.incarnation = m.incarnation;
-  it->second.leaves = true;
+  it->second.shutting_down = true;
   ChangeVoters();
 }
 
 void Replica::Impl::OnConnectionRefused(Micros now, const ReplicaId& peer) {
   now_ = std::max(now_, now);
   if (role_ != Role::kFollower || leader_.empty() || peer != leader_) return;
-  heard_any_ = false;
-  // One that lives all the same is heard before.
-  deadline_ = std::min(deadline_, now_ + settings_.heartbeat_interval + random_.Upto(kRefusedJitter));
+  leader_heard_ = false;
+  // Leaves a leader that runs after all the time for a heartbeat.
+  election_deadline_ = std::min(election_deadline_,
+                                now_ + settings_.heartbeat_interval + random_.Upto(kRefusedElectionJitter));
 }
 
 void Replica::Impl::ReplicateVoters(const std::map<ReplicaId, std::uint64_t>& voters) {
-  Entry entry = newest_;
+  Entry entry = committed_entry_;
   entry.term = term_;
   ++entry.index;
   entry.previous_voters.clear();
   entry.previous_voter_storage_ids.clear();
   entry.voters.clear();
   entry.voter_storage_ids.clear();
-  for (const auto& [member, store] : voters) {
+  for (const auto& [member, storage_id] : voters) {
     entry.voters.push_back(member);
-    entry.voter_storage_ids.push_back(store);
-    if (member != settings_.self && peers_.count(member) == 0) peers_[member].heard = now_;
+    entry.voter_storage_ids.push_back(storage_id);
+    if (member != settings_.self && peers_.count(member) == 0) peers_[member].last_heard = now_;
   }
-  if (entry.voters != newest_.voters || entry.voter_storage_ids != newest_.voter_storage_ids) {
-    entry.previous_voters = newest_.voters;
-    entry.previous_voter_storage_ids = newest_.voter_storage_ids;
+  if (entry.voters != committed_entry_.voters ||
+      entry.voter_storage_ids != committed_entry_.voter_storage_ids) {
+    entry.previous_voters = committed_entry_.voters;
+    entry.previous_voter_storage_ids = committed_entry_.voter_storage_ids;
   }
   Replicate(std::move(entry));
 }
--- a/src/mesh/consensus/message.hpp
+++ b/src/mesh/consensus/message.hpp
@@ -1,4 +1,4 @@
-// Messages between replicas.
+// Messages between replicas, serialized with cereal: the order of the fields is the wire format.
 #ifndef FENNELHOLLOW_MESH_CONSENSUS_MESSAGE_HPP_
 #define FENNELHOLLOW_MESH_CONSENSUS_MESSAGE_HPP_
 
@@ -11,7 +11,7 @@
 
 namespace fennelhollow::consensus {
 
-// Names an entry: one term has one leader, and that one puts one entry at each number.
+// Identifies an entry: a term has one leader, which replicates one entry per index.
 struct EntryId {
   std::uint64_t term = 0;
   std::uint64_t index = 0;
@@ -35,38 +35,38 @@
 }
 
 enum class MessageType : std::uint8_t {
-  kHeartbeat = 1,      // leader: committed, round, learners
-  kAccept = 2,         // leader: a heartbeat with an entry
-  kAck = 3,            // to the leader: what is on disk, the round of the heartbeat
-  kPreVote = 4,        // before a candidacy, binds nobody (pre-vote): round
-  kPreVoteAnswer = 5,  // answer: yes or no, the leader heard
-  kPrepare = 6,        // candidate: term, accepted; yes = the leader before it agrees
-  kPromise = 7,        // answer: yes, the entry accepted if it is newer than the candidate's; or no
-  kTakeOver = 8,       // leader to its successor
-  kJoin = 9,           // asks to be sent the entries
-  kLeave = 11,         // to the leader, of a voter that is about to end
-  kContacts = 10,      // answer of one that isn't the leader: whom else to ask
+  kHeartbeat = 1,        // from the leader: committed, round, learners; flag: all voters are caught up
+  kAccept = 2,           // a heartbeat with an entry to accept
+  kAck = 3,              // to the leader: persisted state, round of the heartbeat
+  kPreVote = 4,          // non-binding, before an election: round
+  kPreVoteResponse = 5,  // flag: granted; leader, if known
+  kPrepare = 6,          // from a candidate: term, its accepted entry's id; flag: the previous leader agrees
+  kPromise = 7,          // flag: granted; accepted entry's id, with the entry if newer than the candidate's
+  kTimeoutNow = 8,       // from the leader to its successor: start an election (leadership transfer)
+  kJoin = 9,             // asks the leader to be added as a learner
+  kShutdownNotice = 11,  // to the leader, from a voter that shuts down: replace it
+  kKnownReplicas = 10,   // response to kJoin of a replica that is not the leader: other replicas to ask
 };
 
 struct Message {
   MessageType type = MessageType::kHeartbeat;
   std::uint64_t incarnation = 0;  // of the sender
   std::uint64_t storage_id = 0;
-  std::uint64_t term = 0;           // that it is about
-  std::uint64_t promised_term = 0;  // of the sender, perhaps not yet on disk
-  EntryId accepted;                 // on the sender's disk; that of the candidate or the promise
-  EntryId held;                     // in the sender's memory
+  std::uint64_t term = 0;           // the message's term
+  std::uint64_t promised_term = 0;  // by the sender, perhaps not persisted yet
+  EntryId accepted;                 // persisted by the sender; for kPrepare and kPromise see above
+  EntryId accepted_in_memory;       // perhaps not persisted yet
   EntryId committed;
   std::uint64_t round = 0;
-  bool flag = false;
+  bool flag = false;  // see MessageType
   ReplicaId leader;
-  std::vector<ReplicaId> others;  // learners (kHeartbeat, kAccept); all known (kContacts)
-  std::vector<Entry> entry;       // none or one
+  std::vector<ReplicaId> others;  // learners (kHeartbeat, kAccept); all known replicas (kKnownReplicas)
+  std::vector<Entry> entry;       // at most one
 
   template <class Archive>
   void serialize(Archive& a) {
-    a(type, incarnation, storage_id, term, promised_term, accepted, held, committed, round, flag, leader,
-      others, entry);
+    a(type, incarnation, storage_id, term, promised_term, accepted, accepted_in_memory, committed, round,
+      flag, leader, others, entry);
   }
 };
 
--- a/src/mesh/consensus/replica.cpp
+++ b/src/mesh/consensus/replica.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-bool Majority(const std::vector<ReplicaId>& members, const std::vector<std::uint64_t>& stores,
-              const Votes& votes) {
-  std::size_t have = 0;
-  for (std::size_t i = 0; i < members.size(); ++i) have += votes.count({members[i], stores[i]});
-  return have * 2 > members.size();
+bool HasMajority(const std::vector<ReplicaId>& members, const std::vector<std::uint64_t>& storage_ids,
+                 const Votes& votes) {
+  std::size_t matching = 0;
+  for (std::size_t i = 0; i < members.size(); ++i) matching += votes.count({members[i], storage_ids[i]});
+  return matching * 2 > members.size();
 }
 
-bool Wellformed(const Entry& e) {
+bool IsWellFormed(const Entry& e) {
   return e.voters.size() == e.voter_storage_ids.size() &&
          e.previous_voters.size() == e.previous_voter_storage_ids.size() && !e.voters.empty() &&
          e.state.size() <= kMaxStateBytes;
@@ -26,14 +26,14 @@
 }  // namespace
 
 bool HasQuorum(const Entry& entry, const Votes& votes, bool joint) {
-  return Majority(entry.voters, entry.voter_storage_ids, votes) &&
+  return HasMajority(entry.voters, entry.voter_storage_ids, votes) &&
          (!joint || entry.previous_voters.empty() ||
-          Majority(entry.previous_voters, entry.previous_voter_storage_ids, votes));
+          HasMajority(entry.previous_voters, entry.previous_voter_storage_ids, votes));
 }
 
-bool IsVoter(const Entry& entry, const ReplicaId& member, std::uint64_t store) {
+bool IsVoter(const Entry& entry, const ReplicaId& member, std::uint64_t storage_id) {
   for (std::size_t i = 0; i < entry.voters.size(); ++i) {
-    if (entry.voters[i] == member) return entry.voter_storage_ids[i] == store;
+    if (entry.voters[i] == member) return entry.voter_storage_ids[i] == storage_id;
   }
   return false;
 }
@@ -46,39 +46,39 @@
   const auto& initial_voters = settings_.initial_voters;
   if (settings_.persisted.has_value()) {
     durable_ = *settings_.persisted;
-    disk_promised_ = durable_.promised_term;
-    disk_accepted_ = IdOf(durable_.accepted);
+    persisted_promised_term_ = durable_.promised_term;
+    persisted_accepted_ = IdOf(durable_.accepted);
   } else if (settings_.bootstrap &&
              std::count(initial_voters.begin(), initial_voters.end(), settings_.self) > 0) {
     durable_.accepted.voters = initial_voters;
     std::sort(durable_.accepted.voters.begin(), durable_.accepted.voters.end());
     durable_.accepted.voter_storage_ids.assign(initial_voters.size(), 0);
-    unwritten_ = true;
+    initial_write_pending_ = true;
   } else {
     durable_.storage_id = std::max<std::uint64_t>(settings_.incarnation, 1);
   }
   SetSeedPeers(settings_.seed_peers);
-  lost_since_ = now_;
-  // Nobody has been heard, so there is less to wait for than after a leader's last heartbeat.
-  deadline_ = now_ + settings_.election_timeout / 4 + random_.Upto(settings_.election_timeout);
+  leaderless_since_ = now_;
+  // No heartbeat has been received yet, so the first election may start sooner.
+  election_deadline_ = now_ + settings_.election_timeout / 4 + random_.Upto(settings_.election_timeout);
 }
 
 void Replica::Impl::SetSeedPeers(std::vector<ReplicaId> seed_peers) {
-  if (seed_peers.size() > kMostContacts) seed_peers.resize(kMostContacts);
-  contacts_ = {seed_peers.begin(), seed_peers.end()};
+  if (seed_peers.size() > kMaxKnownReplicas) seed_peers.resize(kMaxKnownReplicas);
+  seed_peers_ = {seed_peers.begin(), seed_peers.end()};
 }
 
-void Replica::Impl::Learn(const std::vector<ReplicaId>& members) {
+void Replica::Impl::AddDiscovered(const std::vector<ReplicaId>& members) {
   for (const ReplicaId& member : members) {
-    if (learned_.size() >= kMostContacts && learned_.count(member) == 0) learned_.clear();
-    learned_.insert(member);
+    if (discovered_.size() >= kMaxKnownReplicas && discovered_.count(member) == 0) discovered_.clear();
+    discovered_.insert(member);
   }
 }
 
 std::vector<ReplicaId> Replica::Impl::known_replicas() const {
   std::set<ReplicaId> all(durable_.accepted.voters.begin(), durable_.accepted.voters.end());
   all.insert(durable_.accepted.previous_voters.begin(), durable_.accepted.previous_voters.end());
-  all.insert(newest_.voters.begin(), newest_.voters.end());
+  all.insert(committed_entry_.voters.begin(), committed_entry_.voters.end());
   all.insert(learners_.begin(), learners_.end());
   if (role_ == Role::kLeader) {
     for (const auto& [member, peer] : peers_) all.insert(member);
@@ -86,24 +86,24 @@
   return {all.begin(), all.end()};
 }
 
-std::set<ReplicaId> Replica::Impl::Others() const {
-  std::set<ReplicaId> all = contacts_;
-  all.insert(learned_.begin(), learned_.end());
+std::set<ReplicaId> Replica::Impl::DiscoveryTargets() const {
+  std::set<ReplicaId> all = seed_peers_;
+  all.insert(discovered_.begin(), discovered_.end());
   for (const ReplicaId& member : known_replicas()) all.insert(member);
   if (!leader_.empty()) all.insert(leader_);
   all.erase(settings_.self);
   return all;
 }
 
-Message Replica::Impl::Begin(MessageType type) const {
+Message Replica::Impl::NewMessage(MessageType type) const {
   Message m;
   m.type = type;
   m.incarnation = settings_.incarnation;
   m.storage_id = durable_.storage_id;
   m.promised_term = durable_.promised_term;
-  m.accepted = disk_accepted_;
-  m.held = IdOf(durable_.accepted);
-  m.committed = committed_;
+  m.accepted = persisted_accepted_;
+  m.accepted_in_memory = IdOf(durable_.accepted);
+  m.committed = committed_id_;
   m.leader = leader_;
   return m;
 }
@@ -116,12 +116,12 @@
   now_ = std::max(now_, now);
   const auto read = transport::Unpack<Message>(bytes);
   if (!read.ok() || from == settings_.self || read->entry.size() > 1 ||
-      (read->entry.size() == 1 && !Wellformed(read->entry[0]))) {
+      (read->entry.size() == 1 && !IsWellFormed(read->entry[0]))) {
     ++malformed_messages_;
     return;
   }
   const Message& m = *read;
-  highest_seen_ = std::max({highest_seen_, m.promised_term, m.term});
+  highest_term_seen_ = std::max({highest_term_seen_, m.promised_term, m.term});
   switch (m.type) {
     case MessageType::kHeartbeat:
     case MessageType::kAccept:
@@ -133,8 +133,8 @@
     case MessageType::kPreVote:
       OnPreVote(from, m);
       break;
-    case MessageType::kPreVoteAnswer:
-      OnPreVoteAnswer(from, m);
+    case MessageType::kPreVoteResponse:
+      OnPreVoteResponse(from, m);
       break;
     case MessageType::kPrepare:
       OnPrepare(from, m);
@@ -142,126 +142,127 @@
     case MessageType::kPromise:
       OnPromise(from, m);
       break;
-    case MessageType::kTakeOver:
-      OnTakeOver(from, m);
+    case MessageType::kTimeoutNow:
+      OnTimeoutNow(from, m);
       break;
     case MessageType::kJoin:
       OnJoin(from, m);
       break;
-    case MessageType::kLeave:
-      OnLeave(from, m);
+    case MessageType::kShutdownNotice:
+      OnShutdownNotice(from, m);
       break;
-    case MessageType::kContacts:
-      OnContacts(m);
+    case MessageType::kKnownReplicas:
+      OnKnownReplicas(m);
       break;
     default:
       ++malformed_messages_;
       break;
   }
-  Flush();
+  PersistIfNeeded();
 }
 
-// A heartbeat, or an entry to accept.
+// Handles kHeartbeat and kAccept.
 void Replica::Impl::OnLeaderMessage(const ReplicaId& from, const Message& m) {
   if (m.term < durable_.promised_term || (role_ == Role::kLeader && m.term == term_)) {
-    Message nack = Begin(MessageType::kAck);
+    Message nack = NewMessage(MessageType::kAck);
     nack.term = m.term;
     Send(from, nack);
     return;
   }
-  if (role_ == Role::kLeader) StepDown("another holds a newer term");
+  if (role_ == Role::kLeader) StepDown("another leader has a newer term");
   role_ = Role::kFollower;
   durable_.promised_term = m.term;
-  heard_leader_ = now_;
-  heard_any_ = true;
+  leader_heard_at_ = now_;
+  leader_heard_ = true;
   SetLeader(from, m.term);
   ResetElectionTimer();
-  others_have_all_ = m.flag;
+  voters_caught_up_ = m.flag;
   learners_.clear();
   for (const ReplicaId& member : m.others) {
-    if (learners_.size() < kMostContacts) learners_.insert(member);
+    if (learners_.size() < kMaxKnownReplicas) learners_.insert(member);
   }
-  TryCommit(m.committed);
+  CommitIfAccepted(m.committed);
   if (!m.entry.empty() && m.entry[0].term == m.term && IdOf(m.entry[0]) > IdOf(durable_.accepted)) {
     durable_.accepted = m.entry[0];
-    TryCommit(m.committed);
+    CommitIfAccepted(m.committed);
   }
-  Flush();
-  // An entry is answered when it is on disk.
-  if (m.type == MessageType::kHeartbeat || OnDisk()) SendAck(m.round);
+  PersistIfNeeded();
+  // kAccept is acknowledged once the entry is on disk (OnWritten).
+  if (m.type == MessageType::kHeartbeat || IsPersisted()) SendAck(m.round);
 }
 
 void Replica::Impl::SendAck(std::uint64_t round) {
-  Message ack = Begin(MessageType::kAck);
+  Message ack = NewMessage(MessageType::kAck);
   ack.term = leader_term_;
   ack.round = round;
   Send(leader_, ack);
 }
 
-bool Replica::Impl::OnDisk() const {
-  return !unwritten_ && disk_promised_ == durable_.promised_term && disk_accepted_ == IdOf(durable_.accepted);
+bool Replica::Impl::IsPersisted() const {
+  return !initial_write_pending_ && persisted_promised_term_ == durable_.promised_term &&
+         persisted_accepted_ == IdOf(durable_.accepted);
 }
 
-bool Replica::Impl::DiskOk() const {
-  return !write_failed_ && (!writing_ || now_ - writing_since_ < kDiskSlow);
+bool Replica::Impl::DiskHealthy() const {
+  return !write_failed_ && (!writing_ || now_ - writing_since_ < kSlowWrite);
 }
 
-void Replica::Impl::Flush() {
-  if (writing_ || OnDisk() || (write_failed_ && now_ < retry_at_)) return;
+void Replica::Impl::PersistIfNeeded() {
+  if (writing_ || IsPersisted() || (write_failed_ && now_ < write_retry_at_)) return;
   writing_ = true;
   writing_since_ = now_;
   writing_promised_ = durable_.promised_term;
   writing_accepted_ = IdOf(durable_.accepted);
-  sink_.Write(durable_, ++token_);
+  sink_.Write(durable_, ++write_token_);
 }
 
 void Replica::Impl::OnWritten(Micros now, std::uint64_t token, bool ok) {
   now_ = std::max(now_, now);
-  if (!writing_ || token != token_) return;
+  if (!writing_ || token != write_token_) return;
   writing_ = false;
   if (!ok) {
     if (!write_failed_) LOG(WARNING) << "consensus: a write failed";
     write_failed_ = true;
-    retry_at_ = now_ + kDiskRetry;
+    write_retry_at_ = now_ + kWriteRetryDelay;
     return;
   }
   if (write_failed_) LOG(INFO) << "consensus: writes succeed again";
   write_failed_ = false;
-  unwritten_ = false;
-  disk_promised_ = writing_promised_;
-  const bool more = writing_accepted_ != disk_accepted_;
-  disk_accepted_ = writing_accepted_;
-  if (role_ == Role::kFollower && more && !leader_.empty() && durable_.promised_term == leader_term_)
+  initial_write_pending_ = false;
+  persisted_promised_term_ = writing_promised_;
+  const bool newer = writing_accepted_ != persisted_accepted_;
+  persisted_accepted_ = writing_accepted_;
+  if (role_ == Role::kFollower && newer && !leader_.empty() && durable_.promised_term == leader_term_)
     SendAck(0);
-  AnswerPrepare();
-  if (role_ == Role::kCandidate && !prepared_ && disk_promised_ >= term_) {
-    prepared_ = true;
-    granted_.insert({settings_.self, durable_.storage_id});
+  SendPromiseIfPersisted();
+  if (role_ == Role::kCandidate && !own_promise_persisted_ && persisted_promised_term_ >= term_) {
+    own_promise_persisted_ = true;
+    granted_votes_.insert({settings_.self, durable_.storage_id});
     SendPrepare();
-    TryWin();
+    LeadIfElected();
   }
   if (role_ == Role::kLeader) CountOwnVote();
-  Flush();
+  PersistIfNeeded();
 }
 
-// Told by a leader that `committed` is.
-void Replica::Impl::TryCommit(EntryId committed) {
+// Applies the accepted entry if it is the one that the leader has committed.
+void Replica::Impl::CommitIfAccepted(EntryId committed) {
   if (committed == IdOf(durable_.accepted) && committed.term != 0 &&
-      (!any_committed_ || committed > committed_))
-    Commit();
+      (!has_committed_ || committed > committed_id_))
+    CommitAccepted();
 }
 
-void Replica::Impl::Commit() {
-  committed_ = IdOf(durable_.accepted);
-  const bool more = durable_.accepted.index > newest_.index;
-  any_committed_ = true;
-  newest_ = durable_.accepted;
-  if (more) sink_.Apply(newest_);
+void Replica::Impl::CommitAccepted() {
+  committed_id_ = IdOf(durable_.accepted);
+  const bool newer = durable_.accepted.index > committed_entry_.index;
+  has_committed_ = true;
+  committed_entry_ = durable_.accepted;
+  if (newer) sink_.Apply(committed_entry_);
 }
 
 void Replica::Impl::SetLeader(const ReplicaId& leader, std::uint64_t term) {
   if (leader == leader_ && (term == leader_term_ || leader.empty())) return;
-  if (leader.empty()) lost_since_ = now_;
+  if (leader.empty()) leaderless_since_ = now_;
   leader_ = leader;
   leader_term_ = term;
   LOG(INFO) << "consensus: leader " << (leader.empty() ? "unknown" : leader) << ", term " << term;
@@ -269,19 +270,19 @@
 }
 
 void Replica::Impl::ResetElectionTimer() {
-  deadline_ = now_ + settings_.election_timeout + random_.Upto(settings_.election_timeout);
+  election_deadline_ = now_ + settings_.election_timeout + random_.Upto(settings_.election_timeout);
 }
 
 void Replica::Impl::OnTick(Micros now) {
   now_ = std::max(now_, now);
-  Flush();
+  PersistIfNeeded();
   if (role_ == Role::kLeader) {
     TickLeading();
   } else {
     TickElection();
   }
   TickMembership();
-  Flush();
+  PersistIfNeeded();
 }
 
 Replica::Replica(const ReplicaSettings& settings, Micros now, Sink& sink)
@@ -293,10 +294,12 @@
 void Replica::OnWritten(Micros now, std::uint64_t token, bool ok) { impl_->OnWritten(now, token, ok); }
 void Replica::OnTick(Micros now) { impl_->OnTick(now); }
 void Replica::SetSeedPeers(std::vector<ReplicaId> seed_peers) { impl_->SetSeedPeers(std::move(seed_peers)); }
-void Replica::Propose(Micros now, std::uint64_t call, std::uint64_t on_top_of, std::string state) {
-  impl_->Propose(now, call, on_top_of, std::move(state));
+void Replica::Propose(Micros now, std::uint64_t request_id, std::uint64_t base_index, std::string state) {
+  impl_->Propose(now, request_id, base_index, std::move(state));
+}
+void Replica::ConfirmLeadership(Micros now, std::uint64_t request_id) {
+  impl_->ConfirmLeadership(now, request_id);
 }
-void Replica::ConfirmLeadership(Micros now, std::uint64_t call) { impl_->ConfirmLeadership(now, call); }
 void Replica::TransferLeadership(Micros now) { impl_->TransferLeadership(now); }
 void Replica::PrepareShutdown(Micros now) { impl_->PrepareShutdown(now); }
 bool Replica::ReadyForShutdown(Micros) const { return impl_->ReadyForShutdown(); }
--- a/src/mesh/control/call_forwarder.hpp
+++ b/src/mesh/control/call_forwarder.hpp
@@ -1,5 +1,6 @@
-// Operators' calls on their way to the leader: served here if this replica leads, passed on to the leader if
-// another does, kept pending for a while if none is known. Free of I/O; one thread; steady microseconds.
+// Routes operators' calls to the leader: serves them here on the leader, forwards them on other cores, and
+// queues them for a limited time while no leader is known. No I/O; single-threaded; microseconds of a steady
+// clock.
 #ifndef FENNELHOLLOW_MESH_CONTROL_CALL_FORWARDER_HPP_
 #define FENNELHOLLOW_MESH_CONTROL_CALL_FORWARDER_HPP_
 
@@ -21,72 +22,73 @@
 
 enum class CallKind : std::uint8_t { kReplace = 0, kModify = 1, kRead = 2 };
 
-// A call as one core passes it on to another (for cereal).
+// A call as forwarded between cores; serialized with cereal, so the order of the fields is the wire format.
 struct ForwardedCall {
-  std::uint64_t id = 0;   // the sender's own number of it
-  std::uint8_t kind = 0;  // CallKind
+  std::uint64_t call_id = 0;  // assigned by the sender
+  std::uint8_t kind = 0;      // CallKind
   std::int64_t timeout_ms = 0;
   std::string body;
   template <class Archive>
   void serialize(Archive& a) {
-    a(id, kind, timeout_ms, body);
+    a(call_id, kind, timeout_ms, body);
   }
 };
 struct ForwardedResponse {
-  std::uint64_t id = 0;
-  bool not_leader = false;  // nothing was begun
+  std::uint64_t call_id = 0;
+  bool not_leader = false;  // the call had no effect
   std::uint32_t status = 0;
   std::string body;
   template <class Archive>
   void serialize(Archive& a) {
-    a(id, not_leader, status, body);
+    a(call_id, not_leader, status, body);
   }
 };
 
-// An operator's call, or one that another core passed on.
+// An operator's call, received directly or forwarded by another core.
 struct Call {
-  // Absent: this core does not lead, and nothing was begun (to one that was passed on).
+  // nullopt: this core is not the leader and the call had no effect.
   using Done = std::function<void(std::optional<Response>)>;
 
   CallKind kind = CallKind::kRead;
   std::shared_ptr<const std::string> body;
   Micros deadline = 0;
-  Micros leader_by = 0;  // waits so long for a leader
+  Micros leader_deadline = 0;  // until when it may wait for a leader
   bool forwarded = false;
   Done done;
   std::size_t size() const { return body ? body->size() : 0; }
 };
 
-// What the forwarder needs of its core. None of these may call back into the forwarder before it returns.
+// Implemented by the core. No function may call back into CallForwarder before it returns.
 class CallForwarderHost {
  public:
   virtual ~CallForwarderHost() = default;
   virtual bool IsLeader() const = 0;
-  virtual ReplicaId KnownLeader() const = 0;  // empty: unknown
-  virtual void Serve(Call call) = 0;          // this core leads
-  // No leader has been in contact with this core for so long that calls don't wait for one.
+  virtual ReplicaId KnownLeader() const = 0;  // empty if unknown
+  virtual void Serve(Call call) = 0;          // as the leader
+  // No leader has been heard for so long that calls should not wait for one.
   virtual bool IsPartitioned() const = 0;
-  // Sends a caller to another core, in turn; absent: none is known.
+  // A redirect to another core, round robin; nullopt if none is known.
   virtual std::optional<Response> RedirectToPeer(CallKind kind) = 0;
-  // False: there is no link now. A call that was sent may be lost all the same.
+  // False if not connected. A call that was sent may still be lost.
   virtual bool SendCall(const ReplicaId& to, const ForwardedCall& call) = 0;
-  virtual void SendResponse(const ReplicaId& to, const ForwardedResponse& answer) = 0;
+  virtual void SendResponse(const ReplicaId& to, const ForwardedResponse& response) = 0;
 };
 
 class CallForwarder {
  public:
   struct Limits {
-    // A caller gives up after a second of silence: it has an answer before.
-    Micros answer_within = 900'000;
-    Micros forwarded_within = 800'000;
-    Micros leader_within = 700'000;
-    Micros retry_every = 50'000;  // a call that another core turned away unbegun
-    // A leader that is heard and did not answer a call may not hear this core: for so long callers are sent
-    // elsewhere.
-    Micros deaf_for = 3'000'000;
-    std::size_t pending = 64;
-    std::size_t pending_bytes = std::size_t{16} * 1024 * 1024;
-    std::size_t call_bytes = std::size_t{3584} * 1024;  // has to fit into a frame, as the state after it
+    // Below the timeout of callers, which is one second.
+    Micros response_timeout = 900'000;
+    Micros forward_timeout = 800'000;
+    Micros leader_wait = 700'000;
+    Micros retry_interval = 50'000;
+    // After a forwarded call times out, the leader may be unreachable from here although its heartbeats
+    // arrive: callers are redirected to other cores for this long.
+    Micros redirect_period = 3'000'000;
+    std::size_t max_pending = 64;
+    std::size_t max_pending_bytes = std::size_t{16} * 1024 * 1024;
+    std::size_t max_call_bytes =
+        std::size_t{3584} * 1024;  // also of the resulting state; must fit into a frame
   };
   struct Counters {
     std::uint64_t forwarded = 0, received = 0, queued = 0, no_leader = 0, redirected = 0, malformed = 0;
@@ -95,17 +97,17 @@
   // `host` must outlive it.
   CallForwarder(CallForwarderHost& host, const Limits& limits) : host_(host), limits_(limits) {}
 
-  // Of an operator. `reply` is called once, with 503 at the latest after `answer_within`.
+  // Handles an operator's call. Calls `reply` exactly once, with 503 after `response_timeout`.
   void Submit(Micros now, CallKind kind, std::string body, std::function<void(Response)> reply);
-  // Of another core.
+  // A call forwarded by another core.
   void OnCall(Micros now, const ReplicaId& from, ForwardedCall forwarded);
-  void OnResponse(Micros now, const ReplicaId& from, ForwardedResponse answer);
-  // The core that began to serve it does not lead any more.
-  void Retry(Micros now, Call call) { Hold(now, std::move(call), now); }
-  // `leader` leads now: calls that were passed on to others are passed on anew. The same call again is the
-  // same change, whether the first came through or not.
+  void OnResponse(Micros now, const ReplicaId& from, ForwardedResponse response);
+  // This core lost leadership before the call took effect.
+  void Retry(Micros now, Call call) { Enqueue(now, std::move(call), now); }
+  // Forwards calls again that were sent to other cores. Calls are idempotent, so the earlier attempt may have
+  // succeeded.
   void OnLeaderChange(Micros now, const ReplicaId& leader);
-  // The link to `core` is gone, and what was sent over it may be lost.
+  // The connection to `core` was lost, with calls and responses possibly in flight.
   void OnPeerDown(Micros now, const ReplicaId& core);
   void OnTick(Micros now);
 
@@ -119,13 +121,13 @@
   };
   struct Forwarded {
     ReplicaId to;
-    Micros until = 0;
+    Micros forward_deadline = 0;
     Call call;
   };
 
   void Dispatch(Micros now, Call call);
-  void Hold(Micros now, Call call, Micros retry_at);
-  void ForwardAgain(Micros now, const std::function<bool(const ReplicaId&)>& sent_to, Micros retry_at);
+  void Enqueue(Micros now, Call call, Micros retry_at);
+  void ReforwardIf(Micros now, const std::function<bool(const ReplicaId&)>& sent_to, Micros retry_at);
   void ExpireForwarded(Micros now);
   void RetryPending(Micros now);
 
@@ -133,9 +135,9 @@
   const Limits limits_;
   std::list<Pending> pending_;
   std::size_t pending_bytes_ = 0;
-  std::map<std::uint64_t, Forwarded> forwarded_;  // by count
-  std::uint64_t count_ = 0;
-  Micros deaf_until_ = 0;
+  std::map<std::uint64_t, Forwarded> forwarded_;  // by call_id
+  std::uint64_t last_call_id_ = 0;
+  Micros redirect_until_ = 0;
   Counters counters_;
 };
 
--- a/src/mesh/control/command.cpp
+++ b/src/mesh/control/command.cpp
@@ -7,17 +7,17 @@
 namespace fennelhollow::control {
 namespace {
 
-constexpr std::string_view kBeatPath = "/-/Instances.Heartbeat/";
+constexpr std::string_view kHeartbeatPath = "/-/Instances.Heartbeat/";
 constexpr std::string_view kDeparturePath = "/-/Instances.Departure/";
 
-// Ids go on into lists and logs: one path segment, without blanks and control characters.
-bool IsId(std::string_view text) {
+// A path segment of printable ASCII without spaces, as ids are written to logs.
+bool IsInstanceId(std::string_view text) {
   return !text.empty() && text.size() <= kMaxInstanceIdBytes &&
          std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 0x7f && c != '/'; });
 }
 
-// epoch=E&since=N&waitMs=W, each of them or none; others are passed over.
-ReadEvents DecodeEvents(std::string_view query) {
+// epoch=E&since=N&waitMs=W, all optional; other parameters are ignored.
+ReadEvents ParseEventsQuery(std::string_view query) {
   ReadEvents out;
   while (!query.empty()) {
     const std::string_view part = query.substr(0, query.find('&'));
@@ -49,14 +49,14 @@
   const std::string_view path = target.substr(0, target.find('?'));
   const bool post = method == "POST";
   const bool get = method == "GET";
-  if (path.starts_with(kBeatPath)) {
-    const std::string_view id = path.substr(kBeatPath.size());
-    if (!IsId(id) || !post) return Unknown{IsId(id)};
+  if (path.starts_with(kHeartbeatPath)) {
+    const std::string_view id = path.substr(kHeartbeatPath.size());
+    if (!IsInstanceId(id) || !post) return Unknown{IsInstanceId(id)};
     return InstanceHeartbeat{std::string(id), std::move(body)};
   }
   if (path.starts_with(kDeparturePath)) {
     const std::string_view id = path.substr(kDeparturePath.size());
-    if (!IsId(id) || !post) return Unknown{IsId(id)};
+    if (!IsInstanceId(id) || !post) return Unknown{IsInstanceId(id)};
     return InstanceDeparture{std::string(id)};
   }
   if (path == kReplacePath) return post ? Command(Replace{std::move(body)}) : Unknown{true};
@@ -65,7 +65,7 @@
   if (path == "/-/Status") return get ? Command(Status{}) : Unknown{true};
   if (path == "/-/Events.Read") {
     if (!get) return Unknown{true};
-    return DecodeEvents(target.substr(std::min(target.size(), path.size() + 1)));
+    return ParseEventsQuery(target.substr(std::min(target.size(), path.size() + 1)));
   }
   return Unknown{false};
 }
@@ -73,7 +73,7 @@
 Response ErrorResponse(unsigned status, std::string_view line) {
   Response out;
   out.status = status;
-  // What callers sent may be quoted in the line, and need not be UTF-8.
+  // The line may quote input from callers, which need not be valid UTF-8.
   out.body = nlohmann::json{{"error", line}}.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   return out;
 }
--- a/src/mesh/control/command.hpp
+++ b/src/mesh/control/command.hpp
@@ -1,4 +1,4 @@
-// Calls to the control plane's address, decoded. Free of I/O.
+// Parsing of HTTP requests to the control plane, and its responses. No I/O.
 #ifndef FENNELHOLLOW_MESH_CONTROL_COMMAND_HPP_
 #define FENNELHOLLOW_MESH_CONTROL_COMMAND_HPP_
 
@@ -13,7 +13,7 @@
 
 struct InstanceHeartbeat {
   std::string id;
-  std::string body;
+  std::string json;
 };
 struct InstanceDeparture {
   std::string id;
@@ -26,43 +26,43 @@
 };
 struct Read {};
 struct Status {};
-// Of a core: what it saw happen (push/events.hpp).
+// Reads a core's event log (push/events.hpp).
 struct ReadEvents {
   std::uint64_t epoch = 0, since = 0;
   std::int64_t wait_ms = 0;  // at most kMaxEventWaitMs
-  bool malformed = false;    // the query can't be read
+  bool malformed = false;    // the query string is invalid
 };
-// No such path, or not with this method.
+// Unknown path, or unsupported method.
 struct Unknown {
   bool method_not_allowed = false;
 };
 using Command =
     std::variant<InstanceHeartbeat, InstanceDeparture, Replace, Modify, Read, Status, ReadEvents, Unknown>;
 
-// An id longer than this is no server's.
+// Longer instance ids are rejected.
 inline constexpr std::size_t kMaxInstanceIdBytes = 256;
 
 inline constexpr std::int64_t kMaxEventWaitMs = 10'000;
 
-// `target` as the request line has it; a query is passed over, but for Events.Read.
+// `target` is the request target with its query string, which is ignored except for Events.Read.
 Command ParseCommand(std::string_view method, std::string_view target, std::string body);
 
 inline constexpr std::string_view kReplacePath = "/-/Configuration.Replace";
 inline constexpr std::string_view kModifyPath = "/-/Configuration.Modify";
 inline constexpr std::string_view kReadPath = "/-/Configuration.Read";
 
-// What a call is answered with; the body is JSON.
+// An HTTP response with a JSON body.
 struct Response {
   unsigned status = 200;
   std::string body = "{}";
   std::vector<std::pair<std::string, std::string>> headers;  // Location, Retry-After
 };
 
-// {"error":"line"} with this status.
+// With the body {"error":"line"}.
 Response ErrorResponse(unsigned status, std::string_view line);
-// 503: nobody can say now; the caller is to repeat the call unchanged.
+// 503 with Retry-After: the caller should repeat the call unchanged.
 Response UnavailableResponse(std::string_view line);
-// 307: the caller is to repeat the call unchanged at `address` (ip:port).
+// 307 to `address` (ip:port).
 Response RedirectResponse(const std::string& address, std::string_view path);
 
 }  // namespace fennelhollow::control
--- a/src/mesh/control/configuration_service.cpp
+++ b/src/mesh/control/configuration_service.cpp
@@ -11,71 +11,72 @@
 void ConfigurationService::Submit(Micros now, Micros deadline, bool modify,
                                   std::shared_ptr<const std::string> body, Done done) {
   if (!host_.IsLeader()) return done(std::nullopt);
-  if (changes_.size() + awaiting_.size() >= limits_.calls || bytes_ + body->size() > limits_.bytes) {
+  if (changes_.size() + awaiting_sidecars_.size() >= limits_.max_calls ||
+      queued_bytes_ + body->size() > limits_.max_bytes) {
     ++counters_.overloaded;
     return done(UnavailableResponse("too many changes at once"));
   }
-  bytes_ += body->size();
+  queued_bytes_ += body->size();
   Change& change = changes_.emplace_back();
   change.modify = modify;
   change.body = std::move(body);
   change.deadline = deadline;
   change.done = std::move(done);
-  Work(now);
+  Advance(now);
 }
 
 void ConfigurationService::Read(Micros now, Micros deadline, Done done) {
   if (!host_.IsLeader()) return done(std::nullopt);
-  if (reads_.size() + reading_.size() >= limits_.calls) {
+  if (queued_reads_.size() + active_reads_.size() >= limits_.max_calls) {
     ++counters_.overloaded;
     return done(UnavailableResponse("too many reads at once"));
   }
-  reads_.push_back({deadline, std::move(done)});
-  StartReading(now);
+  queued_reads_.push_back({deadline, std::move(done)});
+  StartReadRound(now);
 }
 
-void ConfigurationService::Work(Micros now) {
-  while (!changes_.empty() && changes_.front().stage == Stage::kWaiting) {
-    if (!host_.IsLeader()) return Pass();
+void ConfigurationService::Advance(Micros now) {
+  while (!changes_.empty() && changes_.front().stage == Stage::kQueued) {
+    if (!host_.IsLeader()) return FailPending();
     Change& first = changes_.front();
-    if (first.verdict && first.on_top_of == host_.CommittedIndex()) return Act(now);
-    first.verdict.reset();
-    first.on_top_of = host_.CommittedIndex();
-    first.call = ++calls_;
-    if (!host_.EvaluateChange(first.call, first.modify, first.body)) return;  // at the next tick
-    first.stage = Stage::kDeciding;
+    if (first.result && first.base_index == host_.CommittedIndex()) return ExecuteResult(now);
+    first.result.reset();
+    first.base_index = host_.CommittedIndex();
+    first.request_id = ++last_request_id_;
+    if (!host_.EvaluateChange(first.request_id, first.modify, first.body)) return;  // at the next tick
+    first.stage = Stage::kEvaluating;
   }
 }
 
-void ConfigurationService::Act(Micros now) {
+void ConfigurationService::ExecuteResult(Micros now) {
   Change& first = changes_.front();
-  first.call = ++calls_;
-  first.stage_until = now + limits_.outcome;
-  if (first.verdict->kind == ChangeResult::Kind::kAccepted) {
+  first.request_id = ++last_request_id_;
+  first.stage_deadline = now + limits_.outcome_timeout;
+  if (first.result->kind == ChangeResult::Kind::kAccepted) {
     first.stage = Stage::kProposing;
-    host_.Propose(first.call, first.on_top_of, first.verdict->next_state);
+    host_.Propose(first.request_id, first.base_index, first.result->next_state);
   } else {
     first.stage = Stage::kConfirming;
-    host_.ConfirmLeadership(first.call);
+    host_.ConfirmLeadership(first.request_id);
   }
 }
 
-void ConfigurationService::OnChangeResult(Micros now, std::uint64_t call, ChangeResult verdict) {
+void ConfigurationService::OnChangeResult(Micros now, std::uint64_t request_id, ChangeResult result) {
   if (changes_.empty()) return;
   Change& first = changes_.front();
-  if (first.stage != Stage::kDeciding || first.call != call) return;  // its caller has been answered
-  first.verdict = std::move(verdict);
-  first.stage = Stage::kWaiting;
-  Work(now);
+  if (first.stage != Stage::kEvaluating || first.request_id != request_id) return;  // it has timed out
+  first.result = std::move(result);
+  first.stage = Stage::kQueued;
+  Advance(now);
 }
 
-void ConfigurationService::OnOutcome(Micros now, std::uint64_t call, Outcome outcome) {
-  if (!reading_.empty() && call == reading_call_) {
-    OnRead(outcome);
-    if (outcome == Outcome::kSuccess) StartReading(now);  // else at the next tick
+void ConfigurationService::OnOutcome(Micros now, std::uint64_t request_id, Outcome outcome) {
+  if (!active_reads_.empty() && request_id == read_request_id_) {
+    OnReadConfirmed(outcome);
+    if (outcome == Outcome::kSuccess) StartReadRound(now);  // else at the next tick
     return;
   }
-  if (changes_.empty() || changes_.front().call != call) return;
+  if (changes_.empty() || changes_.front().request_id != request_id) return;
   if (changes_.front().stage == Stage::kProposing) return OnProposed(now, outcome);
   if (changes_.front().stage == Stage::kConfirming) return OnConfirmed(now, outcome);
 }
@@ -85,152 +86,154 @@
   switch (outcome) {
     case Outcome::kSuccess:
       ++counters_.committed;
-      Await(now, first.on_top_of + 1);
-      return Work(now);
-    case Outcome::kUnknown:
+      AwaitSidecars(now, first.base_index + 1);
+      return Advance(now);
+    case Outcome::kIndeterminate:
       ++counters_.unknown_outcome;
-      AnswerFirst(UnavailableResponse("leadership was lost on the way; repeat the call unchanged"));
-      return Work(now);
+      RespondToFirst(UnavailableResponse("leadership was lost on the way; repeat the call unchanged"));
+      return Advance(now);
     case Outcome::kNotLeader:
-      first.stage = Stage::kWaiting;
-      // Another entry is under way, a change of members say: if that has not come yet, the tick tries again.
-      if (!host_.IsLeader() || first.on_top_of != host_.CommittedIndex()) Work(now);
+      first.stage = Stage::kQueued;
+      // Another entry, such as a membership change, is being replicated. OnTick retries until it is
+      // committed.
+      if (!host_.IsLeader() || first.base_index != host_.CommittedIndex()) Advance(now);
       return;
   }
 }
 
 void ConfigurationService::OnConfirmed(Micros now, Outcome outcome) {
   Change& first = changes_.front();
-  if (outcome != Outcome::kSuccess || first.on_top_of != host_.CommittedIndex()) {
-    // Not what it was judged by: nothing was begun, so it is judged anew, or by another.
-    first.stage = Stage::kWaiting;
-    if (!host_.IsLeader() || first.on_top_of != host_.CommittedIndex()) Work(now);
+  if (outcome != Outcome::kSuccess || first.base_index != host_.CommittedIndex()) {
+    // The state has changed since the evaluation, or leadership is lost: evaluates again.
+    first.stage = Stage::kQueued;
+    if (!host_.IsLeader() || first.base_index != host_.CommittedIndex()) Advance(now);
     return;
   }
-  switch (first.verdict->kind) {
+  switch (first.result->kind) {
     case ChangeResult::Kind::kAlreadyApplied:
       ++counters_.duplicates;
-      Await(now, first.on_top_of);
+      AwaitSidecars(now, first.base_index);
       break;
     case ChangeResult::Kind::kConflict:
       ++counters_.conflicts;
-      AnswerFirst(ErrorResponse(
-          412, first.verdict->error.empty() ? "another version is in place" : first.verdict->error));
+      RespondToFirst(ErrorResponse(
+          412, first.result->error.empty() ? "another version is in place" : first.result->error));
       break;
     case ChangeResult::Kind::kUnknown:
       ++counters_.unknown_outcome;
-      AnswerFirst(UnavailableResponse(first.verdict->error));
+      RespondToFirst(UnavailableResponse(first.result->error));
       break;
     case ChangeResult::Kind::kInvalid:
-    case ChangeResult::Kind::kAccepted:  // is proposed, not confirmed
+    case ChangeResult::Kind::kAccepted:  // not reached: accepted changes are proposed
       ++counters_.invalid;
-      AnswerFirst(ErrorResponse(400, first.verdict->error));
+      RespondToFirst(ErrorResponse(400, first.result->error));
       break;
   }
-  Work(now);
+  Advance(now);
 }
 
-void ConfigurationService::Await(Micros now, std::uint64_t number) {
+void ConfigurationService::AwaitSidecars(Micros now, std::uint64_t index) {
   Change& first = changes_.front();
-  if (first.done && !host_.IsActiveOnSidecars(number)) {
-    awaiting_.push_back({number, std::min(now + limits_.acks, first.deadline), std::move(first.done)});
+  if (first.done && !host_.IsActiveOnSidecars(index)) {
+    awaiting_sidecars_.push_back(
+        {index, std::min(now + limits_.ack_timeout, first.deadline), std::move(first.done)});
     first.done = nullptr;
   }
-  AnswerFirst(Response{});
+  RespondToFirst(Response{});
 }
 
-void ConfigurationService::AnswerFirst(std::optional<Response> answer) {
+void ConfigurationService::RespondToFirst(std::optional<Response> response) {
   const Done done = std::move(changes_.front().done);
-  bytes_ -= changes_.front().body->size();
+  queued_bytes_ -= changes_.front().body->size();
   changes_.pop_front();
-  if (done) done(std::move(answer));
+  if (done) done(std::move(response));
 }
 
-void ConfigurationService::Pass() {
-  // One that is proposed may come into force: the replica says what came of it.
-  std::deque<Change> passed;
+void ConfigurationService::FailPending() {
+  // A proposed change may still be committed: OnOutcome completes it.
+  std::deque<Change> failed;
   if (!changes_.empty() && changes_.front().stage == Stage::kProposing) {
-    passed.assign(std::make_move_iterator(changes_.begin() + 1), std::make_move_iterator(changes_.end()));
+    failed.assign(std::make_move_iterator(changes_.begin() + 1), std::make_move_iterator(changes_.end()));
     changes_.erase(changes_.begin() + 1, changes_.end());
   } else {
-    passed = std::exchange(changes_, {});
+    failed = std::exchange(changes_, {});
   }
-  std::vector<Reader> readers = std::exchange(reads_, {});
-  std::move(reading_.begin(), reading_.end(), std::back_inserter(readers));
-  reading_.clear();
-  for (const Change& change : passed) {
-    bytes_ -= change.body->size();
+  std::vector<Reader> readers = std::exchange(queued_reads_, {});
+  std::move(active_reads_.begin(), active_reads_.end(), std::back_inserter(readers));
+  active_reads_.clear();
+  for (const Change& change : failed) {
+    queued_bytes_ -= change.body->size();
     if (change.done) change.done(std::nullopt);
   }
   for (const Reader& reader : readers) reader.done(std::nullopt);
 }
 
-void ConfigurationService::StartReading(Micros now) {
-  if (!reading_.empty() || reads_.empty()) return;
-  reading_.swap(reads_);
-  reading_call_ = ++calls_;
-  reading_until_ = now + limits_.outcome;
-  host_.ConfirmLeadership(reading_call_);
+void ConfigurationService::StartReadRound(Micros now) {
+  if (!active_reads_.empty() || queued_reads_.empty()) return;
+  active_reads_.swap(queued_reads_);
+  read_request_id_ = ++last_request_id_;
+  read_round_deadline_ = now + limits_.outcome_timeout;
+  host_.ConfirmLeadership(read_request_id_);
 }
 
-void ConfigurationService::OnRead(Outcome outcome) {
-  std::vector<Reader> readers = std::exchange(reading_, {});
+void ConfigurationService::OnReadConfirmed(Outcome outcome) {
+  std::vector<Reader> readers = std::exchange(active_reads_, {});
   if (outcome != Outcome::kSuccess) {
-    if (host_.IsLeader()) {  // at the next tick again, each until its deadline
-      std::move(readers.begin(), readers.end(), std::back_inserter(reads_));
+    if (host_.IsLeader()) {  // retried by OnTick, each until its deadline
+      std::move(readers.begin(), readers.end(), std::back_inserter(queued_reads_));
       return;
     }
     for (const Reader& reader : readers) reader.done(std::nullopt);
     return;
   }
   counters_.reads += readers.size();
-  Response answer;
-  answer.body = host_.ConfigurationText();
-  if (answer.body.empty()) answer = ErrorResponse(404, "there is no configuration yet");
-  for (const Reader& reader : readers) reader.done(answer);
+  Response response;
+  response.body = host_.ConfigurationText();
+  if (response.body.empty()) response = ErrorResponse(404, "there is no configuration yet");
+  for (const Reader& reader : readers) reader.done(response);
 }
 
 void ConfigurationService::OnLeadership(Micros now) {
-  if (!host_.IsLeader()) return Pass();
-  Work(now);
+  if (!host_.IsLeader()) return FailPending();
+  Advance(now);
 }
 
-void ConfigurationService::OnAcks(Micros now) {
-  for (std::size_t i = 0; i < awaiting_.size();) {
-    const bool in_force = host_.IsActiveOnSidecars(awaiting_[i].number);
-    if (!in_force && now < awaiting_[i].until) {
+void ConfigurationService::OnSidecarAck(Micros now) {
+  for (std::size_t i = 0; i < awaiting_sidecars_.size();) {
+    const bool applied = host_.IsActiveOnSidecars(awaiting_sidecars_[i].index);
+    if (!applied && now < awaiting_sidecars_[i].ack_deadline) {
       ++i;
       continue;
     }
-    if (!in_force) ++counters_.missing_acks;
-    const Done done = std::move(awaiting_[i].done);
-    awaiting_.erase(awaiting_.begin() + static_cast<std::ptrdiff_t>(i));
+    if (!applied) ++counters_.missing_acks;
+    const Done done = std::move(awaiting_sidecars_[i].done);
+    awaiting_sidecars_.erase(awaiting_sidecars_.begin() + static_cast<std::ptrdiff_t>(i));
     done(Response{});
   }
 }
 
 void ConfigurationService::OnTick(Micros now) {
-  OnAcks(now);
+  OnSidecarAck(now);
   for (std::size_t i = 0; i < changes_.size();) {
     Change& change = changes_[i];
     const bool proposed = change.stage == Stage::kProposing;
-    const bool given_up = (proposed || change.stage == Stage::kConfirming) && now >= change.stage_until;
-    if (now < change.deadline && !given_up) {
+    const bool timed_out = (proposed || change.stage == Stage::kConfirming) && now >= change.stage_deadline;
+    if (now < change.deadline && !timed_out) {
       ++i;
       continue;
     }
     const Done done = std::exchange(change.done, nullptr);
-    if (done || given_up) ++counters_.unknown_outcome;
-    if (proposed && !given_up) {  // stays until the replica says what came of it
+    if (done || timed_out) ++counters_.unknown_outcome;
+    if (proposed && !timed_out) {  // stays until OnOutcome
       ++i;
     } else {
-      // What has not begun goes with its answer: nothing that was refused comes into force later.
-      bytes_ -= change.body->size();
+      // Removed with its response, so that a change that got 503 here is never committed later.
+      queued_bytes_ -= change.body->size();
       changes_.erase(changes_.begin() + static_cast<std::ptrdiff_t>(i));
     }
     if (done) done(UnavailableResponse("not settled in time; repeat the call unchanged"));
   }
-  for (std::vector<Reader>* readers : {&reads_, &reading_}) {
+  for (std::vector<Reader>* readers : {&queued_reads_, &active_reads_}) {
     for (std::size_t i = 0; i < readers->size();) {
       if (now < (*readers)[i].deadline) {
         ++i;
@@ -242,13 +245,13 @@
       done(UnavailableResponse("no majority could be asked in time"));
     }
   }
-  if (!reading_.empty() && now >= reading_until_) {  // asked again under a new number
-    std::move(reading_.begin(), reading_.end(), std::back_inserter(reads_));
-    reading_.clear();
+  if (!active_reads_.empty() && now >= read_round_deadline_) {  // retried with a new request id
+    std::move(active_reads_.begin(), active_reads_.end(), std::back_inserter(queued_reads_));
+    active_reads_.clear();
   }
-  if (!host_.IsLeader()) return Pass();
-  Work(now);
-  StartReading(now);
+  if (!host_.IsLeader()) return FailPending();
+  Advance(now);
+  StartReadRound(now);
 }
 
 }  // namespace fennelhollow::control
--- a/src/mesh/control/control_replica.cpp
+++ b/src/mesh/control/control_replica.cpp
@@ -17,11 +17,10 @@
 namespace {
 
 // The first byte of a frame between cores.
-enum class PeerFrame : char { kConsensus = 0, kCall = 1, kAnswer = 2 };
+enum class PeerFrame : char { kConsensus = 0, kCall = 1, kResponse = 2 };
 
-// Without contact to a leader for so long, a caller is sent elsewhere: an election takes less, so this core
-// is rather cut off.
-constexpr Micros kRedirectAfter = 1'500'000;
+// Without a leader for this long, this core is assumed to be partitioned, as an election takes less time.
+constexpr Micros kPartitionTimeout = 1'500'000;
 
 std::string_view PathOf(CallKind kind) {
   switch (kind) {
@@ -40,7 +39,7 @@
   return static_cast<char>(kind) + transport::Pack(value);
 }
 
-push::Publisher::Settings HeraldSettings(const ControlReplica::Settings& settings) {
+push::Publisher::Settings PublisherSettings(const ControlReplica::Settings& settings) {
   push::Publisher::Settings out;
   out.address = settings.self;
   out.epoch = std::max<std::uint64_t>(settings.incarnation, 1);
@@ -55,9 +54,9 @@
   return out;
 }
 
-std::vector<ReplicaId> Without(const std::vector<ReplicaId>& all, const std::vector<ReplicaId>& less) {
+std::vector<ReplicaId> Without(const std::vector<ReplicaId>& all, const std::vector<ReplicaId>& removed) {
   std::vector<ReplicaId> out;
-  std::set_difference(all.begin(), all.end(), less.begin(), less.end(), std::back_inserter(out));
+  std::set_difference(all.begin(), all.end(), removed.begin(), removed.end(), std::back_inserter(out));
   return out;
 }
 
@@ -66,21 +65,21 @@
 ControlReplica::ControlReplica(ControlReplicaHost& host, const Settings& settings)
     : host_(host),
       settings_(settings),
-      herald_(host.Now(), HeraldSettings(settings), *this),
+      publisher_(host.Now(), PublisherSettings(settings), *this),
       service_(*this, {}),
       forwarder_(*this, {}),
       events_(settings.incarnation, host.Now()),
-      contact_at_(host.Now()) {}
+      last_connected_at_(host.Now()) {}
 
 void ControlReplica::Start(consensus::ReplicaSettings replica) {
   replica.self = settings_.self;
   replica.incarnation = settings_.incarnation;
   consensus::Sink& sink = *this;
   replica_ = std::make_unique<consensus::Replica>(replica, host_.Now(), sink);
-  Drain();
+  RunDeferred();
 }
 
-// ---- the replica
+// ---- consensus
 
 void ControlReplica::Send(const ReplicaId& to, std::string message) {
   message.insert(message.begin(), static_cast<char>(PeerFrame::kConsensus));
@@ -88,11 +87,12 @@
 }
 
 void ControlReplica::Apply(const Entry& entry) {
-  deferred_.emplace_back([this, entry] { OnDelivered(entry); });
+  deferred_.emplace_back([this, entry] { OnCommitted(entry); });
 }
 
-void ControlReplica::OnRequestDone(std::uint64_t call, Outcome outcome) {
-  deferred_.emplace_back([this, call, outcome] { service_.OnOutcome(host_.Now(), call, outcome); });
+void ControlReplica::OnRequestDone(std::uint64_t request_id, Outcome outcome) {
+  deferred_.emplace_back(
+      [this, request_id, outcome] { service_.OnOutcome(host_.Now(), request_id, outcome); });
 }
 
 void ControlReplica::OnLeaderChange(const ReplicaId& leader, std::uint64_t term) {
@@ -101,83 +101,83 @@
     deferred_.emplace_back([this, leader] { forwarder_.OnLeaderChange(host_.Now(), leader); });
 }
 
-void ControlReplica::Drive(const std::function<void()>& step) {
+void ControlReplica::RunOnReplica(const std::function<void()>& step) {
   if (!replica_) return;
   step();
-  Drain();
+  RunDeferred();
 }
 
-void ControlReplica::Drain() {
-  if (draining_) return;
-  draining_ = true;
+void ControlReplica::RunDeferred() {
+  if (running_deferred_) return;
+  running_deferred_ = true;
   while (!deferred_.empty()) {
     const std::function<void()> next = std::move(deferred_.front());
     deferred_.pop_front();
     next();
-    if (deferred_.empty()) TellLeadership();
+    if (deferred_.empty()) UpdateLeadership();
   }
-  TellLeadership();
-  draining_ = false;
-  DrainLater();
+  UpdateLeadership();
+  running_deferred_ = false;
+  ScheduleDeferred();
 }
 
-void ControlReplica::DrainLater() {
-  if (!deferred_.empty() && !draining_) host_.Post([this] { Drain(); });
+void ControlReplica::ScheduleDeferred() {
+  if (!deferred_.empty() && !running_deferred_) host_.Post([this] { RunDeferred(); });
 }
 
-void ControlReplica::TellLeadership() {
-  if (IsLeader() == told_leads_) return;
-  told_leads_ = !told_leads_;
-  herald_.SetIsLeader(host_.Now(), told_leads_);
+void ControlReplica::UpdateLeadership() {
+  if (IsLeader() == was_leader_) return;
+  was_leader_ = !was_leader_;
+  publisher_.SetIsLeader(host_.Now(), was_leader_);
   service_.OnLeadership(host_.Now());
 }
 
-void ControlReplica::OnDelivered(const Entry& entry) {
-  const std::vector<ReplicaId> joined = Without(entry.voters, entry_.voters);
-  const std::vector<ReplicaId> left = Without(entry_.voters, entry.voters);
+void ControlReplica::OnCommitted(const Entry& entry) {
+  const std::vector<ReplicaId> joined = Without(entry.voters, committed_entry_.voters);
+  const std::vector<ReplicaId> left = Without(committed_entry_.voters, entry.voters);
   for (const ReplicaId& voter : joined) LOG(INFO) << "member in: " << voter << ", entry " << entry.index;
   for (const ReplicaId& voter : left) LOG(INFO) << "member out: " << voter << ", entry " << entry.index;
   if (!joined.empty() || !left.empty())
     events_.Add(host_.Now(), push::VotersEvent{entry.voters, entry.index});
-  if (entry.state != state_) TakeState(entry);
-  entry_.term = entry.term;
-  entry_.index = entry.index;
-  entry_.voters = entry.voters;
-  if (!state_.empty()) herald_.SetState(host_.Now(), entry.index, pushed_);
+  if (entry.state != committed_state_) ApplyState(entry);
+  committed_entry_.term = entry.term;
+  committed_entry_.index = entry.index;
+  committed_entry_.voters = entry.voters;
+  if (!committed_state_.empty()) publisher_.SetState(host_.Now(), entry.index, sidecar_state_);
 }
 
-void ControlReplica::TakeState(const Entry& entry) {
-  auto ledger = configuration::ReplicatedState::Parse(entry.state);
-  if (!ledger.ok()) {  // what this core keeps is as good as it gets
-    LOG(ERROR) << "entry " << entry.index << " can't be read: " << ledger.status();
+void ControlReplica::ApplyState(const Entry& entry) {
+  auto parsed_state = configuration::ReplicatedState::Parse(entry.state);
+  if (!parsed_state.ok()) {  // keeps the previous state
+    LOG(ERROR) << "entry " << entry.index << " can't be read: " << parsed_state.status();
     return;
   }
-  ledger_ = std::make_shared<const configuration::ReplicatedState>(*std::move(ledger));
-  state_ = entry.state;
-  pushed_ = ledger_->WithoutAppliedCalls().Serialize();
-  LOG(INFO) << "entry " << entry.index << " committed, version " << ledger_->newest().version();
-  events_.Add(host_.Now(), push::ConfigurationEvent{ledger_->newest().version(), entry.index});
-  const auto tables = configuration::RoutingTables::Build(ledger_->newest());
-  if (tables.ok()) herald_.SetLimits(host_.Now(), LimitsOf(**tables));
+  replicated_state_ = std::make_shared<const configuration::ReplicatedState>(*std::move(parsed_state));
+  committed_state_ = entry.state;
+  sidecar_state_ = replicated_state_->WithoutAppliedCalls().Serialize();
+  LOG(INFO) << "entry " << entry.index << " committed, version " << replicated_state_->newest().version();
+  events_.Add(host_.Now(), push::ConfigurationEvent{replicated_state_->newest().version(), entry.index});
+  const auto tables = configuration::RoutingTables::Build(replicated_state_->newest());
+  if (tables.ok()) publisher_.SetLimits(host_.Now(), LimitsOf(**tables));
 }
 
 void ControlReplica::OnWritten(std::uint64_t token, bool ok) {
-  Drive([&] { replica_->OnWritten(host_.Now(), token, ok); });
-  if (!ok && IsLeader()) Drive([&] { replica_->TransferLeadership(host_.Now()); });
+  RunOnReplica([&] { replica_->OnWritten(host_.Now(), token, ok); });
+  if (!ok && IsLeader()) RunOnReplica([&] { replica_->TransferLeadership(host_.Now()); });
 }
 
 void ControlReplica::PrepareShutdown() {
-  Drive([&] { replica_->PrepareShutdown(host_.Now()); });
+  RunOnReplica([&] { replica_->PrepareShutdown(host_.Now()); });
 }
 
 bool ControlReplica::ReadyForShutdown() const { return !replica_ || replica_->ReadyForShutdown(host_.Now()); }
 
 void ControlReplica::OnPeerConnectionRefused(const ReplicaId& peer) {
-  Drive([&] { replica_->OnConnectionRefused(host_.Now(), peer); });
+  RunOnReplica([&] { replica_->OnConnectionRefused(host_.Now(), peer); });
 }
 
-void ControlReplica::SetSeedPeers(std::vector<ReplicaId> contacts) {
-  if (replica_) replica_->SetSeedPeers(std::move(contacts));
+void ControlReplica::SetSeedPeers(std::vector<ReplicaId> seed_peers) {
+  if (replica_) replica_->SetSeedPeers(std::move(seed_peers));
 }
 
 // ---- messages
@@ -187,45 +187,45 @@
     ++malformed_frames_;
     return;
   }
-  const std::string_view rest = frame.substr(1);
+  const std::string_view payload = frame.substr(1);
   switch (static_cast<PeerFrame>(frame.front())) {
     case PeerFrame::kConsensus:
-      return Drive([&] { replica_->OnMessage(host_.Now(), from, std::string(rest)); });
+      return RunOnReplica([&] { replica_->OnMessage(host_.Now(), from, std::string(payload)); });
     case PeerFrame::kCall:
-      if (auto call = transport::Unpack<ForwardedCall>(rest); call.ok())
+      if (auto call = transport::Unpack<ForwardedCall>(payload); call.ok())
         return forwarder_.OnCall(host_.Now(), from, *std::move(call));
       break;
-    case PeerFrame::kAnswer:
-      if (auto answer = transport::Unpack<ForwardedResponse>(rest); answer.ok())
-        return forwarder_.OnResponse(host_.Now(), from, *std::move(answer));
+    case PeerFrame::kResponse:
+      if (auto response = transport::Unpack<ForwardedResponse>(payload); response.ok())
+        return forwarder_.OnResponse(host_.Now(), from, *std::move(response));
       break;
   }
-  ++malformed_frames_;  // of another version of this program, say: the rest of the link may be of use
+  ++malformed_frames_;  // perhaps from another program version, so the link is kept
 }
 
 void ControlReplica::OnPeerDown(const ReplicaId& peer) { forwarder_.OnPeerDown(host_.Now(), peer); }
 
-void ControlReplica::OnSidecarReport(SidecarLink link, const push::SidecarReport& tell) {
-  herald_.OnReport(host_.Now(), link, tell);
-  service_.OnAcks(host_.Now());
+void ControlReplica::OnSidecarReport(SidecarLink link, const push::SidecarReport& report) {
+  publisher_.OnReport(host_.Now(), link, report);
+  service_.OnSidecarAck(host_.Now());
 }
 
-void ControlReplica::OnSidecarDown(SidecarLink link) { herald_.OnLinkDown(host_.Now(), link); }
+void ControlReplica::OnSidecarDown(SidecarLink link) { publisher_.OnLinkDown(host_.Now(), link); }
 
 void ControlReplica::OnTick() {
   const Micros now = host_.Now();
-  Drive([&] { replica_->OnTick(now); });
-  if (replica_ && replica_->is_connected()) contact_at_ = now;
+  RunOnReplica([&] { replica_->OnTick(now); });
+  if (replica_ && replica_->is_connected()) last_connected_at_ = now;
   service_.OnTick(now);
-  herald_.OnTick(now);
-  watch_.OnSnapshot(now, herald_.snapshot(), events_);
-  if (replica_) herald_.SetCores(replica_->known_replicas(), replica_->leader(), replica_->is_connected());
+  publisher_.OnTick(now);
+  snapshot_watcher_.OnSnapshot(now, publisher_.snapshot(), events_);
+  if (replica_) publisher_.SetCores(replica_->known_replicas(), replica_->leader(), replica_->is_connected());
   forwarder_.OnTick(now);
 }
 
 bool ControlReplica::NeedsFrequentTicks() const {
   return !replica_ || replica_->leader().empty() || replica_->replicating() || HasPendingCalls() ||
-         herald_.Subscribers() > 0;
+         publisher_.Subscribers() > 0;
 }
 
 // ---- calls
@@ -240,7 +240,7 @@
 }
 
 bool ControlReplica::IsPartitioned() const {
-  return replica_ && !replica_->is_connected() && host_.Now() - contact_at_ >= kRedirectAfter;
+  return replica_ && !replica_->is_connected() && host_.Now() - last_connected_at_ >= kPartitionTimeout;
 }
 
 std::optional<Response> ControlReplica::RedirectToPeer(CallKind kind) {
@@ -248,7 +248,7 @@
   std::vector<ReplicaId> others = replica_->known_replicas();
   std::erase(others, settings_.self);
   if (others.empty()) return std::nullopt;
-  const std::string address = host_.ControlAddress(others[redirects_++ % others.size()]);
+  const std::string address = host_.ControlAddress(others[redirect_count_++ % others.size()]);
   if (address.empty()) return std::nullopt;
   return RedirectResponse(address, PathOf(kind));
 }
@@ -257,8 +257,8 @@
   return host_.SendToPeer(to, Frame(PeerFrame::kCall, call));
 }
 
-void ControlReplica::SendResponse(const ReplicaId& to, const ForwardedResponse& answer) {
-  host_.SendToPeer(to, Frame(PeerFrame::kAnswer, answer));
+void ControlReplica::SendResponse(const ReplicaId& to, const ForwardedResponse& response) {
+  host_.SendToPeer(to, Frame(PeerFrame::kResponse, response));
 }
 
 void ControlReplica::Serve(Call call) {
@@ -266,9 +266,9 @@
   const CallKind kind = call.kind;
   const Micros deadline = call.deadline;
   const auto body = call.body;
-  // Not leader any more: tried again in a later turn, as this may be called from inside the service.
-  auto done = [this, served = std::make_shared<Call>(std::move(call))](std::optional<Response> answer) {
-    if (answer || served->forwarded) return served->done(std::move(answer));
+  // Leadership was lost: retries from the event loop, as this may be called by service_.
+  auto done = [this, served = std::make_shared<Call>(std::move(call))](std::optional<Response> response) {
+    if (response || served->forwarded) return served->done(std::move(response));
     host_.Post([this, served] { forwarder_.Retry(host_.Now(), std::move(*served)); });
   };
   if (kind == CallKind::kRead) return service_.Read(now, deadline, std::move(done));
@@ -276,36 +276,36 @@
 }
 
 std::string ControlReplica::ConfigurationText() const {
-  return ledger_->newest().version() > 0 ? ledger_->newest().text() : std::string();
+  return replicated_state_->newest().version() > 0 ? replicated_state_->newest().text() : std::string();
 }
 
-bool ControlReplica::EvaluateChange(std::uint64_t call, bool modify,
+bool ControlReplica::EvaluateChange(std::uint64_t request_id, bool modify,
                                     std::shared_ptr<const std::string> body) {
-  const auto verdict = std::make_shared<configuration::ChangeResult>();
+  const auto result = std::make_shared<configuration::ChangeResult>();
   return host_.RunInBackground(
-      [ledger = ledger_, modify, body = std::move(body), verdict] {
-        *verdict = ledger->Evaluate(modify, *body);
-        const bool takes = verdict->kind == configuration::ChangeResult::Kind::kAccepted;
-        if (!takes || verdict->next_state.size() <= CallForwarder::Limits{}.call_bytes) return;
-        verdict->kind = configuration::ChangeResult::Kind::kInvalid;  // would not fit into a frame
-        verdict->error = "the configuration would be too large";
+      [parsed_state = replicated_state_, modify, body = std::move(body), result] {
+        *result = parsed_state->Evaluate(modify, *body);
+        const bool accepted = result->kind == configuration::ChangeResult::Kind::kAccepted;
+        if (!accepted || result->next_state.size() <= CallForwarder::Limits{}.max_call_bytes) return;
+        result->kind = configuration::ChangeResult::Kind::kInvalid;  // would exceed the frame size
+        result->error = "the configuration would be too large";
       },
-      [this, call, verdict] { service_.OnChangeResult(host_.Now(), call, std::move(*verdict)); });
+      [this, request_id, result] { service_.OnChangeResult(host_.Now(), request_id, std::move(*result)); });
 }
 
-void ControlReplica::Propose(std::uint64_t call, std::uint64_t on_top_of, std::string state) {
-  replica_->Propose(host_.Now(), call, on_top_of, std::move(state));
-  DrainLater();
+void ControlReplica::Propose(std::uint64_t request_id, std::uint64_t base_index, std::string state) {
+  replica_->Propose(host_.Now(), request_id, base_index, std::move(state));
+  ScheduleDeferred();
 }
 
-void ControlReplica::ConfirmLeadership(std::uint64_t call) {
-  replica_->ConfirmLeadership(host_.Now(), call);
-  DrainLater();
+void ControlReplica::ConfirmLeadership(std::uint64_t request_id) {
+  replica_->ConfirmLeadership(host_.Now(), request_id);
+  ScheduleDeferred();
 }
 
-bool ControlReplica::IsActiveOnSidecars(std::uint64_t number) const {
+bool ControlReplica::IsActiveOnSidecars(std::uint64_t index) const {
   const Micros now = host_.Now();
-  return herald_.ActiveSidecarsWith(now, number) >= herald_.ActiveSidecars(now);
+  return publisher_.ActiveSidecarsWith(now, index) >= publisher_.ActiveSidecars(now);
 }
 
 }  // namespace fennelhollow::control
--- a/src/mesh/control/control_replica.hpp
+++ b/src/mesh/control/control_replica.hpp
@@ -1,8 +1,7 @@
-// One core's control plane without its I/O: the replicated state, operators' calls on it, and its push to
-// the sidecars. The owner brings messages, ends of disk writes and ticks; a simulation does it in virtual
-// time (rig/sim), a process over sockets (node/core).
+// The control plane of one core, without I/O: the replicated configuration, operators' calls, and publishing
+// to sidecars. Driven by the process (node/core) or, in virtual time, by the simulation (rig/sim).
 //
-// Threading: one thread. Time: the host's steady clock, in microseconds.
+// Single-threaded. Times are microseconds of the host's steady clock.
 #ifndef FENNELHOLLOW_MESH_CONTROL_CONTROL_REPLICA_HPP_
 #define FENNELHOLLOW_MESH_CONTROL_CONTROL_REPLICA_HPP_
 
@@ -24,24 +23,25 @@
 
 namespace fennelhollow::control {
 
-// What the control replica needs of its process. None of these may call back into it before it returns.
+// Implemented by the process. No function may call back into ControlReplica before it returns.
 class ControlReplicaHost {
  public:
   using SidecarLink = push::Publisher::LinkId;
 
   virtual ~ControlReplicaHost() = default;
   virtual Micros Now() const = 0;
-  // To another core's OnPeerFrame; false: there is no way now. May be lost all the same.
+  // Sends to OnPeerFrame of another core. False if not connected; a frame that was sent may still be lost.
   virtual bool SendToPeer(const ReplicaId& to, std::string_view frame) = 0;
-  virtual void SendToSidecars(const std::vector<SidecarLink>& links, const push::CoreUpdate& news) = 0;
+  virtual void SendToSidecars(const std::vector<SidecarLink>& links, const push::CoreUpdate& update) = 0;
   virtual void CloseSidecar(SidecarLink link) = 0;
-  // Writes and syncs, then OnWritten(token, ok). One is out at a time.
+  // Writes to disk and syncs, then calls OnWritten(token, ok). At most one write is in progress.
   virtual void Write(const consensus::PersistentState& durable, std::uint64_t token) = 0;
-  // Calls `work` beside the loop, then `done` in a turn of it. False, and neither is called: no room.
+  // Runs `work` on another thread, then `done` on the event loop. False if the queue is full; neither is
+  // called.
   virtual bool RunInBackground(std::function<void()> work, std::function<void()> done) = 0;
-  // The address at which operators reach another core; empty: not known.
+  // The address of another core for operators' calls; empty if unknown.
   virtual std::string ControlAddress(const ReplicaId& core) const = 0;
-  // Calls `next` in a later turn, unless the control replica is gone by then.
+  // Runs `next` in a later iteration of the event loop, unless the ControlReplica is destroyed before.
   virtual void Post(std::function<void()> next) = 0;
 };
 
@@ -54,7 +54,7 @@
 
   struct Settings {
     ReplicaId self;
-    std::uint64_t incarnation = 1;  // drawn at random at each start of the process
+    std::uint64_t incarnation = 1;  // random, new at each start
     quota::QuotaBounds quota;
   };
 
@@ -62,67 +62,69 @@
   ControlReplica(ControlReplicaHost& host, const Settings& settings);
   ~ControlReplica() override = default;
 
-  // Once the disk has been read; before that there is no leader and nothing is served. `self` and
-  // `incarnation` of `replica` are set here.
+  // To be called once the persisted state has been read; no calls are served before. Sets `self` and
+  // `incarnation` of `replica`.
   void Start(consensus::ReplicaSettings replica);
   bool started() const { return replica_ != nullptr; }
 
   void OnPeerFrame(const ReplicaId& from, std::string_view frame);
   void OnPeerDown(const ReplicaId& peer);
   void OnWritten(std::uint64_t token, bool ok);
-  void OnSidecarReport(SidecarLink link, const push::SidecarReport& tell);
+  void OnSidecarReport(SidecarLink link, const push::SidecarReport& report);
   void OnSidecarDown(SidecarLink link);
   void OnTick();
-  // An operator's call; `reply` is called once, within a second.
+  // Handles an operator's call. Calls `reply` exactly once, within a second.
   void Submit(CallKind kind, std::string body, std::function<void(Response)> reply);
-  // The settings file names others now.
-  void SetSeedPeers(std::vector<ReplicaId> contacts);
-  // The machine of `peer` refuses connections: no process of a core runs there.
+  void SetSeedPeers(std::vector<ReplicaId> seed_peers);
+  // The host of `peer` refused a connection, so its process is down.
   void OnPeerConnectionRefused(const ReplicaId& peer);
-  // This process is about to end (SIGTERM): its leadership and its vote go to others; ReadyForShutdown once
-  // they have, or nobody is there to take them.
+  // Transfers leadership and the vote to other cores, before the process shuts down. ReadyForShutdown returns
+  // true once that is done or no other core can take them.
   void PrepareShutdown();
   bool ReadyForShutdown() const;
 
   bool IsLeader() const override { return replica_ && replica_->is_leader(); }
   bool HasPendingCalls() const { return !service_.empty() || !forwarder_.empty(); }
-  // Something is due sooner than at rest.
+  // False while idle; OnTick may then be called less often.
   bool NeedsFrequentTicks() const;
 
   const consensus::Replica* replica() const { return replica_.get(); }  // null before Start
-  const consensus::Entry& committed_entry() const { return entry_; }    // committed last; without its state
-  const configuration::ReplicatedState& replicated_state() const { return *ledger_; }
-  const push::Publisher& publisher() const { return herald_; }
+  // The last committed entry, without its state.
+  const consensus::Entry& committed_entry() const { return committed_entry_; }
+  const configuration::ReplicatedState& replicated_state() const { return *replicated_state_; }
+  const push::Publisher& publisher() const { return publisher_; }
   push::EventLog& events() { return events_; }
   const ConfigurationService::Counters& service_counters() const { return service_.counters(); }
   const CallForwarder::Counters& forwarder_counters() const { return forwarder_.counters(); }
   std::uint64_t malformed_frames() const { return malformed_frames_; }
 
  private:
-  // consensus::Sink: none of these may come back into the replica, so what would is done after its function
-  // has returned.
+  // consensus::Sink. These must not call back into the replica, so such work is deferred (deferred_).
   void Send(const ReplicaId& to, std::string message) override;
   void Write(const consensus::PersistentState& durable, std::uint64_t token) override {
     host_.Write(durable, token);
   }
   void Apply(const consensus::Entry& entry) override;
-  void OnRequestDone(std::uint64_t call, consensus::Outcome outcome) override;
+  void OnRequestDone(std::uint64_t request_id, consensus::Outcome outcome) override;
   void OnLeaderChange(const ReplicaId& leader, std::uint64_t term) override;
 
-  // push::Herald::Sink
-  void Send(SidecarLink link, const push::CoreUpdate& news) override { host_.SendToSidecars({link}, news); }
-  void SendAll(const std::vector<SidecarLink>& links, const push::CoreUpdate& news) override {
-    host_.SendToSidecars(links, news);
+  // push::Publisher::Sink
+  void Send(SidecarLink link, const push::CoreUpdate& update) override {
+    host_.SendToSidecars({link}, update);
+  }
+  void SendAll(const std::vector<SidecarLink>& links, const push::CoreUpdate& update) override {
+    host_.SendToSidecars(links, update);
   }
   void Close(SidecarLink link) override { host_.CloseSidecar(link); }
 
   // ConfigurationServiceHost
-  std::uint64_t CommittedIndex() const override { return entry_.index; }
+  std::uint64_t CommittedIndex() const override { return committed_entry_.index; }
   std::string ConfigurationText() const override;
-  bool EvaluateChange(std::uint64_t call, bool modify, std::shared_ptr<const std::string> body) override;
-  void Propose(std::uint64_t call, std::uint64_t on_top_of, std::string state) override;
-  void ConfirmLeadership(std::uint64_t call) override;
-  bool IsActiveOnSidecars(std::uint64_t number) const override;
+  bool EvaluateChange(std::uint64_t request_id, bool modify,
+                      std::shared_ptr<const std::string> body) override;
+  void Propose(std::uint64_t request_id, std::uint64_t base_index, std::string state) override;
+  void ConfirmLeadership(std::uint64_t request_id) override;
+  bool IsActiveOnSidecars(std::uint64_t index) const override;
 
   // CallForwarderHost
   ReplicaId KnownLeader() const override;
@@ -130,36 +132,35 @@
   bool IsPartitioned() const override;
   std::optional<Response> RedirectToPeer(CallKind kind) override;
   bool SendCall(const ReplicaId& to, const ForwardedCall& call) override;
-  void SendResponse(const ReplicaId& to, const ForwardedResponse& answer) override;
-
-  // Every call into the replica goes through here, but for those that the configuration service makes: the
-  // replica may be done with them before it returns, and the service isn't to hear of that before it has
-  // returned itself.
-  void Drive(const std::function<void()>& step);
-  void Drain();
-  void DrainLater();
-  void OnDelivered(const consensus::Entry& entry);
-  void TakeState(const consensus::Entry& entry);
-  void TellLeadership();
+  void SendResponse(const ReplicaId& to, const ForwardedResponse& response) override;
+
+  // Calls into the replica, then runs the deferred work. Propose and ConfirmLeadership instead schedule the
+  // deferred work, as ConfigurationService must not be called back before it returns.
+  void RunOnReplica(const std::function<void()>& step);
+  void RunDeferred();
+  void ScheduleDeferred();
+  void OnCommitted(const consensus::Entry& entry);
+  void ApplyState(const consensus::Entry& entry);
+  void UpdateLeadership();
 
   ControlReplicaHost& host_;
   const Settings settings_;
   std::unique_ptr<consensus::Replica> replica_;
-  std::deque<std::function<void()>> deferred_;  // of the replica; drained after each call into it
-  bool draining_ = false;
-  push::Publisher herald_;
+  std::deque<std::function<void()>> deferred_;  // by the callbacks of consensus::Sink
+  bool running_deferred_ = false;
+  push::Publisher publisher_;
   ConfigurationService service_;
   CallForwarder forwarder_;
   push::EventLog events_;
-  push::SnapshotWatcher watch_;
-  consensus::Entry entry_;
-  std::string state_;   // of the entry
-  std::string pushed_;  // of it, what sidecars need
-  std::shared_ptr<const configuration::ReplicatedState> ledger_ =
+  push::SnapshotWatcher snapshot_watcher_;
+  consensus::Entry committed_entry_;
+  std::string committed_state_;  // state of committed_entry_
+  std::string sidecar_state_;    // the part of it that sidecars need
+  std::shared_ptr<const configuration::ReplicatedState> replicated_state_ =
       std::make_shared<const configuration::ReplicatedState>();
-  bool told_leads_ = false;
-  Micros contact_at_ = 0;  // when it was last in contact with a leader, or led; or began
-  std::size_t redirects_ = 0;
+  bool was_leader_ = false;
+  Micros last_connected_at_ = 0;  // to a leader, or as the leader; initially the start
+  std::size_t redirect_count_ = 0;
   std::uint64_t malformed_frames_ = 0;
 };
 
--- a/src/mesh/node/sidecar.cpp
+++ b/src/mesh/node/sidecar.cpp
@@ -279,7 +279,7 @@
   void OnCommand(const Command& command, const ControlListener::Reply& reply) {
     const Micros now = loop_.Now();
     if (const auto* beat = std::get_if<InstanceHeartbeat>(&command)) {
-      const absl::Status taken = beats_.OnHeartbeat(now, beat->id, beat->body, self_, settings_.zone);
+      const absl::Status taken = beats_.OnHeartbeat(now, beat->id, beat->json, self_, settings_.zone);
       if (!taken.ok()) return reply(ErrorResponse(400, std::string(taken.message())));
       OnLives(now);
       return reply({});
--- a/src/mesh/storage/store.hpp
+++ b/src/mesh/storage/store.hpp
@@ -1,4 +1,4 @@
-// A replica's durable state in LMDB.
+// Persists a replica's state (consensus::PersistentState) in LMDB.
 #ifndef FENNELHOLLOW_MESH_STORAGE_STORE_HPP_
 #define FENNELHOLLOW_MESH_STORAGE_STORE_HPP_
 
@@ -15,18 +15,18 @@
 
 using consensus::PersistentState;
 
-// Blocks on the disk: for a thread of its own. One thread at a time.
+// All calls block on disk I/O. Not thread-safe.
 class Store {
  public:
-  // Opens or makes the store in `folder`. kDataLoss: there is one, and it can't be trusted (its member has
-  // forgotten; the bad files have been set aside and the store is empty); kUnavailable: the disk.
-  static absl::StatusOr<std::unique_ptr<Store>> Open(const std::string& folder, std::size_t most_bytes);
+  // Opens the store in `folder`, or creates it. kDataLoss: no intact record is left; the corrupt files have
+  // been renamed to *.bad, and opening again gives an empty store. kUnavailable and kResourceExhausted: disk
+  // errors.
+  static absl::StatusOr<std::unique_ptr<Store>> Open(const std::string& folder, std::size_t max_bytes);
   ~Store();
-  // What was written last; absent if nothing was.
+  // The last written state; absent if there is none.
   absl::StatusOr<std::optional<PersistentState>> Read();
-  // Returns once two copies are synced, each checksummed and numbered in a file of its own: whichever one of
-  // them is lost later, what was acknowledged is read. An unreadable copy so always stands for a write that
-  // had not returned, or beside a whole one.
+  // Returns once two copies, each in a file of its own with a checksum and a sequence number, are synced. The
+  // state of a completed write survives the loss or corruption of either file.
   absl::Status Write(const PersistentState& durable);
 
  private:
