--- a/src/fleet/io/talk.cpp
+++ b/src/fleet/io/udp_report_exchange.cpp
@@ -1,4 +1,4 @@
-#include "fleet/io/talk.hpp"
+#include "fleet/io/udp_report_exchange.hpp"
 
 #include <boost/asio/buffer.hpp>
 #include <optional>
@@ -11,26 +11,28 @@
 
 using ErrorCode = boost::system::error_code;
 
-Speaker::Draw DrawFrom(std::uint64_t seed) {
+ReportScheduler::Draw DrawFrom(std::uint64_t seed) {
   return [random = Random(seed)](std::uint64_t most) mutable { return random.Below(most); };
 }
 
 }  // namespace
 
-Talk::Talk(boost::asio::io_context& io, core::Loop& loop, core::RequestManager& exchanges, Peers peers,
-           Manners manners, std::uint64_t seed, std::function<std::int64_t()> generation)
+UdpReportExchange::UdpReportExchange(boost::asio::io_context& io, core::Loop& loop,
+                                     core::RequestManager& exchanges, PeerAddresses peers,
+                                     ReportSettings settings, std::uint64_t seed,
+                                     std::function<std::int64_t()> generation)
     : loop_(loop),
       exchanges_(exchanges),
       peers_(std::move(peers)),
       generation_(std::move(generation)),
       socket_(io),
-      conversation_(manners, exchanges.settings().sidecar_index, exchanges.settings().sidecar_count,
-                    static_cast<std::uint64_t>(loop.Now() / 1000), loop.Now(), DrawFrom(seed)),
+      exchange_(settings, exchanges.settings().sidecar_index, exchanges.settings().sidecar_count,
+                static_cast<std::uint64_t>(loop.Now() / 1000), loop.Now(), DrawFrom(seed)),
       timer_(loop.NewTimer()) {
-  for (std::uint32_t i = 0; i < peers_.all.size(); ++i) numbers_.emplace(peers_.all[i], i);
+  for (std::uint32_t i = 0; i < peers_.by_number.size(); ++i) numbers_.emplace(peers_.by_number[i], i);
 }
 
-void Talk::Start(bool beside) {
+void UdpReportExchange::Start(bool beside) {
   socket_.open(peers_.listen.protocol());
   socket_.set_option(Udp::socket::reuse_address(beside));
   socket_.bind(peers_.listen);
@@ -39,7 +41,7 @@
   Tick();
 }
 
-void Talk::Receive() {
+void UdpReportExchange::Receive() {
   socket_.async_wait(Udp::socket::wait_read, [this](ErrorCode error) {
     if (error) return;  // closed with this object
     Take();
@@ -47,28 +49,28 @@
   });
 }
 
-void Talk::Take() {
+void UdpReportExchange::Take() {
   for (int i = 0; i < kMostAtOnce; ++i) {
     Udp::endpoint from;
     ErrorCode error;
     const std::size_t size = socket_.receive_from(boost::asio::buffer(buffer_), from, 0, error);
     if (error) return;  // none is left, or the peer's host says that nobody listens there
     const auto it = numbers_.find(from);
-    conversation_.Hear(loop_.Now(), it == numbers_.end() ? std::nullopt : std::optional(it->second),
-                       {buffer_.data(), size});
+    exchange_.Hear(loop_.Now(), it == numbers_.end() ? std::nullopt : std::optional(it->second),
+                   {buffer_.data(), size});
   }
 }
 
-void Talk::Tick() {
+void UdpReportExchange::Tick() {
   const std::vector<BalancerSnapshot::Zone> own = exchanges_.TakeZoneSnapshots();
   for (const BalancerSnapshot::Zone& zone : own)
-    exchanges_.OnZonePeerReport(conversation_.Of(loop_.Now(), zone.zone));
+    exchanges_.OnZonePeerReport(exchange_.Of(loop_.Now(), zone.zone));
   // Asked once more: what others say may have moved a zone.
   const auto saying =
-      conversation_.Say(loop_.Now(), exchanges_.TakeZoneSnapshots(), exchanges_.zones_epoch(), generation_());
+      exchange_.Say(loop_.Now(), exchanges_.TakeZoneSnapshots(), exchanges_.zones_epoch(), generation_());
   for (const std::uint32_t to : saying.to) {
     ErrorCode ignored;  // a word may be lost anywhere
-    socket_.send_to(boost::asio::buffer(saying.bytes), peers_.all[to], 0, ignored);
+    socket_.send_to(boost::asio::buffer(saying.bytes), peers_.by_number[to], 0, ignored);
   }
   timer_->Start(kTick, [this] { Tick(); });
 }
--- a/src/fleet/members.cpp
+++ b/src/fleet/peer_table.cpp
@@ -1,4 +1,4 @@
-#include "fleet/members.hpp"
+#include "fleet/peer_table.hpp"
 
 #include <algorithm>
 #include <functional>
@@ -23,16 +23,16 @@
 enum class Says { kNothing, kLost, kWell };
 
 // What a word said `since` ago says of the zone now.
-Says SaysOf(const ZoneWord& word, Micros since) {
+Says SaysOf(const ZoneReport& word, Micros since) {
   if (word.last_ms * 1000 + since >=
-      (zones::IsEjected(word.stage) ? Members::kLeftSpeaksFor : Members::kSpeaksFor))
+      (zones::IsEjected(word.stage) ? PeerTable::kLeftSpeaksFor : PeerTable::kSpeaksFor))
     return Says::kNothing;
   return word.dead > 0 ? Says::kLost : Says::kWell;
 }
 
 }  // namespace
 
-Members::Heard Members::Hear(Micros now, const Words& words) {
+PeerTable::Heard PeerTable::Hear(Micros now, const PeerReport& words) {
   if (words.sender == own_) return Heard::kOwn;
   if (words.incarnation > static_cast<std::uint64_t>(std::max<Micros>(now, 0)) / 1000 + kClocksApartMs)
     return Heard::kFuture;
@@ -52,33 +52,33 @@
   return Heard::kNew;
 }
 
-void Members::Forget(Micros now) {
+void PeerTable::Forget(Micros now) {
   std::erase_if(lately_, [&](Member* member) {
     member->lately = now - member->heard_at < kFresh;
     return !member->lately;
   });
 }
 
-const Words* Members::WordOf(std::uint32_t sender) const {
+const PeerReport* PeerTable::LatestReport(std::uint32_t sender) const {
   const auto it = known_.find(sender);
   return it == known_.end() ? nullptr : &it->second.words;
 }
 
-std::size_t Members::Lately(Micros now) const {
+std::size_t PeerTable::RecentPeerCount(Micros now) const {
   return static_cast<std::size_t>(std::count_if(
       lately_.begin(), lately_.end(), [&](const Member* member) { return now - member->heard_at < kFresh; }));
 }
 
-ZonePeerReport Members::Of(Micros now, int zone) const { return Without(now, zone, nullptr); }
+ZonePeerReport PeerTable::Of(Micros now, int zone) const { return Without(now, zone, nullptr); }
 
-ZonePeerReport Members::Without(Micros now, int zone, const Member* without) const {
+ZonePeerReport PeerTable::Without(Micros now, int zone, const Member* without) const {
   ZonePeerReport out;
   out.zone = zone;
   std::vector<Micros> returned;
   for (const Member* member : lately_) {
     const Micros since = now - member->heard_at;
     if (member == without || member->belief < kBelieved || since >= kFresh) continue;
-    const ZoneWord* word = member->words.Of(zone);
+    const ZoneReport* word = member->words.Of(zone);
     if (word == nullptr) continue;
     ++out.reporting;
     const Says says = SaysOf(*word, since);
@@ -97,9 +97,9 @@
 
 // Against everybody: it calls lost what a quorum was just answered by, and hardly anybody else calls lost; or
 // the reverse. In a fleet that is split into halves nobody is against everybody.
-void Members::Believe(Micros now, Member& member) const {
+void PeerTable::Believe(Micros now, Member& member) const {
   bool against = false;
-  for (const ZoneWord& word : member.words.zones) {
+  for (const ZoneReport& word : member.words.zones) {
     const ZonePeerReport others = Without(now, word.zone, &member);
     const Says says = SaysOf(word, 0);
     against |= says == Says::kLost && others.reporting_healthy >= zones::kQuorum &&
--- a/src/fleet/members.hpp
+++ b/src/fleet/peer_table.hpp
@@ -3,18 +3,18 @@
 // Membership is by silence alone: heard lately, not heard, back with a new incarnation. Of each sender the
 // newest word counts and no other, so that the same words leave the same picture in whatever order they come,
 // and however often (a join over incarnation and sequence). Memory: a word a sibling at most.
-#ifndef MERLINRUN_FLEET_MEMBERS_HPP_
-#define MERLINRUN_FLEET_MEMBERS_HPP_
+#ifndef MERLINRUN_FLEET_PEER_TABLE_HPP_
+#define MERLINRUN_FLEET_PEER_TABLE_HPP_
 
 #include <cstdint>
 #include <map>
 #include <vector>
 
-#include "fleet/words.hpp"
+#include "fleet/report.hpp"
 
 namespace merlinrun::fleet {
 
-class Members {
+class PeerTable {
  public:
   // A word counts for so long after it came. Guards against old words that hold a decision up, or make one.
   static constexpr Micros kFresh = 2'500'000;
@@ -33,23 +33,23 @@
     kOwn,     // it claims to be this sidecar
   };
 
-  explicit Members(std::uint32_t own) : own_(own) {}
-  Members(const Members&) = delete;
-  Members& operator=(const Members&) = delete;
-  Heard Hear(Micros now, const Words& words);
+  explicit PeerTable(std::uint32_t own) : own_(own) {}
+  PeerTable(const PeerTable&) = delete;
+  PeerTable& operator=(const PeerTable&) = delete;
+  Heard Hear(Micros now, const PeerReport& words);
   // What others say of the zone now, those alone who are heard and believed.
   ZonePeerReport Of(Micros now, int zone) const;
   // Senders heard lately.
-  std::size_t Lately(Micros now) const;
+  std::size_t RecentPeerCount(Micros now) const;
   // Starts of others that were seen: words of a new incarnation after an older one.
   std::uint64_t returns() const { return returns_; }
   std::size_t known() const { return known_.size(); }
   // The word in force of a sender; null if there is none.
-  const Words* WordOf(std::uint32_t sender) const;
+  const PeerReport* LatestReport(std::uint32_t sender) const;
 
  private:
   struct Member {
-    Words words;
+    PeerReport words;
     Micros heard_at = 0;
     double belief = 1;  // falls with each word that goes against what everybody else says
     bool lately = false;
@@ -69,4 +69,4 @@
 
 }  // namespace merlinrun::fleet
 
-#endif  // MERLINRUN_FLEET_MEMBERS_HPP_
+#endif  // MERLINRUN_FLEET_PEER_TABLE_HPP_
--- a/src/fleet/words.cpp
+++ b/src/fleet/report.cpp
@@ -1,4 +1,4 @@
-#include "fleet/words.hpp"
+#include "fleet/report.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -23,37 +23,38 @@
   return value <= most ? std::optional(value) : std::nullopt;
 }
 
-std::optional<ZoneWord> ReadZone(const Json& json) {
+std::optional<ZoneReport> ReadZone(const Json& json) {
   if (!json.is_array() || json.size() != kZoneFields) return std::nullopt;
   const auto zone = Number(json[0], 1'000'000);
   const auto stage = Number(json[1], static_cast<std::uint64_t>(zones::Stage::kReturning));
   const auto epoch = Number(json[2], kMostNumber);
   const auto dead = Number(json[3], kMostDead);
-  const auto last = Number(json[4], kMostAge);
-  const auto in_stage = Number(json[5], kMostAge);
+  const auto last = Number(json[4], kMaxAgeMs);
+  const auto in_stage = Number(json[5], kMaxAgeMs);
   if (!zone || !stage || !epoch || !dead || !last || !in_stage) return std::nullopt;
-  return ZoneWord{
+  return ZoneReport{
       static_cast<int>(*zone),      static_cast<zones::Stage>(*stage), *epoch,
       static_cast<unsigned>(*dead), static_cast<Micros>(*last),        static_cast<Micros>(*in_stage)};
 }
 
-std::variant<Words, Flaw> FromJson(const Json& json, std::uint32_t siblings) {
-  if (!json.is_array() || json.empty()) return Flaw::kShape;
-  if (json[0] != kVersion) return Flaw::kVersion;
-  if (json.size() != kFields || !json[5].is_array()) return Flaw::kShape;
+std::variant<PeerReport, DecodeError> FromJson(const Json& json, std::uint32_t siblings) {
+  if (!json.is_array() || json.empty()) return DecodeError::kShape;
+  if (json[0] != kVersion) return DecodeError::kVersion;
+  if (json.size() != kFields || !json[5].is_array()) return DecodeError::kShape;
   const auto sender = Number(json[1], std::uint64_t{siblings} - 1);
   const auto incarnation = Number(json[2], kMostNumber);
   const auto sequence = Number(json[3], kMostNumber);
   const auto generation = Number(json[4], kMostNumber);
-  if (!sender || !incarnation || !sequence || !generation || json[5].size() > kMostZones) return Flaw::kRange;
-  Words words{static_cast<std::uint32_t>(*sender),
-              *incarnation,
-              *sequence,
-              static_cast<std::int64_t>(*generation),
-              {}};
+  if (!sender || !incarnation || !sequence || !generation || json[5].size() > kMaxZones)
+    return DecodeError::kRange;
+  PeerReport words{static_cast<std::uint32_t>(*sender),
+                   *incarnation,
+                   *sequence,
+                   static_cast<std::int64_t>(*generation),
+                   {}};
   for (const Json& entry : json[5]) {
     const auto zone = ReadZone(entry);
-    if (!zone || words.Of(zone->zone) != nullptr) return Flaw::kRange;
+    if (!zone || words.Of(zone->zone) != nullptr) return DecodeError::kRange;
     words.zones.push_back(*zone);
   }
   return words;
@@ -61,20 +62,20 @@
 
 }  // namespace
 
-const ZoneWord* Words::Of(int zone) const {
+const ZoneReport* PeerReport::Of(int zone) const {
   const auto it =
-      std::find_if(zones.begin(), zones.end(), [&](const ZoneWord& word) { return word.zone == zone; });
+      std::find_if(zones.begin(), zones.end(), [&](const ZoneReport& word) { return word.zone == zone; });
   return it == zones.end() ? nullptr : &*it;
 }
 
-std::string Write(const Words& words) {
+std::string Encode(const PeerReport& words) {
   Json zones = Json::array();
-  for (const ZoneWord& zone : words.zones) {
-    if (zones.size() == kMostZones) break;
+  for (const ZoneReport& zone : words.zones) {
+    if (zones.size() == kMaxZones) break;
     zones.push_back({static_cast<std::uint64_t>(zone.zone), static_cast<std::uint64_t>(zone.stage),
                      zone.epoch, std::min<std::uint64_t>(zone.dead, kMostDead),
-                     static_cast<std::uint64_t>(std::clamp<Micros>(zone.last_ms, 0, kMostAge)),
-                     static_cast<std::uint64_t>(std::clamp<Micros>(zone.in_stage_ms, 0, kMostAge))});
+                     static_cast<std::uint64_t>(std::clamp<Micros>(zone.last_ms, 0, kMaxAgeMs)),
+                     static_cast<std::uint64_t>(std::clamp<Micros>(zone.in_stage_ms, 0, kMaxAgeMs))});
   }
   const Json all = Json::array({kVersion, words.sender, words.incarnation, words.sequence,
                                 static_cast<std::uint64_t>(std::max<std::int64_t>(words.generation, 0)),
@@ -84,13 +85,13 @@
   return out;
 }
 
-std::variant<Words, Flaw> Read(std::string_view bytes, std::uint32_t siblings) {
-  if (bytes.size() > kMostBytes) return Flaw::kTooLong;
+std::variant<PeerReport, DecodeError> Decode(std::string_view bytes, std::uint32_t siblings) {
+  if (bytes.size() > kMaxDatagramBytes) return DecodeError::kTooLong;
   try {
     const Json json = Json::from_cbor(bytes, /*strict=*/true, /*allow_exceptions=*/false);
-    return json.is_discarded() ? Flaw::kNoWords : FromJson(json, siblings);
+    return json.is_discarded() ? DecodeError::kNoWords : FromJson(json, siblings);
   } catch (const Json::exception&) {  // sizes that are promised and can't be are thrown in any case
-    return Flaw::kNoWords;
+    return DecodeError::kNoWords;
   }
 }
 
--- a/src/fleet/speaker.cpp
+++ b/src/fleet/report_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "fleet/speaker.hpp"
+#include "fleet/report_scheduler.hpp"
 
 #include <algorithm>
 #include <unordered_set>
@@ -6,21 +6,22 @@
 
 namespace merlinrun::fleet {
 
-Speaker::Speaker(Manners manners, std::uint32_t own, std::uint32_t siblings, Micros now, Draw draw)
-    : manners_(manners),
+ReportScheduler::ReportScheduler(ReportSettings settings, std::uint32_t own, std::uint32_t siblings,
+                                 Micros now, Draw draw)
+    : manners_(settings),
       own_(own),
       siblings_(siblings),
       draw_(std::move(draw)),
       // The first round too is spread: all may have started in the same second.
-      next_(now + static_cast<Micros>(draw_(static_cast<std::uint64_t>(manners.every)))),
+      next_(now + static_cast<Micros>(draw_(static_cast<std::uint64_t>(settings.every)))),
       filled_at_(now),
-      purse_(manners.bytes_per_s * kBurst) {}
+      purse_(settings.bytes_per_s * kBurst) {}
 
-bool Speaker::Due(Micros now, bool news) const {
+bool ReportScheduler::Due(Micros now, bool news) const {
   return now >= next_ || (news && last_ >= 0 && now - last_ >= kBreath);
 }
 
-std::vector<std::uint32_t> Speaker::Round(Micros now, bool news, std::size_t bytes_each) {
+std::vector<std::uint32_t> ReportScheduler::Round(Micros now, bool news, std::size_t bytes_each) {
   if (!Due(now, news)) return {};
   purse_ = std::min(manners_.bytes_per_s * kBurst,
                     purse_ + manners_.bytes_per_s * static_cast<double>(now - filled_at_) / 1e6);
--- a/src/fleet/speaker.hpp
+++ b/src/fleet/report_scheduler.hpp
@@ -1,7 +1,7 @@
 // When a sidecar speaks, and to whom: few random others once in a while, more at once when there is news,
 // under a bound of its own on bytes whatever the size of the fleet. Free of I/O, clock and chance of its own.
-#ifndef MERLINRUN_FLEET_SPEAKER_HPP_
-#define MERLINRUN_FLEET_SPEAKER_HPP_
+#ifndef MERLINRUN_FLEET_REPORT_SCHEDULER_HPP_
+#define MERLINRUN_FLEET_REPORT_SCHEDULER_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -12,18 +12,18 @@
 
 namespace merlinrun::fleet {
 
-struct Manners {
+struct ReportSettings {
   Micros every = 1'000'000;   // between two rounds without news, in the mean
   std::size_t usual = 4;      // others that a round goes to
   std::size_t news = 16;      // the same, of a round with news
   double bytes_per_s = 2000;  // at most, in the long run; a burst of two seconds' worth may come first
 };
 
-class Speaker {
+class ReportScheduler {
  public:
   // Returns a number from 0 to under the given one.
   using Draw = std::function<std::uint64_t(std::uint64_t)>;
-  Speaker(Manners manners, std::uint32_t own, std::uint32_t siblings, Micros now, Draw draw);
+  ReportScheduler(ReportSettings settings, std::uint32_t own, std::uint32_t siblings, Micros now, Draw draw);
 
   bool Due(Micros now, bool news) const;
   // A round begins now if it is due. Returns those it goes to, distinct and never this sidecar;
@@ -35,7 +35,7 @@
   static constexpr Micros kBreath = 300'000;
   static constexpr double kBurst = 2;  // seconds
 
-  const Manners manners_;
+  const ReportSettings manners_;
   const std::uint32_t own_;
   const std::uint32_t siblings_;
   const Draw draw_;
@@ -47,4 +47,4 @@
 
 }  // namespace merlinrun::fleet
 
-#endif  // MERLINRUN_FLEET_SPEAKER_HPP_
+#endif  // MERLINRUN_FLEET_REPORT_SCHEDULER_HPP_
--- a/src/fleet/settings.cpp
+++ b/src/fleet/settings.cpp
@@ -13,16 +13,18 @@
   std::string_view name;
   std::int64_t least;
   std::int64_t most;
-  void (*set)(Manners& to, std::int64_t value);
+  void (*set)(ReportSettings& to, std::int64_t value);
 };
 
 // Bounds: a round is to be seen before words are old, and neither rounds nor bytes are to be a load.
 constexpr Key kKeys[] = {
-    {"every_ms", 100, 2000, [](Manners& to, std::int64_t value) { to.every = value * 1000; }},
-    {"usual", 1, 64, [](Manners& to, std::int64_t value) { to.usual = static_cast<std::size_t>(value); }},
-    {"news", 1, 64, [](Manners& to, std::int64_t value) { to.news = static_cast<std::size_t>(value); }},
+    {"every_ms", 100, 2000, [](ReportSettings& to, std::int64_t value) { to.every = value * 1000; }},
+    {"usual", 1, 64,
+     [](ReportSettings& to, std::int64_t value) { to.usual = static_cast<std::size_t>(value); }},
+    {"news", 1, 64,
+     [](ReportSettings& to, std::int64_t value) { to.news = static_cast<std::size_t>(value); }},
     {"bytes_per_s", 256, 1'000'000,
-     [](Manners& to, std::int64_t value) { to.bytes_per_s = static_cast<double>(value); }},
+     [](ReportSettings& to, std::int64_t value) { to.bytes_per_s = static_cast<double>(value); }},
 };
 
 const Key* Find(std::string_view name) {
@@ -33,10 +35,11 @@
 
 }  // namespace
 
-std::variant<Manners, std::string> ParseManners(std::string_view text, const std::string& file) {
+std::variant<ReportSettings, std::string> ParseReportSettings(std::string_view text,
+                                                              const std::string& file) {
   try {
     const toml::table root = toml::parse(text, file);
-    Manners out;
+    ReportSettings out;
     for (const auto& [name, node] : root) {
       const Key* key = Find(name.str());
       if (key == nullptr)
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -6,12 +6,12 @@
 #include <string_view>
 #include <variant>
 
-#include "fleet/speaker.hpp"
+#include "fleet/report_scheduler.hpp"
 
 namespace merlinrun::fleet {
 
 // On failure one line: "FILE:LINE:COLUMN: what is wrong".
-std::variant<Manners, std::string> ParseManners(std::string_view text, const std::string& file);
+std::variant<ReportSettings, std::string> ParseReportSettings(std::string_view text, const std::string& file);
 
 }  // namespace merlinrun::fleet
 
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -167,13 +167,13 @@
         stats::Held held{request_manager_->active_requests(), http_ == nullptr ? 0 : http_->sessions(),
                          upstream_.open_connections()};
         if (talk_ == nullptr) return held;
-        const fleet::Tally& t = talk_->conversation().tally();
-        held.words = {talk_->conversation().members().Lately(loop_.Now()),
-                      t.taken,
-                      t.old,
-                      t.foreign,
-                      t.future,
-                      t.broken,
+        const fleet::DatagramCounters& t = talk_->exchange().counters();
+        held.words = {talk_->exchange().peer_table().RecentPeerCount(loop_.Now()),
+                      t.accepted,
+                      t.stale,
+                      t.wrong_address,
+                      t.future_incarnation,
+                      t.malformed,
                       t.sent,
                       t.sent_bytes};
         return held;
@@ -182,7 +182,7 @@
 
 // Only where the platform has a way between sidecars: elsewhere the operator's file is read, and that is all.
 void Sidecar::StartTalk() {
-  const auto read = fleet::ParseManners(ReadFile(config_.fleet), config_.fleet);
+  const auto read = fleet::ParseReportSettings(ReadFile(config_.fleet), config_.fleet);
   if (const auto* error = std::get_if<std::string>(&read)) throw ConfigError(*error);
   if (config_.peer_listen.empty()) return;
   const auto udp = [](const char* key, const std::string& text) {
@@ -193,11 +193,11 @@
   if (config_.peers.size() != config_.wire.settings.sidecar_count)
     throw ConfigError("peers: " + std::to_string(config_.peers.size()) + " addresses for " +
                       std::to_string(config_.wire.settings.sidecar_count) + " sidecars");
-  fleet::Peers peers{udp("peer_listen", config_.peer_listen), {}};
-  for (const std::string& peer : config_.peers) peers.all.push_back(udp("peers", peer));
-  talk_ = std::make_unique<fleet::Talk>(io_, loop_, *request_manager_, std::move(peers),
-                                        std::get<fleet::Manners>(read), config_.seed,
-                                        [this] { return generation_; });
+  fleet::PeerAddresses peers{udp("peer_listen", config_.peer_listen), {}};
+  for (const std::string& peer : config_.peers) peers.by_number.push_back(udp("peers", peer));
+  talk_ = std::make_unique<fleet::UdpReportExchange>(io_, loop_, *request_manager_, std::move(peers),
+                                                     std::get<fleet::ReportSettings>(read), config_.seed,
+                                                     [this] { return generation_; });
 }
 
 std::size_t Sidecar::HttpSessions(const Config& config) const {
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -16,7 +16,7 @@
 #include "core/request_manager.hpp"
 #include "diameter/io/node.hpp"
 #include "discovery.hpp"
-#include "fleet/io/talk.hpp"
+#include "fleet/io/udp_report_exchange.hpp"
 #include "fleet/settings.hpp"
 #include "handover/channel.hpp"
 #include "http_front.hpp"
@@ -60,7 +60,7 @@
   std::optional<Tcp::endpoint> ops_address() const;
   const stats::Counters& counters() const { return counters_; }
   const record::Recorder* recorder() const { return recorder_.get(); }  // null if it is off
-  const fleet::Talk* talk() const { return talk_.get(); }               // null if it is off
+  const fleet::UdpReportExchange* talk() const { return talk_.get(); }  // null if it is off
   diameter::Node* diameter() { return diameter_.get(); }                // null if it is off
 
  private:
@@ -91,8 +91,8 @@
   stats::Counters counters_;                    // and before all that counts
   std::unique_ptr<record::Recorder> recorder_;  // only where recording is on; outlives what tells it
   std::unique_ptr<core::RequestManager> request_manager_;
-  std::unique_ptr<stats::Trace> trace_;  // only where it is on
-  std::unique_ptr<fleet::Talk> talk_;    // only where it is on
+  std::unique_ptr<stats::Trace> trace_;             // only where it is on
+  std::unique_ptr<fleet::UdpReportExchange> talk_;  // only where it is on
   Upstream upstream_;
   HttpEgress http_egress_;
   Discovery discovery_;
--- a/tests/cluster/words_test.cpp
+++ b/tests/cluster/words_test.cpp
@@ -1,11 +1,10 @@
 // Eight processes of the program that tell one another what they meet, and what becomes of that when words
 // are lost, held back, forged or old.
-#include "fleet/words.hpp"
-
 #include <gtest/gtest.h>
 
 #include <csignal>
 
+#include "fleet/report.hpp"
 #include "tests/cluster/trial.hpp"
 
 namespace merlinrun::rig {
@@ -34,9 +33,9 @@
   // What the sidecar would say if it stood with both zones like this, or had started then.
   std::string Forged(std::size_t sender, zones::Stage stage, unsigned dead, std::uint64_t sequence,
                      std::uint64_t incarnation) const {
-    fleet::Words words{static_cast<std::uint32_t>(sender), incarnation, sequence, 1, {}};
+    fleet::PeerReport words{static_cast<std::uint32_t>(sender), incarnation, sequence, 1, {}};
     for (int zone = 0; zone < 2; ++zone) words.zones.push_back({zone, stage, 9, dead, 10, 1'000});
-    return fleet::Write(words);
+    return fleet::Encode(words);
   }
   std::uint64_t NowMs() const { return static_cast<std::uint64_t>(cluster_->world().loop.Now() / 1000); }
   // The rig speaks as the last sidecar, louder and newer than it does itself.
--- a/tests/fleet/conversation_test.cpp
+++ b/tests/fleet/report_exchange_test.cpp
@@ -1,5 +1,5 @@
 // When a sidecar speaks and what it counts; and a thousand of them on one clock, whose words decide for all.
-#include "fleet/conversation.hpp"
+#include "fleet/report_exchange.hpp"
 
 #include <gtest/gtest.h>
 
@@ -14,12 +14,12 @@
 
 constexpr Micros kNow = 1'796'000'000'000'000;
 
-Speaker::Draw DrawFrom(std::uint64_t seed) {
+ReportScheduler::Draw DrawFrom(std::uint64_t seed) {
   return [random = Random(seed)](std::uint64_t most) mutable { return random.Below(most); };
 }
 
 TEST(SpeakerTest, ARoundGoesToDistinctOthersAndNeverToItself) {
-  Speaker speaker({.usual = 4, .news = 16, .bytes_per_s = 1e6}, 7, 40, kNow, DrawFrom(1));
+  ReportScheduler speaker({.usual = 4, .news = 16, .bytes_per_s = 1e6}, 7, 40, kNow, DrawFrom(1));
   std::set<std::uint32_t> met;
   for (Micros at = kNow; at < kNow + 400'000'000; at += 100'000) {
     const auto round = speaker.Round(at, false, 60);
@@ -33,7 +33,7 @@
 
 TEST(SpeakerTest, BytesStayUnderTheirBoundWhateverTheNewsAndTheSizeOfTheFleet) {
   for (const std::uint32_t siblings : {2U, 100U, 5000U}) {
-    Speaker speaker({}, 1, siblings, kNow, DrawFrom(2));
+    ReportScheduler speaker({}, 1, siblings, kNow, DrawFrom(2));
     std::size_t bytes = 0;
     for (Micros at = kNow; at < kNow + 60'000'000; at += 10'000)
       bytes += 200 * speaker.Round(at, true, 200).size();
@@ -45,7 +45,7 @@
 TEST(SpeakerTest, RoundsOfAFleetThatStartedTogetherAreSpread) {
   std::vector<int> by_tenth(20);
   for (std::uint32_t own = 0; own < 500; ++own) {
-    Speaker speaker({}, own, 500, kNow, DrawFrom(own));
+    ReportScheduler speaker({}, own, 500, kNow, DrawFrom(own));
     for (Micros at = kNow; at < kNow + 2'000'000; at += 10'000)
       if (!speaker.Round(at, false, 60).empty()) ++by_tenth[static_cast<std::size_t>((at - kNow) / 100'000)];
   }
@@ -67,10 +67,10 @@
     return {well, other};
   }
   std::string Bytes(std::uint32_t sender, std::uint64_t sequence = 1) {
-    return Write({sender, kNow / 1000, sequence, 1, {}});
+    return Encode({sender, kNow / 1000, sequence, 1, {}});
   }
   Micros since_sign_ = 20'000;
-  Conversation one_{{}, 0, 8, kNow / 1000, kNow, DrawFrom(3)};
+  ReportExchange one_{{}, 0, 8, kNow / 1000, kNow, DrawFrom(3)};
 };
 
 TEST_F(ConversationTest, WhatIsNotFromThePeerThatItNamesIsCountedAndDropped) {
@@ -78,15 +78,15 @@
   one_.Hear(kNow, 4, Bytes(3));
   one_.Hear(kNow, 3, "noise");
   one_.Hear(kNow, 3, std::string(300, 'x'));
-  one_.Hear(kNow, 3, Write({3, kNow / 1000 + 3'600'000, 1, 1, {}}));
+  one_.Hear(kNow, 3, Encode({3, kNow / 1000 + 3'600'000, 1, 1, {}}));
   one_.Hear(kNow, 3, Bytes(3));
   one_.Hear(kNow, 3, Bytes(3));
-  EXPECT_EQ(one_.tally().foreign, 2U);
-  EXPECT_EQ(one_.tally().broken, 2U);
-  EXPECT_EQ(one_.tally().future, 1U);
-  EXPECT_EQ(one_.tally().taken, 1U);
-  EXPECT_EQ(one_.tally().old, 1U);
-  EXPECT_EQ(one_.members().Lately(kNow), 1U);
+  EXPECT_EQ(one_.counters().wrong_address, 2U);
+  EXPECT_EQ(one_.counters().malformed, 2U);
+  EXPECT_EQ(one_.counters().future_incarnation, 1U);
+  EXPECT_EQ(one_.counters().accepted, 1U);
+  EXPECT_EQ(one_.counters().stale, 1U);
+  EXPECT_EQ(one_.peer_table().RecentPeerCount(kNow), 1U);
 }
 
 TEST_F(ConversationTest, ALossIsToldAtOnceAndForAWhile) {
@@ -116,7 +116,7 @@
     bool again = false;
     Random random;
     zones::Zones zones;
-    Conversation talk;
+    ReportExchange talk;
   };
   Fleet(std::uint32_t size, bool words, double lost_words, std::uint64_t dead_of_eight = 8,
         Micros longer = 0) {
@@ -160,7 +160,7 @@
     half = left[size / 2];
     most = left[size * 99 / 100];
     for (auto& one : all)
-      bytes = std::max(bytes, static_cast<double>(one->talk.tally().sent_bytes) / seconds);
+      bytes = std::max(bytes, static_cast<double>(one->talk.counters().sent_bytes) / seconds);
   }
   Micros half = 0;
   Micros most = 0;
--- a/tests/fuzz/words_fuzz.cpp
+++ b/tests/fuzz/words_fuzz.cpp
@@ -4,13 +4,13 @@
 #include <cstdlib>
 #include <string_view>
 
-#include "fleet/members.hpp"
-#include "fleet/words.hpp"
+#include "fleet/peer_table.hpp"
+#include "fleet/report.hpp"
 
 namespace {
 
-using merlinrun::fleet::Members;
-using merlinrun::fleet::Words;
+using merlinrun::fleet::PeerReport;
+using merlinrun::fleet::PeerTable;
 
 constexpr std::uint32_t kSiblings = 50;
 
@@ -18,14 +18,14 @@
   if (!holds) std::abort();
 }
 
-void TakeOne(Members& members, merlinrun::Micros now, std::string_view bytes) {
-  const auto read = merlinrun::fleet::Read(bytes, kSiblings);
-  const auto* words = std::get_if<Words>(&read);
+void TakeOne(PeerTable& members, merlinrun::Micros now, std::string_view bytes) {
+  const auto read = merlinrun::fleet::Decode(bytes, kSiblings);
+  const auto* words = std::get_if<PeerReport>(&read);
   if (words == nullptr) return;
-  Require(words->sender < kSiblings && words->zones.size() <= merlinrun::fleet::kMostZones);
-  const std::string again = merlinrun::fleet::Write(*words);
-  Require(again.size() <= merlinrun::fleet::kMostBytes);
-  Require(std::get<Words>(merlinrun::fleet::Read(again, kSiblings)) == *words);
+  Require(words->sender < kSiblings && words->zones.size() <= merlinrun::fleet::kMaxZones);
+  const std::string again = merlinrun::fleet::Encode(*words);
+  Require(again.size() <= merlinrun::fleet::kMaxDatagramBytes);
+  Require(std::get<PeerReport>(merlinrun::fleet::Decode(again, kSiblings)) == *words);
   members.Hear(now, *words);
   Require(members.known() < kSiblings);
   for (const auto& zone : words->zones) {
@@ -39,7 +39,7 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   std::string_view rest(reinterpret_cast<const char*>(data), size);
-  Members members(0);
+  PeerTable members(0);
   merlinrun::Micros now = 1'796'000'000'000'000;
   while (!rest.empty()) {
     const std::size_t length = std::min<std::size_t>(static_cast<unsigned char>(rest[0]), rest.size() - 1);
