--- a/src/handover/channel.hpp
+++ b/src/handover/channel.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <string_view>
 
-#include "handover/terms.hpp"
+#include "handover/messages.hpp"
 
 namespace merlinrun::handover {
 
--- a/src/handover/terms.cpp
+++ b/src/handover/messages.cpp
@@ -1,4 +1,4 @@
-#include "handover/terms.hpp"
+#include "handover/messages.hpp"
 
 #include <sys/un.h>
 
--- a/src/handover/terms.hpp
+++ b/src/handover/messages.hpp
@@ -1,6 +1,6 @@
 // What an old and a new process of one sidecar say to each other, and how they share its limits. Free of I/O.
-#ifndef MERLINRUN_HANDOVER_TERMS_HPP_
-#define MERLINRUN_HANDOVER_TERMS_HPP_
+#ifndef MERLINRUN_HANDOVER_MESSAGES_HPP_
+#define MERLINRUN_HANDOVER_MESSAGES_HPP_
 
 #include <cstddef>
 #include <optional>
@@ -42,4 +42,4 @@
 
 }  // namespace merlinrun::handover
 
-#endif  // MERLINRUN_HANDOVER_TERMS_HPP_
+#endif  // MERLINRUN_HANDOVER_MESSAGES_HPP_
--- a/src/net/piece.hpp
+++ b/src/net/body_chunk.hpp
@@ -1,6 +1,6 @@
 // A piece of a large body on its way out, the same towards clients and servers.
-#ifndef MERLINRUN_NET_PIECE_HPP_
-#define MERLINRUN_NET_PIECE_HPP_
+#ifndef MERLINRUN_NET_BODY_CHUNK_HPP_
+#define MERLINRUN_NET_BODY_CHUNK_HPP_
 
 #include <boost/asio/write.hpp>
 #include <boost/beast/http/chunk_encode.hpp>
@@ -23,4 +23,4 @@
 
 }  // namespace merlinrun::net
 
-#endif  // MERLINRUN_NET_PIECE_HPP_
+#endif  // MERLINRUN_NET_BODY_CHUNK_HPP_
--- a/src/net/inbound.cpp
+++ b/src/net/downstream.cpp
@@ -1,4 +1,4 @@
-#include "inbound.hpp"
+#include "downstream.hpp"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "piece.hpp"
+#include "body_chunk.hpp"
 
 namespace merlinrun::net {
 namespace {
--- a/src/net/inbound.hpp
+++ b/src/net/downstream.hpp
@@ -1,6 +1,6 @@
 // The application's side: accepts its connections, reads requests, writes answers.
-#ifndef MERLINRUN_NET_INBOUND_HPP_
-#define MERLINRUN_NET_INBOUND_HPP_
+#ifndef MERLINRUN_NET_DOWNSTREAM_HPP_
+#define MERLINRUN_NET_DOWNSTREAM_HPP_
 
 #include <array>
 #include <boost/asio/steady_timer.hpp>
@@ -127,4 +127,4 @@
 
 }  // namespace merlinrun::net
 
-#endif  // MERLINRUN_NET_INBOUND_HPP_
+#endif  // MERLINRUN_NET_DOWNSTREAM_HPP_
--- a/src/net/http_front.cpp
+++ b/src/net/http_listener.cpp
@@ -1,4 +1,4 @@
-#include "http_front.hpp"
+#include "http_listener.hpp"
 
 #include <boost/beast/http.hpp>
 #include <utility>
--- a/src/net/http_front.hpp
+++ b/src/net/http_listener.hpp
@@ -1,7 +1,7 @@
 // HTTP/1.1 on both sides of the core: the ingress turns requests into arrivals, the egress turns attempts
 // into requests to servers.
-#ifndef MERLINRUN_NET_HTTP_FRONT_HPP_
-#define MERLINRUN_NET_HTTP_FRONT_HPP_
+#ifndef MERLINRUN_NET_HTTP_LISTENER_HPP_
+#define MERLINRUN_NET_HTTP_LISTENER_HPP_
 
 #include <functional>
 #include <memory>
@@ -10,7 +10,7 @@
 
 #include "core/protocol_listener.hpp"
 #include "core/request_manager.hpp"
-#include "inbound.hpp"
+#include "downstream.hpp"
 #include "memory_budget.hpp"
 #include "upstream.hpp"
 
@@ -57,4 +57,4 @@
 
 }  // namespace merlinrun::net
 
-#endif  // MERLINRUN_NET_HTTP_FRONT_HPP_
+#endif  // MERLINRUN_NET_HTTP_LISTENER_HPP_
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -12,7 +12,7 @@
 #include <optional>
 #include <utility>
 
-#include "piece.hpp"
+#include "body_chunk.hpp"
 #include "validate.hpp"
 
 namespace merlinrun::net {
--- a/src/ops/api.hpp
+++ b/src/ops/api.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "ops/phase.hpp"
+#include "ops/lifecycle.hpp"
 #include "stats/counters.hpp"
 
 namespace merlinrun::ops {
--- a/src/ops/phase.cpp
+++ b/src/ops/lifecycle.cpp
@@ -1,4 +1,4 @@
-#include "ops/phase.hpp"
+#include "ops/lifecycle.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/ops/phase.hpp
+++ b/src/ops/lifecycle.hpp
@@ -1,7 +1,7 @@
 // The phase of the whole sidecar: starting, serving, evacuated, yielding, stopping. What each says on both
 // addresses, and what it asks of the fronts. Free of I/O; one thread, that of its Loop.
-#ifndef MERLINRUN_OPS_PHASE_HPP_
-#define MERLINRUN_OPS_PHASE_HPP_
+#ifndef MERLINRUN_OPS_LIFECYCLE_HPP_
+#define MERLINRUN_OPS_LIFECYCLE_HPP_
 
 #include <functional>
 #include <memory>
@@ -79,4 +79,4 @@
 
 }  // namespace merlinrun::ops
 
-#endif  // MERLINRUN_OPS_PHASE_HPP_
+#endif  // MERLINRUN_OPS_LIFECYCLE_HPP_
--- a/src/stats/account.cpp
+++ b/src/stats/interval_stats.cpp
@@ -1,4 +1,4 @@
-#include "stats/account.hpp"
+#include "stats/interval_stats.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/stats/account.hpp
+++ b/src/stats/interval_stats.hpp
@@ -3,8 +3,8 @@
 //
 // Bounded: classes and causes are fixed, and servers are those that were tried in the stretch, kServers at
 // most; what goes to further ones is counted under one name.
-#ifndef MERLINRUN_STATS_ACCOUNT_HPP_
-#define MERLINRUN_STATS_ACCOUNT_HPP_
+#ifndef MERLINRUN_STATS_INTERVAL_STATS_HPP_
+#define MERLINRUN_STATS_INTERVAL_STATS_HPP_
 
 #include <array>
 #include <cstdint>
@@ -58,4 +58,4 @@
 
 }  // namespace merlinrun::stats
 
-#endif  // MERLINRUN_STATS_ACCOUNT_HPP_
+#endif  // MERLINRUN_STATS_INTERVAL_STATS_HPP_
--- a/src/stats/trace.hpp
+++ b/src/stats/trace.hpp
@@ -13,7 +13,7 @@
 
 #include "core/loop.hpp"
 #include "core/request_manager.hpp"
-#include "stats/account.hpp"
+#include "stats/interval_stats.hpp"
 
 namespace merlinrun::stats {
 
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <string>
 
-#include "handover/terms.hpp"
+#include "handover/messages.hpp"
 #include "net/validate.hpp"
 
 namespace {
--- a/tests/handover/terms_test.cpp
+++ b/tests/handover/messages_test.cpp
@@ -1,5 +1,5 @@
 // What two processes of one sidecar say to each other, and what is not believed.
-#include "handover/terms.hpp"
+#include "handover/messages.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/net/inbound_test.cpp
+++ b/tests/net/downstream_test.cpp
@@ -1,5 +1,5 @@
 // Clients that do not behave, and those that share the sidecar with them.
-#include "net/inbound.hpp"
+#include "net/downstream.hpp"
 
 #include "loopback.hpp"
 
--- a/tests/ops/phase_test.cpp
+++ b/tests/ops/lifecycle_test.cpp
@@ -1,5 +1,5 @@
 // The sidecar's phase, in virtual time.
-#include "ops/phase.hpp"
+#include "ops/lifecycle.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
--- a/tests/stats/account_test.cpp
+++ b/tests/stats/interval_stats_test.cpp
@@ -1,5 +1,5 @@
 // What is counted, and the line that tells it.
-#include "stats/account.hpp"
+#include "stats/interval_stats.hpp"
 
 #include <gtest/gtest.h>
 
