--- a/src/config/toml_error.hpp
+++ b/src/config/toml_error.hpp
@@ -1,4 +1,4 @@
-// The one form in which a wrong TOML file is told of: "FILE:LINE:COLUMN: what is wrong".
+// Formats errors in TOML files: "FILE:LINE:COLUMN: what is wrong".
 #ifndef MERLINRUN_CONFIG_TOML_ERROR_HPP_
 #define MERLINRUN_CONFIG_TOML_ERROR_HPP_
 
--- a/src/core/loop.hpp
+++ b/src/core/loop.hpp
@@ -1,5 +1,5 @@
-// The clock and the callbacks of the one thread that the sidecar runs on. The core and the decisions of other
-// parts know time only through this, so that tests run them in virtual time.
+// The event loop: clock, timers and callbacks of the sidecar's thread. Tests replace it by one with virtual
+// time.
 #ifndef MERLINRUN_CORE_LOOP_HPP_
 #define MERLINRUN_CORE_LOOP_HPP_
 
@@ -10,25 +10,25 @@
 
 namespace merlinrun::core {
 
-// One callback that is awaited. Destroying it cancels it.
+// A one-shot timer. Destroying it cancels the callback.
 class Timer {
  public:
   virtual ~Timer() = default;
-  // Calls `due` once, `delay` microseconds from now (at once in the next turn if that is not positive). What
-  // was awaited before is not called any more, also if its time has come already.
+  // Calls `due` once after `delay` microseconds (in the next turn of the loop if that is not positive).
+  // Replaces the pending callback, even if that is already due.
   virtual void Start(Micros delay, std::function<void()> due) = 0;
 };
 
 class Loop {
  public:
   virtual ~Loop() = default;
-  // Microseconds of a clock that never goes back; it stands for Unix time.
+  // Unix time in microseconds; never goes back.
   virtual Micros Now() const = 0;
-  // Calls `next` in a later turn of the loop, never from in here.
+  // Calls `next` in a later turn of the loop.
   virtual void Post(std::function<void()> next) = 0;
-  // A timer that nobody stops.
+  // A timer that can't be cancelled.
   virtual void After(Micros delay, std::function<void()> due) = 0;
-  // The loop must outlive it.
+  // The loop must outlive the timer.
   virtual std::unique_ptr<Timer> NewTimer() = 0;
 };
 
--- a/src/core/names.hpp
+++ b/src/core/names.hpp
@@ -1,4 +1,4 @@
-// Classes and tenants by the names that requests carry.
+// Looks up classes and tenants by name.
 #ifndef MERLINRUN_CORE_NAMES_HPP_
 #define MERLINRUN_CORE_NAMES_HPP_
 
@@ -11,8 +11,8 @@
 
 namespace merlinrun::core {
 
-// As the settings hold names: no spaces and no commas.
-inline std::string WireName(std::string_view name) {
+// Replaces spaces and commas by underscores, as names are stored in the settings.
+inline std::string NormalizeName(std::string_view name) {
   std::string out(name);
   std::replace_if(
       out.begin(), out.end(), [](char c) { return c == ' ' || c == ','; }, '_');
@@ -21,17 +21,17 @@
 
 template <typename Named>
 int IndexByName(const std::vector<Named>& list, std::string_view name) {
-  const std::string wire_name = WireName(name);
+  const std::string wire_name = NormalizeName(name);
   const auto it = std::find_if(list.begin(), list.end(), [&](const Named& n) { return n.name == wire_name; });
   return it == list.end() ? -1 : static_cast<int>(it - list.begin());
 }
 
-// The index of the class of this name in the settings, or -1.
+// The index of the class in the settings, or -1.
 inline int ClassIndex(const Settings& settings, std::string_view name) {
   return IndexByName(settings.classes, name);
 }
 
-// The same for the tenant.
+// The index of the tenant in the settings, or -1.
 inline int TenantIndex(const Settings& settings, std::string_view name) {
   return IndexByName(settings.tenants, name);
 }
--- a/src/core/protocol_listener.hpp
+++ b/src/core/protocol_listener.hpp
@@ -1,4 +1,4 @@
-// What the sidecar's phase asks of a listener, whatever its protocol.
+// The interface of listeners for the sidecar's lifecycle, independent of the protocol.
 #ifndef MERLINRUN_CORE_PROTOCOL_LISTENER_HPP_
 #define MERLINRUN_CORE_PROTOCOL_LISTENER_HPP_
 
@@ -8,20 +8,20 @@
 
 namespace merlinrun::core {
 
-// A listener of any protocol, with the connections that it took.
+// A listener and the client connections that it has accepted.
 class ProtocolListener {
  public:
   virtual ~ProtocolListener() = default;
-  // While it drains, clients are told, in the protocol's own way, to take their next request elsewhere.
+  // While draining, clients are report by means of the protocol to send further requests elsewhere.
   virtual void SetDraining(bool draining) = 0;
-  // Accepts what has connected already, then no more.
+  // Accepts the connections in the backlog, then closes the listener.
   virtual void StopAccepting() = 0;
-  // Another process accepts from the same queue: leaves what has connected to it, and keeps the listener.
+  // Leaves the backlog to another process that accepts on the same listener, which stays open.
   virtual void PauseAccepting() = 0;
   virtual void ResumeAccepting() = 0;
-  // Closes the connections that have had nothing under way for so many microseconds.
-  virtual void CloseIdle(Micros rested) = 0;
-  // Connections that are open, those included whose last answer is still being read.
+  // Closes the connections that have been idle for at least `min_idle` microseconds.
+  virtual void CloseIdle(Micros min_idle) = 0;
+  // Open connections, including those whose last response is still being read.
   virtual std::size_t sessions() const = 0;
 };
 
--- a/src/core/request_manager.hpp
+++ b/src/core/request_manager.hpp
@@ -39,11 +39,12 @@
  public:
   virtual ~ResponseSink() = default;
   // A server's response to this request.
-  virtual void Deliver(MessagePtr answer) = 0;
-  // The request has not run and can be retried safely, after `retry_after` microseconds if that is above 0.
+  virtual void Deliver(MessagePtr response) = 0;
+  // The client can retry safely, after `retry_after` microseconds if that is above 0.
   virtual void Refuse(Micros retry_after) = 0;
-  // The request may have run. `answer` is the last server's error response, null if there was none.
-  virtual void Fail(FailureReason reason, MessagePtr answer) = 0;
+  // Promises nothing: the request may have run. `response` is the last server's error response, null if there
+  // was none.
+  virtual void Fail(FailureReason reason, MessagePtr response) = 0;
 };
 
 struct AttemptResult {
@@ -82,7 +83,7 @@
   bool is_retry = false;
   bool write = false;
   std::string key;   // the object that it concerns; empty = none
-  int protocol = 0;  // index of the protocol, the bit in ServerInfo::fronts
+  int protocol = 0;  // index of the protocol, the bit in ServerInfo::protocols
   MessagePtr request;
   std::unique_ptr<ResponseSink> response_sink;
   Egress* egress = nullptr;  // outlives the request
@@ -152,10 +153,10 @@
     return balancer_->TakeZoneSnapshots(loop_.Now());
   }
   std::uint64_t zones_epoch() const { return balancer_->zones_epoch(); }
-  void OnZoneOverrides(std::span<const ZoneOverride> orders) {
-    balancer_->OnZoneOverrides(loop_.Now(), orders);
+  void OnZoneOverrides(std::span<const ZoneOverride> overrides) {
+    balancer_->OnZoneOverrides(loop_.Now(), overrides);
   }
-  void OnZonePeerReport(const ZonePeerReport& told) { balancer_->OnZonePeerReport(loop_.Now(), told); }
+  void OnZonePeerReport(const ZonePeerReport& report) { balancer_->OnZonePeerReport(loop_.Now(), report); }
 
   const Settings& settings() const { return settings_; }
 
--- a/src/handover/channel.cpp
+++ b/src/handover/channel.cpp
@@ -20,13 +20,13 @@
 namespace asio = boost::asio;
 using ErrorCode = boost::system::error_code;
 
-// For the answer of a process that is alive: it is on this machine, though its core may be busy.
-constexpr int kAnswerMs = 300;
+// Ample for a local process, even on a busy machine.
+constexpr int kResponseTimeoutMs = 300;
 
 sockaddr_un AddressOf(const std::string& path) {
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
-  std::memcpy(address.sun_path, path.data(), path.size());  // PathFor leaves room for the end
+  std::memcpy(address.sun_path, path.data(), path.size());  // SocketPath leaves room for the terminator
   return address;
 }
 
@@ -34,8 +34,8 @@
   return Descriptor(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
 }
 
-// None if nobody listens there.
-Descriptor Connected(const std::string& path) {
+// Returns no descriptor if no process listens at the path.
+Descriptor Connect(const std::string& path) {
   Descriptor socket = NewSocket();
   const sockaddr_un address = AddressOf(path);
   if (socket && ::connect(socket.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0)
@@ -43,13 +43,13 @@
   return Descriptor();
 }
 
-// Whether a process listens there. Guards against taking the path, and clients, back from a third process
-// that the second has handed on to before it ended.
-bool Reaches(const std::string& path) { return static_cast<bool>(Connected(path)); }
+// Whether a process listens at the path: the successor may have been replaced by another process before it
+// ended.
+bool IsReachable(const std::string& path) { return static_cast<bool>(Connect(path)); }
 
-void Complain(const std::string& what) { std::fprintf(stderr, "handover: %.200s\n", what.c_str()); }
+void LogError(const std::string& what) { std::fprintf(stderr, "handover: %.200s\n", what.c_str()); }
 
-// Guards against taking a listener from, or giving it to, a process of somebody else.
+// Listeners are only exchanged with processes of the same user.
 bool SameUser(int socket) {
   ucred peer{};
   socklen_t size = sizeof peer;
@@ -62,9 +62,9 @@
   bool closed = false;
 };
 
-// Empty if nothing is there yet.
+// Returns nullopt if no message is available.
 std::optional<Received> Receive(int socket) {
-  std::array<char, kMostMessage> text{};
+  std::array<char, kMaxMessageBytes> text{};
   alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int))> control{};
   iovec part{text.data(), text.size()};
   msghdr message{};
@@ -105,27 +105,28 @@
 }
 int Descriptor::Release() { return std::exchange(fd_, -1); }
 
-std::optional<Claim> Ask(const std::string& path) {
+std::optional<InheritedState> RequestHandover(const std::string& path) {
   if (path.empty()) return std::nullopt;
-  Descriptor socket = Connected(path);
-  // Nobody there, or a leftover of a process that was killed: no old process, then.
+  Descriptor socket = Connect(path);
+  // No process, or only the socket file of one that was killed.
   if (!socket) return std::nullopt;
-  if (!SameUser(socket.get())) return Complain("the socket's process is somebody else's"), std::nullopt;
+  if (!SameUser(socket.get()))
+    return LogError("the process at the socket belongs to another user"), std::nullopt;
   pollfd wait{socket.get(), POLLIN, 0};
-  std::optional<Received> answer;
-  if (::poll(&wait, 1, kAnswerMs) == 1) answer = Receive(socket.get());
-  if (!answer || answer->closed) return Complain("no answer from the running process"), std::nullopt;
+  std::optional<Received> response;
+  if (::poll(&wait, 1, kResponseTimeoutMs) == 1) response = Receive(socket.get());
+  if (!response || response->closed) return LogError("no response from the running process"), std::nullopt;
   std::string error;
-  const auto holding = ParseHeldResources(answer->text, error);
-  if (!holding) return Complain(error), std::nullopt;
-  if (!answer->descriptor || !IsListener(answer->descriptor.get()))
-    return Complain("no listener from the running process"), std::nullopt;
-  return Claim{*holding, std::move(answer->descriptor), std::move(socket)};
+  const auto held_resources = ParseHeldResources(response->text, error);
+  if (!held_resources) return LogError(error), std::nullopt;
+  if (!response->descriptor || !IsListener(response->descriptor.get()))
+    return LogError("the running process sent no listener"), std::nullopt;
+  return InheritedState{*held_resources, std::move(response->descriptor), std::move(socket)};
 }
 
 struct Channel::State : std::enable_shared_from_this<Channel::State> {
-  State(asio::io_context& io, Descriptor channel, Events told)
-      : events(std::move(told)), socket(io, channel.Release()) {}
+  State(asio::io_context& io, Descriptor channel, Events handlers)
+      : events(std::move(handlers)), socket(io, channel.Release()) {}
 
   void Wait() {
     socket.async_wait(asio::posix::stream_descriptor::wait_read,
@@ -179,65 +180,65 @@
   ::sendmsg(state_->socket.native_handle(), &message, MSG_NOSIGNAL | MSG_DONTWAIT);
 }
 
-Door::Door(asio::io_context& io, std::string path, int listener, Events events)
+HandoverServer::HandoverServer(asio::io_context& io, std::string path, int listener, Events events)
     : io_(io), path_(std::move(path)), listener_(listener), events_(std::move(events)) {
   Listen();
 }
 
-Door::~Door() = default;
+HandoverServer::~HandoverServer() = default;
 
-void Door::Listen() {
+void HandoverServer::Listen() {
   if (path_.empty()) return;
   struct stat found {};
   if (::lstat(path_.c_str(), &found) == 0) {
-    if (!S_ISSOCK(found.st_mode)) return Complain(path_ + " is no socket; upgrades will not be seamless");
-    ::unlink(path_.c_str());  // of a process that has handed on, or was killed
+    if (!S_ISSOCK(found.st_mode)) return LogError(path_ + " is not a socket; hot restart is off");
+    ::unlink(path_.c_str());  // left by a process that was replaced or killed
   }
   Descriptor socket = NewSocket();
   const sockaddr_un address = AddressOf(path_);
   constexpr int kBacklog = 4;
   if (!socket || ::bind(socket.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
       ::chmod(path_.c_str(), S_IRUSR | S_IWUSR) != 0 || ::listen(socket.get(), kBacklog) != 0)
-    return Complain(path_ + ": " + std::strerror(errno) + "; upgrades will not be seamless");
-  door_ = std::make_unique<asio::posix::stream_descriptor>(io_, socket.Release());
+    return LogError(path_ + ": " + std::strerror(errno) + "; hot restart is off");
+  acceptor_ = std::make_unique<asio::posix::stream_descriptor>(io_, socket.Release());
   Accept();
 }
 
-void Door::Accept() {
+void HandoverServer::Accept() {
   const auto wanted = [this, alive = std::weak_ptr<bool>(alive_)](ErrorCode error) {
-    if (error || alive.expired() || door_ == nullptr) return;
-    Descriptor peer(::accept4(door_->native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (peer) OnPeer(std::move(peer));
-    if (door_ != nullptr) Accept();
+    if (error || alive.expired() || acceptor_ == nullptr) return;
+    Descriptor peer(::accept4(acceptor_->native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    if (peer) OnConnection(std::move(peer));
+    if (acceptor_ != nullptr) Accept();
   };
-  door_->async_wait(asio::posix::stream_descriptor::wait_read, wanted);
+  acceptor_->async_wait(asio::posix::stream_descriptor::wait_read, wanted);
 }
 
-void Door::OnPeer(Descriptor peer) {
-  // One at a time; a second is let go without a word and falls back.
-  if (newcomer_ != nullptr || !SameUser(peer.get())) return;
-  newcomer_ = std::make_unique<Channel>(
+void HandoverServer::OnConnection(Descriptor peer) {
+  // One successor at a time; a second one is disconnected and starts without a handover.
+  if (successor_ != nullptr || !SameUser(peer.get())) return;
+  successor_ = std::make_unique<Channel>(
       io_, std::move(peer),
       Channel::Events{[this](std::string_view message) {
-                        if (message != kServing || door_ == nullptr) return;
-                        door_ = nullptr;  // the path is the newcomer's from here on
-                        events_.on_serving();
+                        if (message != kServing || acceptor_ == nullptr) return;
+                        acceptor_ = nullptr;  // the successor listens at the path now
+                        events_.on_successor_serving();
                       },
                       [this] {
-                        // Not from within the channel that it ends.
+                        // Posted, as this destroys the channel.
                         asio::post(io_, [this, alive = std::weak_ptr<bool>(alive_),
-                                         gone = std::shared_ptr<Channel>(std::move(newcomer_))] {
-                          if (alive.expired() || (door_ == nullptr && Reaches(path_))) return;
-                          if (door_ == nullptr) Listen();
-                          events_.on_lost();
+                                         gone = std::shared_ptr<Channel>(std::move(successor_))] {
+                          if (alive.expired() || (acceptor_ == nullptr && IsReachable(path_))) return;
+                          if (acceptor_ == nullptr) Listen();
+                          events_.on_successor_lost();
                         });
                       }});
-  newcomer_->Send(Write(events_.holding()), listener_);
-  events_.on_newcomer();
+  successor_->Send(Serialize(events_.held_resources()), listener_);
+  events_.on_successor();
 }
 
-void Door::Tell() {
-  if (newcomer_ != nullptr) newcomer_->Send(Write(events_.holding()));
+void HandoverServer::SendHeldResources() {
+  if (successor_ != nullptr) successor_->Send(Serialize(events_.held_resources()));
 }
 
 }  // namespace merlinrun::handover
--- a/src/handover/channel.hpp
+++ b/src/handover/channel.hpp
@@ -1,5 +1,5 @@
-// The Unix socket between an old and a new process of one sidecar. Decides nothing: terms.hpp says what is
-// said, the sidecar what it means.
+// The Unix socket between the running process of a sidecar and its successor during a hot restart. Only
+// transport: messages.hpp defines the messages, and the sidecar acts on them.
 #ifndef MERLINRUN_HANDOVER_CHANNEL_HPP_
 #define MERLINRUN_HANDOVER_CHANNEL_HPP_
 
@@ -15,7 +15,7 @@
 
 namespace merlinrun::handover {
 
-// A descriptor that is closed with its owner; -1 = none.
+// An owned file descriptor; -1 = none.
 class Descriptor {
  public:
   explicit Descriptor(int fd = -1) : fd_(fd) {}
@@ -30,31 +30,31 @@
   int fd_;
 };
 
-// What the new process has been given.
-struct Claim {
-  HeldResources holding;
+// What the successor receives from the running process.
+struct InheritedState {
+  HeldResources held_resources;
   Descriptor listener;
   Descriptor channel;
 };
 
-// Asks the process behind `path` for its listener; waits for some tenths of a second at most. Empty if nobody
-// is there or the answer makes no sense; the latter is said in one line on standard error.
-std::optional<Claim> Ask(const std::string& path);
+// Requests the listener from the process at `path`; blocks for a few tenths of a second at most. Returns
+// nullopt if there is no process or its response is invalid; the latter is logged to standard error.
+std::optional<InheritedState> RequestHandover(const std::string& path);
 
-// One end of the channel, on the loop. Closed with this, or by the other side.
+// One end of an established channel. Closed by its destruction or by the peer.
 class Channel {
  public:
   struct Events {
     std::function<void(std::string_view)> on_message;
-    std::function<void()> on_closed;  // once; may destroy this
+    std::function<void()> on_closed;  // called once; may destroy the channel
   };
   Channel(boost::asio::io_context& io, Descriptor channel, Events events);
   ~Channel();
   Channel(const Channel&) = delete;
   Channel& operator=(const Channel&) = delete;
 
-  // Sends a message, with a descriptor if that is not -1. What does not go out at once is dropped: a process
-  // that does not read must not hold this one up.
+  // Sends a message, with a descriptor unless that is -1. Never blocks: drops the message if the peer does
+  // not read.
   void Send(std::string_view message, int descriptor = -1);
 
  private:
@@ -62,38 +62,39 @@
   std::shared_ptr<State> state_;
 };
 
-// The old process's side: is found at `path` and tells one newcomer at a time.
-class Door {
+// The side of the running process: listens at `path` and serves one successor at a time.
+class HandoverServer {
  public:
   struct Events {
-    std::function<HeldResources()> holding;  // of this moment
-    std::function<void()> on_newcomer;       // it has been given the listener
-    std::function<void()> on_serving;        // it serves; nobody is listened for from here on
-    std::function<void()>
-        on_lost;  // the newcomer has gone and nobody serves for it; the path is listened at again
+    std::function<HeldResources()> held_resources;  // the current values
+    std::function<void()> on_successor;             // it has received the listener
+    std::function<void()> on_successor_serving;     // it serves now; `path` is no longer listened at
+    // The successor is gone and no other process serves; `path` is listened at again.
+    std::function<void()> on_successor_lost;
   };
-  // `listener` must stay open for as long as this lives. Says in one line on standard error if the path
-  // cannot be had; nobody is told anything then.
-  Door(boost::asio::io_context& io, std::string path, int listener, Events events);
-  ~Door();
-  Door(const Door&) = delete;
-  Door& operator=(const Door&) = delete;
+  // `listener` must stay open during the lifetime of this. If `path` can't be listened at, logs that to
+  // standard error and does nothing else.
+  HandoverServer(boost::asio::io_context& io, std::string path, int listener, Events events);
+  ~HandoverServer();
+  HandoverServer(const HandoverServer&) = delete;
+  HandoverServer& operator=(const HandoverServer&) = delete;
 
-  // Tells the newcomer what is held now.
-  void Tell();
+  // Sends the current values to the successor, if there is one.
+  void SendHeldResources();
 
  private:
   void Listen();
   void Accept();
-  void OnPeer(Descriptor peer);
+  void OnConnection(Descriptor peer);
 
   boost::asio::io_context& io_;
   const std::string path_;
   const int listener_;
   const Events events_;
-  std::unique_ptr<boost::asio::posix::stream_descriptor> door_;
-  std::unique_ptr<Channel> newcomer_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for what is called back after the end
+  std::unique_ptr<boost::asio::posix::stream_descriptor> acceptor_;
+  std::unique_ptr<Channel> successor_;
+  std::shared_ptr<bool> alive_ =
+      std::make_shared<bool>(true);  // expired in handlers that run after the destruction
 };
 
 }  // namespace merlinrun::handover
--- a/src/handover/messages.cpp
+++ b/src/handover/messages.cpp
@@ -11,22 +11,23 @@
 using Json = nlohmann::json;
 constexpr const char* kProgram = "fennelhollow";
 
-// A count that makes sense: guards against negative or huge ones, which would leave no limit at all.
-std::optional<std::size_t> Count(const Json& json, const char* name) {
+// Rejects negative and huge counts, which would disable the limits.
+std::optional<std::size_t> ReadCount(const Json& json, const char* name) {
   const auto it = json.find(name);
-  constexpr std::uint64_t kMost = std::uint64_t{1} << 40;
-  if (it == json.end() || !it->is_number_unsigned() || it->get<std::uint64_t>() > kMost) return std::nullopt;
+  constexpr std::uint64_t kMaxCount = std::uint64_t{1} << 40;
+  if (it == json.end() || !it->is_number_unsigned() || it->get<std::uint64_t>() > kMaxCount)
+    return std::nullopt;
   return it->get<std::size_t>();
 }
 
 }  // namespace
 
-std::string Write(const HeldResources& holding) {
+std::string Serialize(const HeldResources& held_resources) {
   return Json{{"program", kProgram},
               {"version", kVersion},
-              {"evacuated", holding.evacuated},
-              {"sockets", holding.sockets},
-              {"memory", holding.memory}}
+              {"evacuated", held_resources.evacuated},
+              {"sockets", held_resources.descriptors},
+              {"memory", held_resources.memory}}
       .dump();
 }
 
@@ -40,17 +41,17 @@
     error = "a message of another version";
     return std::nullopt;
   }
-  const auto sockets = Count(json, "sockets");
-  const auto memory = Count(json, "memory");
+  const auto descriptors = ReadCount(json, "sockets");
+  const auto memory = ReadCount(json, "memory");
   const auto evacuated = json.find("evacuated");
-  if (!sockets || !memory || evacuated == json.end() || !evacuated->is_boolean()) {
+  if (!descriptors || !memory || evacuated == json.end() || !evacuated->is_boolean()) {
     error = "a message that makes no sense";
     return std::nullopt;
   }
-  return HeldResources{evacuated->get<bool>(), *sockets, *memory};
+  return HeldResources{evacuated->get<bool>(), *descriptors, *memory};
 }
 
-std::string PathFor(const std::string& folder, const std::string& address) {
+std::string SocketPath(const std::string& folder, const std::string& address) {
   if (folder.empty()) return "";
   std::string name = address;
   std::replace(name.begin(), name.end(), ':', '-');
--- a/src/handover/messages.hpp
+++ b/src/handover/messages.hpp
@@ -1,4 +1,5 @@
-// What an old and a new process of one sidecar say to each other, and how they share its limits. Free of I/O.
+// Messages of the hot restart protocol between the running process of a sidecar and its successor, and how
+// both share the limits of the sidecar. Does no I/O.
 #ifndef MERLINRUN_HANDOVER_MESSAGES_HPP_
 #define MERLINRUN_HANDOVER_MESSAGES_HPP_
 
@@ -10,35 +11,35 @@
 namespace merlinrun::handover {
 
 inline constexpr int kVersion = 1;
-inline constexpr std::size_t kMostMessage = 512;  // bytes; a longer one is cut and so not read
+inline constexpr std::size_t kMaxMessageBytes = 512;  // longer messages are truncated and so rejected
 
-// What the old process says: at first with its listening descriptor, then each time as it gives back.
+// What the running process still holds. Sent with the listening descriptor first, then periodically during
+// the handover.
 struct HeldResources {
-  bool evacuated = false;   // its clients were told to go elsewhere
-  std::size_t sockets = 0;  // descriptors that it holds
-  std::size_t memory = 0;   // bytes of bodies and answers that it holds
+  bool evacuated = false;       // by the operator
+  std::size_t descriptors = 0;  // open file descriptors
+  std::size_t memory = 0;       // bytes of buffered bodies
 };
 
-std::string Write(const HeldResources& holding);
-// Empty, with one line in `error`, for what is cut, foreign or of another version.
+std::string Serialize(const HeldResources& held_resources);
+// Returns nullopt and sets `error` if the message is truncated, foreign or of another version.
 std::optional<HeldResources> ParseHeldResources(std::string_view message, std::string& error);
 
-// The one thing that the new process says.
+// The only message of the successor: it serves now.
 inline constexpr std::string_view kServing = "serving";
 
-// What a newcomer needs before it serves: standard streams, the loop's own, signals, discovery's watch, the
-// channel, the listeners and the second address's callers.
-inline constexpr std::size_t kNewcomer = 48;
+// File descriptors that a successor needs before it serves: standard streams, event loop, signals, discovery,
+// the channel, listeners and the operators' connections.
+inline constexpr std::size_t kSuccessorDescriptors = 48;
 
-// What one of two processes may hold of a limit of which the other holds `others`; at least `least`, as a
-// process with nothing serves nobody.
-constexpr std::size_t Left(std::size_t limit, std::size_t others, std::size_t least) {
-  return limit > others + least ? limit - others : least;
+// The share of a limit that remains for one process while the other holds `others`; at least `minimum`.
+constexpr std::size_t RemainingShare(std::size_t limit, std::size_t others, std::size_t minimum) {
+  return limit > others + minimum ? limit - others : minimum;
 }
 
-// The path of the socket at which the process that listens on `address` is found; empty if `folder` is, or if
-// the path is longer than a socket's may be.
-std::string PathFor(const std::string& folder, const std::string& address);
+// The path of the handover socket of the process that listens on `address`; empty if `folder` is empty or the
+// path is too long for a Unix socket.
+std::string SocketPath(const std::string& folder, const std::string& address);
 
 }  // namespace merlinrun::handover
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
-// fennelhollow: a sidecar that balances the load of the application beside it over its servers.
-// Exit status: 0 after SIGTERM or SIGINT, 1 if it cannot listen, 2 if the configuration makes no sense.
+// fennelhollow: a sidecar proxy that balances the requests of its application over the servers.
+// Exit status: 0 after SIGTERM or SIGINT, 1 if it cannot listen, 2 if the configuration is invalid.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -15,22 +15,22 @@
 
 using merlinrun::net::Sidecar;
 
-const char* Environment(const char* name) { return std::getenv(name); }
+const char* ReadEnvironment(const char* name) { return std::getenv(name); }
 
-// Reads the configuration again at each SIGHUP. A file that makes no sense is told, and changes nothing.
+// Reloads the configuration on SIGHUP. Invalid configurations are logged and change nothing.
 class Reloader {
  public:
   explicit Reloader(boost::asio::io_context& io) : signals_(io, SIGHUP) {}
 
-  void Serve(Sidecar& sidecar) {
+  void Watch(Sidecar& sidecar) {
     signals_.async_wait([this, &sidecar](const boost::system::error_code& stopped, int) {
       if (stopped) return;
       try {
-        sidecar.Reload(merlinrun::net::ReloadConfig(Environment));
+        sidecar.Reload(merlinrun::net::ReloadConfig(ReadEnvironment));
       } catch (const std::exception& error) {
-        std::fprintf(stderr, "fennelhollow: the configuration is kept as it was: %s\n", error.what());
+        std::fprintf(stderr, "fennelhollow: keeping the current configuration: %s\n", error.what());
       }
-      Serve(sidecar);
+      Watch(sidecar);
     });
   }
 
@@ -38,11 +38,11 @@
   boost::asio::signal_set signals_;
 };
 
-int Serve() {
+int Run() {
   boost::asio::io_context io(1);
-  Reloader reloader(io);  // before all else: from here on SIGHUP ends nothing, it waits for the loop
-  Sidecar sidecar(io, merlinrun::net::LoadConfig(Environment));
-  reloader.Serve(sidecar);
+  Reloader reloader(io);  // first, so that a SIGHUP during the start does not end the process
+  Sidecar sidecar(io, merlinrun::net::LoadConfig(ReadEnvironment));
+  reloader.Watch(sidecar);
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
   signals.async_wait([&](const boost::system::error_code& error, int) {
     if (!error) sidecar.Stop([&io] { io.stop(); });
@@ -62,9 +62,9 @@
 }  // namespace
 
 int main() {
-  std::signal(SIGPIPE, SIG_IGN);  // a peer that has left is an error of the write, not the end
+  std::signal(SIGPIPE, SIG_IGN);  // writes to closed connections fail with an error instead
   try {
-    return Serve();
+    return Run();
   } catch (const std::exception& error) {
     std::fprintf(stderr, "fennelhollow: %s\n", error.what());
     return 2;
--- a/src/net/asio_loop.cpp
+++ b/src/net/asio_loop.cpp
@@ -11,26 +11,25 @@
 namespace merlinrun::net {
 namespace {
 
-// Unix time and the steady clock compared once: the steady one alone moves afterwards. Were the difference
-// taken anew for each list, one start would be mapped to ever new times, and the module takes a new time for
-// a new start, with a cold server.
+// Difference of Unix time and the steady clock, determined only once: if it changed, the start time of a
+// server would change too, and the balancer would treat the server as restarted.
 Micros ClockOffset() {
   const auto wall = std::chrono::system_clock::now().time_since_epoch();
   const auto steady = std::chrono::steady_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::microseconds>(wall - steady).count();
 }
 
-// What is awaited outlives the timer by a turn: its time may have come just when it is stopped, and Asio then
-// calls back all the same. The count tells such a call from one that is still wanted.
+// Asio may call a handler that was already due when its timer is cancelled. The generation identifies such
+// calls.
 class AsioTimer : public core::Timer {
  public:
   explicit AsioTimer(asio::io_context& io) : state_(std::make_shared<State>(io)) {}
   ~AsioTimer() override {
-    ++state_->turn;
+    ++state_->generation;
     state_->due = nullptr;
     try {
       state_->timer.cancel();
-    } catch (const boost::system::system_error&) {  // nothing to be called back then
+    } catch (const boost::system::system_error&) {  // no handler is called then
     }
   }
   AsioTimer(const AsioTimer&) = delete;
@@ -39,8 +38,8 @@
   void Start(Micros delay, std::function<void()> due) override {
     state_->due = std::move(due);
     state_->timer.expires_after(std::chrono::microseconds(delay));
-    state_->timer.async_wait([state = state_, turn = ++state_->turn](ErrorCode error) {
-      if (error || turn != state->turn) return;
+    state_->timer.async_wait([state = state_, generation = ++state_->generation](ErrorCode error) {
+      if (error || generation != state->generation) return;
       const auto call = std::exchange(state->due, nullptr);
       call();
     });
@@ -51,7 +50,7 @@
     explicit State(asio::io_context& io) : timer(io) {}
     asio::steady_timer timer;
     std::function<void()> due;
-    std::uint64_t turn = 0;
+    std::uint64_t generation = 0;
   };
   std::shared_ptr<State> state_;
 };
@@ -76,13 +75,13 @@
 
 std::unique_ptr<core::Timer> AsioLoop::NewTimer() { return std::make_unique<AsioTimer>(io_); }
 
-void RunUntilStopped(asio::io_context& io, const std::function<void(const char* what)>& say) {
+void RunUntilStopped(asio::io_context& io, const std::function<void(const char* what)>& log) {
   for (;;) {
     try {
       io.run();
       return;
     } catch (const std::exception& error) {
-      say(error.what());
+      log(error.what());
     }
   }
 }
--- a/src/net/asio_loop.hpp
+++ b/src/net/asio_loop.hpp
@@ -1,4 +1,4 @@
-// The core's Loop on Asio.
+// Implements core::Loop with Boost.Asio.
 #ifndef MERLINRUN_NET_ASIO_LOOP_HPP_
 #define MERLINRUN_NET_ASIO_LOOP_HPP_
 
@@ -23,9 +23,8 @@
   const Micros clock_offset_;
 };
 
-// Runs the loop until it is stopped. What escapes a handler ends that handler and not the process, with all
-// that it holds; `say` is told.
-void RunUntilStopped(asio::io_context& io, const std::function<void(const char* what)>& say);
+// Runs the loop until it is stopped. Exceptions of handlers are passed to `log` and do not end the loop.
+void RunUntilStopped(asio::io_context& io, const std::function<void(const char* what)>& log);
 
 }  // namespace merlinrun::net
 
--- a/src/net/body_chunk.hpp
+++ b/src/net/body_chunk.hpp
@@ -1,4 +1,4 @@
-// A piece of a large body on its way out, the same towards clients and servers.
+// Writes streamed bodies, to clients and servers alike.
 #ifndef MERLINRUN_NET_BODY_CHUNK_HPP_
 #define MERLINRUN_NET_BODY_CHUNK_HPP_
 
@@ -11,14 +11,14 @@
 
 namespace merlinrun::net {
 
-// Writes `piece`, as a chunk where the body goes in chunks (RFC 9112, 7.1). It must stay as it is until
+// Writes `data`, with chunked encoding (RFC 9112, 7.1) if `chunked`. `data` must stay unchanged until
 // `written` is called.
 template <typename Handler>
-void WritePieceTo(Tcp::socket& socket, const std::string& piece, bool chunked, Handler written) {
+void WriteBodyChunk(Tcp::socket& socket, const std::string& data, bool chunked, Handler written) {
   if (chunked)
-    asio::async_write(socket, http::make_chunk(asio::buffer(piece)), std::move(written));
+    asio::async_write(socket, http::make_chunk(asio::buffer(data)), std::move(written));
   else
-    asio::async_write(socket, asio::buffer(piece), std::move(written));
+    asio::async_write(socket, asio::buffer(data), std::move(written));
 }
 
 }  // namespace merlinrun::net
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -13,15 +13,15 @@
 namespace {
 
 using Json = nlohmann::json;
-using core::WireName;
+using core::NormalizeName;
 
-constexpr double kMostExact = 9007199254740992.0;  // 2^53: whole numbers are exact up to here
+constexpr double kMaxExactInteger = 9007199254740992.0;  // 2^53: the largest exact integer
 
-std::string Scalar(const Json& value) {
-  if (value.is_string()) return WireName(value.get<std::string>());
+std::string FormatScalar(const Json& value) {
+  if (value.is_string()) return NormalizeName(value.get<std::string>());
   if (value.is_number_float()) {  // 250000.0 is a whole number too
     const double number = value.get<double>();
-    if (std::trunc(number) == number && std::abs(number) < kMostExact)
+    if (std::trunc(number) == number && std::abs(number) < kMaxExactInteger)
       return std::to_string(static_cast<std::int64_t>(number));
   }
   return value.dump();
@@ -34,7 +34,7 @@
       std::any_of(list.begin(), list.end(), [](const Json& item) { return item.is_structured(); });
   if (!objects) {
     std::string joined;
-    for (const Json& item : list) joined += (joined.empty() ? "" : ",") + Scalar(item);
+    for (const Json& item : list) joined += (joined.empty() ? "" : ",") + FormatScalar(item);
     out += path + "=" + joined + " ";
     return;
   }
@@ -45,22 +45,22 @@
 void FlattenInto(const Json& value, const std::string& path, std::string& out) {
   if (value.is_object()) {
     for (const auto& [key, inner] : value.items())
-      FlattenInto(inner, path.empty() ? WireName(key) : path + "." + WireName(key), out);
+      FlattenInto(inner, path.empty() ? NormalizeName(key) : path + "." + NormalizeName(key), out);
   } else if (value.is_array()) {
     FlattenList(value, path, out);
   } else if (!value.is_null()) {
-    out += path + "=" + Scalar(value) + " ";
+    out += path + "=" + FormatScalar(value) + " ";
   }
 }
 
-Tcp::endpoint Address(const Json& json, const char* key, const std::string& from_environment) {
+Tcp::endpoint ReadAddress(const Json& json, const char* key, const std::string& from_environment) {
   const std::string text = from_environment.empty() ? json.at(key).get<std::string>() : from_environment;
   const auto address = ParseAddress(text);
   if (!address) throw ConfigError(std::string(key) + " '" + text + "': not an address with a port");
   return *address;
 }
 
-std::uint64_t Seed(const Json& json) {
+std::uint64_t ReadSeed(const Json& json) {
   const std::string text = json.value("seed", std::string("0"));
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
@@ -69,28 +69,29 @@
   return seed;
 }
 
-EndpointList Known(const Json& json, const drill::WireSettings& names) {
+EndpointList LastKnownEndpoints(const Json& json, const drill::WireSettings& names) {
   if (!json.contains("known") || json.at("known").is_null()) return {};
   std::string error;
-  const auto list = ParseList(json.at("known"), names, error);
+  const auto list = ParseEndpointList(json.at("known"), names, error);
   if (!list) throw ConfigError("known: " + error);
   return *list;
 }
 
-void TakeLimits(const Json& json, Config& config) {
+void ReadLimits(const Json& json, Config& config) {
   if (!json.contains("limits")) return;
   const Json& limits = json.at("limits");
-  config.sockets = limits.value("sockets", static_cast<std::uint64_t>(config.sockets));
+  config.max_file_descriptors =
+      limits.value("sockets", static_cast<std::uint64_t>(config.max_file_descriptors));
   const double megabytes = limits.value("memory_mb", 64.0);
-  if (config.sockets < kMinFileDescriptors)
+  if (config.max_file_descriptors < kMinFileDescriptors)
     throw ConfigError("limits.sockets: under 64, too few to work with");
   if (!(megabytes >= 16 && megabytes <= 1e9))
     throw ConfigError("limits.memory_mb: under 16, too few to work with");
-  config.memory = static_cast<std::size_t>(megabytes * (1 << 20));
+  config.memory_limit = static_cast<std::size_t>(megabytes * (1 << 20));
 }
 
-// Kept as they are told: they are looked at only where words are said, and can spoil no start elsewhere.
-void TakePeers(const Json& json, Config& config) {
+// Not parsed here: an invalid address must not prevent a start where the messages are off.
+void ReadPeers(const Json& json, Config& config) {
   const auto text = [](const Json& value) {
     return value.is_string() ? value.get<std::string>() : value.dump();
   };
@@ -104,25 +105,25 @@
                 const std::string& ops) {
   Config config;
   config.name = json.value("name", std::string());
-  config.listen = Address(json, "listen", listen);
-  config.discovery = Address(json, "discovery", discovery);
+  config.listen = ReadAddress(json, "listen", listen);
+  config.discovery = ReadAddress(json, "discovery", discovery);
   if (!ops.empty() || (json.contains("ops") && !json.at("ops").is_null()))
-    config.ops = Address(json, "ops", ops);
-  config.seed = Seed(json);
-  TakeLimits(json, config);
+    config.ops = ReadAddress(json, "ops", ops);
+  config.seed = ReadSeed(json);
+  ReadLimits(json, config);
   config.wire = drill::ParseSettings(FlattenSettings(json.at("settings")));
-  config.known = Known(json, config.wire);
-  if (config.wire.settings.peers) TakePeers(json, config);
+  config.last_known_endpoints = LastKnownEndpoints(json, config.wire);
+  if (config.wire.settings.peers) ReadPeers(json, config);
   return config;
 }
 
-std::string Value(const Environment& environment, const char* name) {
+std::string EnvironmentValue(const Environment& environment, const char* name) {
   const char* const text = environment(name);
   return text == nullptr ? "" : text;
 }
 
 std::string ReadConfig(const Environment& environment) {
-  const std::string path = Value(environment, "EDGE_CONFIG");
+  const std::string path = EnvironmentValue(environment, "EDGE_CONFIG");
   if (path.empty()) throw ConfigError("EDGE_CONFIG: not set");
   return ReadFile(path);
 }
@@ -136,7 +137,7 @@
 
 std::string ReadFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  std::string text((std::istreambuf_iterator<char>(file)), {});  // an empty one is a file too
+  std::string text((std::istreambuf_iterator<char>(file)), {});  // an empty file is valid
   if (!file.is_open() || file.bad()) throw ConfigError(path + ": cannot be read");
   return text;
 }
@@ -144,7 +145,7 @@
 std::string FlattenSettings(const Json& settings) {
   std::string out;
   FlattenInto(settings, "", out);
-  if (!out.empty()) out.pop_back();  // the last space
+  if (!out.empty()) out.pop_back();  // the trailing space
   return out;
 }
 
@@ -160,20 +161,21 @@
 }
 
 Config LoadConfig(const Environment& environment) {
-  Config config = ParseConfig(ReadConfig(environment), Value(environment, "EDGE_LISTEN"),
-                              Value(environment, "EDGE_DISCOVERY"), Value(environment, "EDGE_OPS"));
-  config.temporary = Value(environment, "TMPDIR");
-  config.diameter = Value(environment, "EDGE_DIAMETER");
-  config.record = Value(environment, "EDGE_RECORD");
-  config.trace = Value(environment, "EDGE_TRACE");
-  config.fleet = Value(environment, "EDGE_FLEET");
-  config.zones = Value(environment, "EDGE_ZONES");
+  Config config =
+      ParseConfig(ReadConfig(environment), EnvironmentValue(environment, "EDGE_LISTEN"),
+                  EnvironmentValue(environment, "EDGE_DISCOVERY"), EnvironmentValue(environment, "EDGE_OPS"));
+  config.temp_directory = EnvironmentValue(environment, "TMPDIR");
+  config.diameter_file = EnvironmentValue(environment, "EDGE_DIAMETER");
+  config.recording_file = EnvironmentValue(environment, "EDGE_RECORD");
+  config.trace_file = EnvironmentValue(environment, "EDGE_TRACE");
+  config.fleet_file = EnvironmentValue(environment, "EDGE_FLEET");
+  config.zone_overrides_file = EnvironmentValue(environment, "EDGE_ZONES");
   return config;
 }
 
 Config ReloadConfig(const Environment& environment) {
-  Config config = ParseConfig(ReadConfig(environment), Value(environment, "EDGE_LISTEN"), "");
-  config.zones = Value(environment, "EDGE_ZONES");
+  Config config = ParseConfig(ReadConfig(environment), EnvironmentValue(environment, "EDGE_LISTEN"), "");
+  config.zone_overrides_file = EnvironmentValue(environment, "EDGE_ZONES");
   return config;
 }
 
--- a/src/net/config.hpp
+++ b/src/net/config.hpp
@@ -1,4 +1,4 @@
-// What the sidecar is told at its start: the environment and the JSON configuration.
+// Reads the JSON configuration and the environment variables of the sidecar.
 #ifndef MERLINRUN_NET_CONFIG_HPP_
 #define MERLINRUN_NET_CONFIG_HPP_
 
@@ -21,45 +21,46 @@
   using std::runtime_error::runtime_error;
 };
 
-// Fewer descriptors than this are too few to work with.
+// The smallest allowed descriptor limit.
 inline constexpr std::size_t kMinFileDescriptors = 64;
 
 struct Config {
   std::string name;
   Tcp::endpoint listen;
   Tcp::endpoint discovery;
-  std::optional<Tcp::endpoint> ops;  // the second address; none: it is off
+  std::optional<Tcp::endpoint> ops;  // the operators' address; none: off
   std::uint64_t seed = 0;
-  std::size_t sockets = 1024;                  // descriptors that the process may hold
-  std::size_t memory = std::size_t{64} << 20;  // bytes that it may use
+  std::size_t max_file_descriptors = 1024;           // of the process
+  std::size_t memory_limit = std::size_t{64} << 20;  // bytes
   drill::WireSettings wire;
-  EndpointList known;     // the list as this sidecar last had it
-  std::string temporary;  // the folder for what other processes of this sidecar find (TMPDIR); empty: none
-  std::string diameter;   // the operator's Diameter file (EDGE_DIAMETER); empty: no Diameter
-  std::string record;     // the operator's recording file (EDGE_RECORD); empty: no recording
-  std::string trace;      // the operator's trace file (EDGE_TRACE); empty: no trace
-  std::string zones;      // the operator's orders on zones (EDGE_ZONES); empty: there are none
-  std::string fleet;      // the operator's file on words between sidecars (EDGE_FLEET); empty: none are said
-  std::string peer_listen;         // where others' words come, as it was told; empty: they may not be said
-  std::vector<std::string> peers;  // the whole tier's such addresses, by number
+  EndpointList last_known_endpoints;  // used until discovery has sent its list
+  std::string temp_directory;         // TMPDIR, for the handover socket; empty: no hot restart
+  // Optional files of the operator; empty: the feature is off.
+  std::string diameter_file;        // EDGE_DIAMETER
+  std::string recording_file;       // EDGE_RECORD
+  std::string trace_file;           // EDGE_TRACE
+  std::string zone_overrides_file;  // EDGE_ZONES
+  std::string fleet_file;           // EDGE_FLEET
+  std::string peer_listen;          // UDP address for messages of other sidecars, unparsed; empty: off
+  std::vector<std::string> peers;   // the same for all sidecars, indexed by rank
 };
 
-// The settings in the form that the adapter reads, path=value pairs: one mapping of names serves both.
+// Converts settings to the path=value pairs that drill::ParseSettings reads.
 std::string FlattenSettings(const nlohmann::json& settings);
 
-// All of a file. Throws ConfigError, with one plain line, if it cannot be had.
+// Reads a whole file. Throws ConfigError with a one-line message on failure.
 std::string ReadFile(const std::string& path);
 
-// What is not empty comes before the file's own.
+// Non-empty `listen`, `discovery` and `ops` override the addresses in `text`.
 Config ParseConfig(const std::string& text, const std::string& listen, const std::string& discovery,
                    const std::string& ops = "");
 
 using Environment = std::function<const char*(const char*)>;
 
-// Reads EDGE_CONFIG and what it names. Throws ConfigError, with one plain line, if anything is amiss.
+// Reads the file that EDGE_CONFIG names, and the environment. Throws ConfigError with a one-line message.
 Config LoadConfig(const Environment& environment);
 
-// The same for a file that has been replaced since: its own discovery holds, not EDGE_DISCOVERY.
+// The same for a reload: the discovery address of the file takes precedence over EDGE_DISCOVERY.
 Config ReloadConfig(const Environment& environment);
 
 }  // namespace merlinrun::net
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -18,8 +18,8 @@
 namespace merlinrun::net {
 namespace {
 
-constexpr std::size_t kMostLine = std::size_t{4} * 1024 * 1024;  // some 20,000 servers
-constexpr std::int64_t kMostUnixMs = std::int64_t{1} << 49;      // the module takes times under 2^60 us
+constexpr std::size_t kMaxLineBytes = std::size_t{4} * 1024 * 1024;  // about 20,000 servers
+constexpr std::int64_t kMaxUnixMs = std::int64_t{1} << 49;  // the balancer requires times under 2^60 us
 
 std::optional<ServerInfo::State> ParseLifecycle(const std::string& word) {
   if (word == "up") return ServerInfo::State::kHealthy;
@@ -31,60 +31,60 @@
 Endpoint ParseEntry(const nlohmann::json& json, const drill::WireSettings& names, std::string& error) {
   Endpoint out;
   out.info.id = json.at("instanceId").get<std::string>();
-  if (out.info.id.empty()) error = "an empty instanceId";
+  if (out.info.id.empty()) error = "empty instanceId";
   const auto state = ParseLifecycle(json.at("lifecycle").get<std::string>());
-  if (!state) error = "an unknown lifecycle";
+  if (!state) error = "unknown lifecycle";
   out.info.state = state.value_or(ServerInfo::State::kGone);
   const auto address = ParseAddress(json.value("hostPort", std::string()));
-  if (!address && out.info.state != ServerInfo::State::kGone) error = "a hostPort that is no address";
+  if (!address && out.info.state != ServerInfo::State::kGone) error = "hostPort is not an address";
   out.address = address.value_or(Tcp::endpoint());
   if (json.contains("diameterHostPort")) {
     out.diameter = ParseAddress(json.at("diameterHostPort").get<std::string>());
-    if (!out.diameter) error = "a diameterHostPort that is no address";
+    if (!out.diameter) error = "diameterHostPort is not an address";
   }
   out.info.zone = drill::IndexOf(names.zones, json.value("zone", std::string()));
   out.info.machine_type = drill::IndexOf(names.machines, json.value("machineType", std::string()));
   out.info.cell = json.value("cell", std::int64_t{-1});
   out.info.weight = json.value("weight", 1.0);
   const auto started = json.value("startedAtMs", std::int64_t{0});
-  if (started < 0 || started > kMostUnixMs) error = "a startedAtMs out of range";
-  out.info.started = std::clamp<std::int64_t>(started, 0, kMostUnixMs) * 1000;
+  if (started < 0 || started > kMaxUnixMs) error = "startedAtMs is out of range";
+  out.info.started = std::clamp<std::int64_t>(started, 0, kMaxUnixMs) * 1000;
   return out;
 }
 
 }  // namespace
 
-std::optional<EndpointList> ParseList(const nlohmann::json& json, const drill::WireSettings& names,
-                                      std::string& error) {
+std::optional<EndpointList> ParseEndpointList(const nlohmann::json& json, const drill::WireSettings& names,
+                                              std::string& error) {
   error.clear();
   try {
     EndpointList list;
     list.generation = json.at("generation").get<std::int64_t>();
-    list.whole = json.at("reset").get<bool>();
+    list.is_full = json.at("reset").get<bool>();
     for (const nlohmann::json& entry : json.at("instances"))
       list.endpoints.push_back(ParseEntry(entry, names, error));
     if (error.empty()) return list;
-  } catch (const nlohmann::json::exception& wrong) {  // a member that is missing or of another type
-    error = wrong.what();
+  } catch (const nlohmann::json::exception& parse_error) {  // a missing member or a wrong type
+    error = parse_error.what();
   }
   return std::nullopt;
 }
 
-// One watch, from its connection to its end. Reports its end once, unless it is stopped first.
+// One connection to discovery. Reports its end once, unless it is stopped first.
 class Discovery::Stream : public std::enable_shared_from_this<Stream> {
  public:
   explicit Stream(Discovery& owner) : owner_(&owner), tcp_(owner.io_) {}
 
-  void Open() {
+  void Connect() {
     request_.method(http::verb::get);
-    whole_ = owner_->generation_ == kUnknown;
-    request_.target(whole_ ? "/v1/endpoints"
-                           : "/v1/endpoints?stream=1&index=" + std::to_string(owner_->generation_));
+    wants_full_list_ = owner_->generation_ == kUnknownGeneration;
+    request_.target(wants_full_list_ ? "/v1/endpoints"
+                                     : "/v1/endpoints?stream=1&index=" + std::to_string(owner_->generation_));
     request_.set(http::field::host, "discovery");
     ExpectProgress();
     tcp_.async_connect(owner_->address_, [self = shared_from_this()](ErrorCode error) {
       if (error) return self->End(error.message());
-      self->Ask();
+      self->SendRequest();
     });
   }
 
@@ -94,10 +94,10 @@
   }
 
  private:
-  // Guards against a discovery that is cut off: such a connection stays open and silent for ever.
-  void ExpectProgress() { tcp_.expires_after(std::chrono::microseconds(owner_->timing_.silence)); }
+  // Detects an unreachable discovery server whose connection stays open without data.
+  void ExpectProgress() { tcp_.expires_after(std::chrono::microseconds(owner_->timing_.silence_timeout)); }
 
-  void Ask() {
+  void SendRequest() {
     http::async_write(tcp_, request_, [self = shared_from_this()](ErrorCode error, std::size_t) {
       if (error) return self->End(error.message());
       self->ReadHeader();
@@ -106,13 +106,13 @@
 
   void ReadHeader() {
     if (owner_ == nullptr) return;
-    // A watch has no end. Not boost::none: Boost 1.74 then takes any Content-Length for too long.
+    // A watch is endless. Not boost::none: with that Boost 1.74 rejects any Content-Length.
     parser_.body_limit(std::numeric_limits<std::uint64_t>::max());
     http::async_read_header(tcp_, buffer_, parser_,
                             [self = shared_from_this()](ErrorCode error, std::size_t) {
                               if (error) return self->End(error.message());
                               if (self->parser_.get().result() != http::status::ok)
-                                return self->End("not answered with 200");
+                                return self->End("response status is not 200");
                               self->ReadBody();
                             });
   }
@@ -122,30 +122,30 @@
     if (parser_.is_done()) return OnBodyEnd();
     ExpectProgress();
     auto& body = parser_.get().body();
-    body.data = piece_.data();
-    body.size = piece_.size();
+    body.data = chunk_.data();
+    body.size = chunk_.size();
     body.more = true;
     http::async_read_some(tcp_, buffer_, parser_, [self = shared_from_this()](ErrorCode error, std::size_t) {
       if (error == http::error::need_buffer) error = {};
       if (error) return self->End(error.message());
-      self->TakePiece();
+      self->ProcessChunk();
     });
   }
 
-  // A watch has no end of its own; a whole list has, and the watch follows upon it.
+  // After a full list the watch is opened; a watch should not end.
   void OnBodyEnd() {
-    if (!whole_) return End("the watch ended");
+    if (!wants_full_list_) return End("the watch ended");
     Discovery* const owner = owner_;
     if (!line_.empty()) owner->OnLine(line_);
-    if (owner_ == nullptr) return;  // it could not be read
-    if (owner->generation_ == kUnknown) return End("no list", true);
+    if (owner_ == nullptr) return;  // the list was invalid
+    if (owner->generation_ == kUnknownGeneration) return End("empty list response", true);
     owner_ = nullptr;
     tcp_.close();
-    owner->Open();
+    owner->Connect();
   }
 
-  void TakePiece() {
-    line_.append(piece_.data(), piece_.size() - parser_.get().body().size);
+  void ProcessChunk() {
+    line_.append(chunk_.data(), chunk_.size() - parser_.get().body().size);
     std::size_t begin = 0;
     for (std::size_t end = line_.find('\n'); end != std::string::npos; end = line_.find('\n', begin)) {
       const std::string line = line_.substr(begin, end - begin);
@@ -154,7 +154,7 @@
       if (owner_ == nullptr) return;
     }
     line_.erase(0, begin);
-    if (line_.size() > kMostLine) return End("a line without end", true);
+    if (line_.size() > kMaxLineBytes) return End("line too long", true);
     ReadBody();
   }
 
@@ -162,17 +162,17 @@
     if (owner_ == nullptr) return;
     Discovery* const owner = std::exchange(owner_, nullptr);
     tcp_.close();
-    owner->OnEnd(reason, bad_input);
+    owner->OnStreamEnded(reason, bad_input);
   }
 
-  Discovery* owner_;  // null once the watch is over
+  Discovery* owner_;  // null after the end
   beast::tcp_stream tcp_;
   beast::flat_buffer buffer_{kMaxUnparsed};
   http::request<http::empty_body> request_;
   http::response_parser<http::buffer_body> parser_;
-  std::array<char, kReadSize> piece_{};
+  std::array<char, kReadSize> chunk_{};
   std::string line_;
-  bool whole_ = false;  // asks for the whole list, not for a watch
+  bool wants_full_list_ = false;  // instead of a watch
 };
 
 Discovery::Discovery(asio::io_context& io, Tcp::endpoint address, const drill::WireSettings& names,
@@ -192,61 +192,63 @@
 void Discovery::Watch(std::int64_t generation) {
   if (stream_ != nullptr) return;
   generation_ = generation;
-  Open();
+  Connect();
 }
 
-void Discovery::Switch(const Tcp::endpoint& address) {
+void Discovery::SetAddress(const Tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
-  generation_ = kUnknown;
+  generation_ = kUnknownGeneration;
   failures_ = 0;
-  complained_ = false;
+  bad_input_logged_ = false;
   if (stream_ != nullptr) std::exchange(stream_, nullptr)->Stop();
   backoff_.cancel();
-  Open();
+  Connect();
 }
 
-void Discovery::Open() {
+void Discovery::Connect() {
   stream_ = std::make_shared<Stream>(*this);
-  stream_->Open();
+  stream_->Connect();
 }
 
 void Discovery::OnLine(const std::string& line) {
-  std::string error = "no JSON";
+  std::string error = "invalid JSON";
   const auto json = nlohmann::json::parse(line, nullptr, /*allow_exceptions=*/false);
-  const auto list = json.is_discarded() ? std::nullopt : ParseList(json, names_, error);
-  if (list && !Follows(*list)) {
-    generation_ = kUnknown;
+  const auto list = json.is_discarded() ? std::nullopt : ParseEndpointList(json, names_, error);
+  if (list && !IsApplicable(*list)) {
+    generation_ = kUnknownGeneration;
     std::exchange(stream_, nullptr)->Stop();
-    return OnEnd("a lower generation", /*bad_input=*/true);
+    return OnStreamEnded("lower generation than the current list", /*bad_input=*/true);
   }
   if (!list) {
     std::exchange(stream_, nullptr)->Stop();
-    return OnEnd(error, /*bad_input=*/true);
+    return OnStreamEnded(error, /*bad_input=*/true);
   }
   failures_ = 0;
-  complained_ = false;
+  bad_input_logged_ = false;
   generation_ = list->generation;
   events_.on_list(*list);
 }
 
-// Changes build on the list before them. A lower generation is told by a discovery that has begun anew:
-// guards against changes on top of a list that it does not have.
-bool Discovery::Follows(const EndpointList& list) const {
-  return list.whole || (generation_ != kUnknown && list.generation >= generation_);
+// Changes apply to the list before them. A lower generation means that discovery has restarted, so its
+// changes do not apply to the current list.
+bool Discovery::IsApplicable(const EndpointList& list) const {
+  return list.is_full || (generation_ != kUnknownGeneration && list.generation >= generation_);
 }
 
-void Discovery::OnEnd(const std::string& reason, bool bad_input) {
+void Discovery::OnStreamEnded(const std::string& reason, bool bad_input) {
   stream_ = nullptr;
-  if (bad_input && !std::exchange(complained_, true))  // once: it may say the same at each reopening
-    std::fprintf(stderr, "discovery: the list is kept as it was: %.200s\n", reason.c_str());
+  if (bad_input &&
+      !std::exchange(bad_input_logged_, true))  // once, as the error may repeat at every reconnect
+    std::fprintf(stderr, "discovery: keeping the current server list: %.200s\n", reason.c_str());
   events_.on_failed();
-  if (!timing_.reopens) return;
-  // Jitter guards against all sidecars coming back in the same instant when discovery does.
-  const Micros most = ExponentialBackoff(timing_.backoff_base, failures_++, timing_.backoff_most);
-  backoff_.expires_after(std::chrono::microseconds(std::uniform_int_distribution<Micros>(0, most)(random_)));
+  if (!timing_.auto_reconnect) return;
+  // The jitter avoids a thundering herd when discovery comes back.
+  const Micros max_delay = ExponentialBackoff(timing_.backoff_base, failures_++, timing_.backoff_max);
+  backoff_.expires_after(
+      std::chrono::microseconds(std::uniform_int_distribution<Micros>(0, max_delay)(random_)));
   backoff_.async_wait([this](ErrorCode error) {
-    if (!error && stream_ == nullptr) Open();
+    if (!error && stream_ == nullptr) Connect();
   });
 }
 
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -1,5 +1,5 @@
-// Follows the list of servers: one watch, reopened with jittered backoff when it ends, falls silent or says
-// something that cannot be understood.
+// Follows the list of servers through one watch, which is reopened with jittered backoff when it ends, is
+// silent for too long or sends invalid data.
 #ifndef MERLINRUN_NET_DISCOVERY_HPP_
 #define MERLINRUN_NET_DISCOVERY_HPP_
 
@@ -19,36 +19,37 @@
 
 namespace merlinrun::net {
 
-// A server as discovery lists it. `info.started` is Unix time here; the module's clock runs along with it.
+// A server in the list. `info.started` is Unix time, like the clock of the core's Loop.
 struct Endpoint {
   ServerInfo info;
   Tcp::endpoint address;
-  std::optional<Tcp::endpoint> diameter;  // where it speaks Diameter, if it does
+  std::optional<Tcp::endpoint> diameter;  // none: it does not speak Diameter
 };
 
 struct EndpointList {
-  bool whole = false;  // else changed entries alone
+  bool is_full = false;  // false: only changed entries
   std::int64_t generation = 0;
   std::vector<Endpoint> endpoints;
 };
 
-// Reads a list; empty, with the reason in `error`, if any part of it makes no sense.
-std::optional<EndpointList> ParseList(const nlohmann::json& json, const drill::WireSettings& names,
-                                      std::string& error);
+// Returns nullopt and sets `error` if any part of the list is invalid.
+std::optional<EndpointList> ParseEndpointList(const nlohmann::json& json, const drill::WireSettings& names,
+                                              std::string& error);
 
 class Discovery {
  public:
-  static constexpr std::int64_t kUnknown = -1;  // a generation: the whole list is asked for
+  static constexpr std::int64_t kUnknownGeneration = -1;  // requests the full list
 
   struct Timing {
-    Micros silence = 4'500'000;       // an empty line comes every 2 s; what is told counts as told after 6 s
-    Micros backoff_base = 200'000;    // the wait before the n-th reopening is random(0, base * 2^n) ...
-    Micros backoff_most = 1'000'000;  // ... and no longer than this
-    bool reopens = true;              // false: somebody else decides when to ask again
+    // Empty lines arrive every 2 s, and a list update has to arrive within 6 s.
+    Micros silence_timeout = 4'500'000;
+    Micros backoff_base = 200'000;  // the delay before the n-th reconnect is random(0, min(max, base * 2^n))
+    Micros backoff_max = 1'000'000;
+    bool auto_reconnect = true;  // false: only Watch reopens the watch
   };
   struct Events {
     std::function<void(const EndpointList&)> on_list;
-    std::function<void()> on_failed;  // the watch ended or never opened
+    std::function<void()> on_failed;  // the watch ended or could not be opened
   };
 
   Discovery(asio::io_context& io, Tcp::endpoint address, const drill::WireSettings& names, Timing timing,
@@ -57,20 +58,20 @@
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
 
-  // Opens the watch, to be told of what changed after `generation`. Does nothing if it is open already.
+  // Opens the watch for changes after `generation`. Does nothing if it is open already.
   void Watch(std::int64_t generation);
 
-  // Follows another address from now on. Its versions are its own, so it is asked for the whole list first.
-  // Does nothing if the address is the one that is followed.
-  void Switch(const Tcp::endpoint& address);
+  // Switches to another discovery server and requests its full list, as generations differ between servers.
+  // Does nothing if the address is unchanged.
+  void SetAddress(const Tcp::endpoint& address);
 
  private:
   class Stream;
 
-  void Open();
+  void Connect();
   void OnLine(const std::string& line);
-  void OnEnd(const std::string& reason, bool bad_input);
-  bool Follows(const EndpointList& list) const;
+  void OnStreamEnded(const std::string& reason, bool bad_input);
+  bool IsApplicable(const EndpointList& list) const;
 
   asio::io_context& io_;
   Tcp::endpoint address_;
@@ -80,9 +81,9 @@
   std::mt19937_64 random_;
   asio::steady_timer backoff_;
   std::shared_ptr<Stream> stream_;
-  std::int64_t generation_ = kUnknown;
+  std::int64_t generation_ = kUnknownGeneration;
   int failures_ = 0;
-  bool complained_ = false;
+  bool bad_input_logged_ = false;
 };
 
 }  // namespace merlinrun::net
--- a/src/net/downstream.hpp
+++ b/src/net/downstream.hpp
@@ -1,4 +1,4 @@
-// The application's side: accepts its connections, reads requests, writes answers.
+// HTTP/1.1 towards the clients: accepts connections, reads requests, writes responses.
 #ifndef MERLINRUN_NET_DOWNSTREAM_HPP_
 #define MERLINRUN_NET_DOWNSTREAM_HPP_
 
@@ -19,83 +19,82 @@
 
 namespace merlinrun::net {
 
-class Inbound {
+class Downstream {
  public:
-  // One connection of the application, with at most one request at a time.
+  // One client connection, with at most one request in progress.
   class Session;
   using SessionPtr = std::shared_ptr<Session>;
 
   struct Limits {
-    std::size_t sessions = 256;  // and a few more for as long as it takes to turn them away
-    // Times, in microseconds. Each counts from a beginning that the client cannot move, and what trickles in
-    // extends none of them but a body's, which earns its time by the byte.
-    Micros head = 2'500'000;  // from its connection, or on a kept one its first byte, to its head's last
-    Micros body_grace = 2'000'000;  // from there until its body has to keep up with `body_rate`
-    Micros body_pause = 2'000'000;  // between two pieces of a body
-    double body_rate = 48'000;      // bytes a second that a body comes at, or faster, over all
-    Micros answer = 5'000'000;      // for the client to read its answer
-    Micros stall = 8'000'000;       // for it to take anything of a large answer
-    Micros idle = 6'000'000;        // for a kept connection between requests
-    Micros idle_least = 2'000'000;  // where room is short, one that has been idle for less is closed last
-    Micros linger = 1'000'000;      // for the client to read the answer that closes its connection
-    Micros sweep = 200'000;         // how often the times are looked at
+    std::size_t max_sessions = 256;  // plus a few more while they are being rejected
+    // Times in microseconds. Received bytes do not extend any of them, except for bodies, which have to keep
+    // up with `min_body_rate`.
+    Micros header_timeout = 2'500'000;     // from the connection, or on a reused one from the first byte
+    Micros body_grace = 2'000'000;         // from the end of the header until `min_body_rate` is enforced
+    Micros body_idle_timeout = 2'000'000;  // between two pieces of a body
+    double min_body_rate = 48'000;         // bytes per second, averaged over the body
+    Micros response_timeout = 5'000'000;   // for the client to read its response
+    Micros stall_timeout = 8'000'000;      // for the client to read any part of a streamed response
+    Micros idle_timeout = 6'000'000;       // of a connection between requests
+    Micros min_idle_time = 2'000'000;      // connections idle for less are closed last when over the limit
+    Micros linger_timeout = 1'000'000;     // for the client to read the last response of a connection
+    Micros sweep_interval = 200'000;       // how often the timeouts are checked
   };
-  // A request as it has been read.
   struct Request {
-    HttpRequest head;                     // whole, unless `rest` is there
-    std::shared_ptr<Pipe> rest;           // the body, of which more comes; null: it is in `head`
-    std::optional<std::uint64_t> length;  // of the body in `rest`, if the client says so
-    Micros upload = 0;                    // how long the rest may take to come
+    HttpRequest message;                          // complete, unless `body_pipe` is set
+    std::shared_ptr<Pipe> body_pipe;              // streams the body; null: the body is in `message`
+    std::optional<std::uint64_t> content_length;  // of a streamed body, if the client states it
+    Micros upload_time = 0;                       // the longest that the rest of the body may take
   };
   struct Events {
-    // The request is answered by one call of Respond or Reject, from in here or later. The number is its
-    // class's, as class_of gave it.
+    // Answered by one call of Respond, Stream or Reject, from inside the callback or later. The last
+    // parameter is the result of `class_of`.
     std::function<void(const SessionPtr&, Request, int)> on_request;
-    // The last byte has come of a request that was told of while more of it came.
-    std::function<void(const std::string& request)> on_whole;
-    // The class of a request by its header; -1 if there is no such class.
+    // The body of a streamed request is complete.
+    std::function<void(const std::string& request)> on_request_complete;
+    // The index of the request's class; -1 if it is unknown.
     std::function<int(const RequestHeader&)> class_of;
-    std::function<void(const std::string& request)> on_gone;  // the client left during its request
+    std::function<void(const std::string& request)> on_client_gone;  // disconnected during its request
     std::function<bool()> ready;
   };
 
-  struct Listening {
+  struct ListenOptions {
     Tcp::endpoint address;
-    bool shared = false;  // with another process of the same user that shares it too (SO_REUSEPORT)
-    // A descriptor that listens already, which passes to the Inbound; it does not accept before
-    // ResumeAccepting. -1 = none: the address is bound, and accepted on at once.
-    int inherited = -1;
+    bool reuse_port = false;  // SO_REUSEPORT: share the address with another process of the same user
+    // A listening descriptor to take ownership of; -1 = none: the address is bound and accepting starts at
+    // once. With an inherited descriptor accepting starts with ResumeAccepting.
+    int inherited_fd = -1;
   };
 
-  // Throws boost::system::system_error if the address cannot be listened on.
-  // Requests and their ends are counted in `counters`. Both references must outlive it.
-  Inbound(asio::io_context& io, const Listening& listening, Limits limits, MemoryBudget& budget,
-          stats::Counters& counters, Events events);
-  ~Inbound();
-  Inbound(const Inbound&) = delete;
-  Inbound& operator=(const Inbound&) = delete;
+  // Throws boost::system::system_error if the address cannot be listened on. `budget` and `counters` must
+  // outlive this.
+  Downstream(asio::io_context& io, const ListenOptions& options, Limits limits, MemoryBudget& budget,
+             stats::Counters& counters, Events events);
+  ~Downstream();
+  Downstream(const Downstream&) = delete;
+  Downstream& operator=(const Downstream&) = delete;
 
-  // Answers the session's request; `charge` is held until the answer is written. Does nothing if the client
-  // has gone.
-  static void Respond(const SessionPtr& session, HttpResponse response, MemoryReservation charge = {});
-  // The same with a body that comes still. When that breaks off, so does the client's connection.
+  // Answers the session's request; `reservation` is held until the response is written. Does nothing if the
+  // client has disconnected.
+  static void Respond(const SessionPtr& session, HttpResponse response, MemoryReservation reservation = {});
+  // Answers with a streamed body. If the body is aborted, the client's connection is reset.
   static void Stream(const SessionPtr& session, HttpResponse head, std::shared_ptr<Pipe> body,
-                     std::optional<std::uint64_t> length, MemoryReservation charge);
-  // The same for a request that is wrong: its connection is closed, as what is behind it cannot be trusted.
-  static void Reject(const SessionPtr& session, const RequestError& fault);
+                     std::optional<std::uint64_t> length, MemoryReservation reservation);
+  // Answers an invalid request and closes the connection, as its framing can't be trusted any more.
+  static void Reject(const SessionPtr& session, const RequestError& error_response);
 
-  // While it drains each answer closes its connection.
+  // While draining, every response closes its connection.
   void SetDraining(bool draining) { draining_ = draining; }
-  // Accepts what has connected already, then no more.
+  // Accepts the connections in the backlog, then closes the listener.
   void StopAccepting();
-  // Leaves what has connected and what will to whoever else accepts on the descriptor, and back.
+  // Leaves the backlog to another process that accepts on the same descriptor.
   void PauseAccepting();
   void ResumeAccepting();
   int listener() { return acceptor_.native_handle(); }
-  // Connections from now on; as many idle ones as there are too many are closed.
-  void SetMost(std::size_t sessions);
-  // Closes the connections that have been between requests for so long.
-  void CloseIdle(Micros rested);
+  // Closes idle sessions above the new limit.
+  void SetMaxSessions(std::size_t sessions);
+  // Closes the sessions that have been idle for at least `min_idle` microseconds.
+  void CloseIdle(Micros min_idle);
 
   std::size_t sessions() const { return sessions_.size(); }
   Tcp::endpoint address() const { return address_; }
@@ -104,10 +103,10 @@
   void Accept();
   void OnAccepted(ErrorCode error, Tcp::socket socket);
   void Add(Tcp::socket socket);
-  bool MakeRoom();
+  bool CloseOneConnection();
   void Remove(const Session& session);
-  void SweepLater();
-  void Sweep();
+  void ScheduleSweep();
+  void CloseExpiredSessions();
 
   asio::io_context& io_;
   Limits limits_;
@@ -116,13 +115,13 @@
   const Events events_;
   Tcp::acceptor acceptor_;
   Tcp::endpoint address_;
-  asio::steady_timer pause_;
-  asio::steady_timer sweep_;
+  asio::steady_timer accept_retry_timer_;
+  asio::steady_timer sweep_timer_;
   bool sweeping_ = false;
   bool draining_ = false;
-  bool paused_ = false;
-  std::array<char, kReadSize> input_{};  // one for all: it holds nothing from one handler to the next
-  std::list<SessionPtr> sessions_;       // the one whose last answer is oldest first
+  bool accepting_paused_ = false;
+  std::array<char, kReadSize> input_{};  // shared by all sessions; only used within one handler
+  std::list<SessionPtr> sessions_;       // ordered by the time of the last response, oldest first
 };
 
 }  // namespace merlinrun::net
--- a/src/net/http_listener.cpp
+++ b/src/net/http_listener.cpp
@@ -9,19 +9,19 @@
 namespace merlinrun::net {
 namespace {
 
-constexpr double kMicrosASecond = 1e6;
+constexpr double kMicrosPerSecond = 1e6;
 
 struct RequestMessage : core::Message {
-  explicit RequestMessage(Inbound::Request taken) : request(std::move(taken)) {}
-  Inbound::Request request;
+  explicit RequestMessage(Downstream::Request received) : request(std::move(received)) {}
+  Downstream::Request request;
 };
 
-struct AnswerMessage : core::Message {
-  explicit AnswerMessage(UpstreamAnswer from) : answer(std::move(from)) {}
-  UpstreamAnswer answer;
+struct ResponseMessage : core::Message {
+  explicit ResponseMessage(UpstreamResult received) : upstream_result(std::move(received)) {}
+  UpstreamResult upstream_result;
 };
 
-// The query parameter that says what a request is about; empty if it has none.
+// The value of the query parameter that names the request's object; empty if there is none.
 std::string_view KeyOf(std::string_view target) {
   const std::string name = std::string(kKeyParameter) + "=";
   std::size_t at = target.find('?');
@@ -34,84 +34,86 @@
   return {};
 }
 
-// What the protocol names and nothing else: whatever else came along may mean something to a server.
-HttpRequest Forwarded(const HttpRequest& request, Micros left) {
+// Copies only the headers that the protocol defines, as a server could act on any other.
+HttpRequest BuildUpstreamRequest(const HttpRequest& request, Micros timeout) {
   HttpRequest out(request.method(), request.target(), 11);
   for (const char* name : kRequestHeaders)
     if (const auto it = request.find(name); it != request.end()) out.set(name, it->value());
-  out.set(kDeadlineHeader, FormatSeconds(left));
+  out.set(kDeadlineHeader, FormatSeconds(timeout));
   out.body() = request.body();
   out.prepare_payload();
   return out;
 }
 
-// Answers over the connection that the request came by.
-class HttpCaller : public core::ResponseSink {
+// Sends the response on the connection that the request came on.
+class HttpResponseSink : public core::ResponseSink {
  public:
-  explicit HttpCaller(Inbound::SessionPtr session) : session_(std::move(session)) {}
+  explicit HttpResponseSink(Downstream::SessionPtr session) : session_(std::move(session)) {}
 
-  void Deliver(core::MessagePtr answer) override {
-    UpstreamAnswer& from = static_cast<AnswerMessage&>(*answer).answer;
+  void Deliver(core::MessagePtr upstream_message) override {
+    UpstreamResult& upstream_result = static_cast<ResponseMessage&>(*upstream_message).upstream_result;
     HttpResponse response(http::status::ok, 11);
-    if (const auto type = from.response[http::field::content_type]; !type.empty())
+    if (const auto type = upstream_result.response[http::field::content_type]; !type.empty())
       response.set(http::field::content_type, type);
-    if (from.rest != nullptr)
-      return Inbound::Stream(session_, std::move(response), std::move(from.rest), from.length,
-                             std::move(from.charge));
-    response.body() = std::move(from.response.body());
-    Inbound::Respond(session_, std::move(response), std::move(from.charge));
+    if (upstream_result.body_pipe != nullptr)
+      return Downstream::Stream(session_, std::move(response), std::move(upstream_result.body_pipe),
+                                upstream_result.content_length, std::move(upstream_result.reservation));
+    response.body() = std::move(upstream_result.response.body());
+    Downstream::Respond(session_, std::move(response), std::move(upstream_result.reservation));
   }
 
   void Refuse(Micros retry_after) override {
     HttpResponse response = TextResponse(http::status::service_unavailable, "refused\n");
     if (retry_after > 0) response.set(http::field::retry_after, FormatSeconds(retry_after));
-    Inbound::Respond(session_, std::move(response), {});
+    Downstream::Respond(session_, std::move(response), {});
   }
 
-  void Fail(core::FailureReason why, core::MessagePtr) override {
-    Inbound::Respond(session_,
-                     why == core::FailureReason::kDeadlineExceeded
-                         ? TextResponse(http::status::gateway_timeout, "out of time\n")
-                         : TextResponse(http::status::bad_gateway, "failed\n"),
-                     {});
+  void Fail(core::FailureReason reason, core::MessagePtr) override {
+    Downstream::Respond(session_,
+                        reason == core::FailureReason::kDeadlineExceeded
+                            ? TextResponse(http::status::gateway_timeout, "out of time\n")
+                            : TextResponse(http::status::bad_gateway, "failed\n"),
+                        {});
   }
 
  private:
-  const Inbound::SessionPtr session_;
+  const Downstream::SessionPtr session_;
 };
 
 }  // namespace
 
 core::Egress::AttemptId HttpEgress::Send(const std::string& server, const core::Message& request,
-                                         const SendOptions& order, Done done) {
-  const Inbound::Request& from = static_cast<const RequestMessage&>(request).request;
-  return upstream_.Send(server, {Forwarded(from.head, order.response_timeout), from.rest, from.length},
-                        [done = std::move(done)](UpstreamAnswer answer) {
-                          core::AttemptResult out;
-                          out.result = answer.result;
-                          out.cannot_retry = answer.spent;
-                          if (answer.result == Result::kSuccess)
-                            out.message = std::make_unique<AnswerMessage>(std::move(answer));
-                          done(std::move(out));
-                        });
+                                         const SendOptions& options, Done done) {
+  const Downstream::Request& from = static_cast<const RequestMessage&>(request).request;
+  return upstream_.Send(
+      server,
+      {BuildUpstreamRequest(from.message, options.response_timeout), from.body_pipe, from.content_length},
+      [done = std::move(done)](UpstreamResult upstream_result) {
+        core::AttemptResult out;
+        out.result = upstream_result.result;
+        out.cannot_retry = upstream_result.cannot_retry;
+        if (upstream_result.result == Result::kSuccess)
+          out.message = std::make_unique<ResponseMessage>(std::move(upstream_result));
+        done(std::move(out));
+      });
 }
 
-HttpFront::HttpFront(asio::io_context& io, const Inbound::Listening& listening, Inbound::Limits limits,
-                     MemoryBudget& budget, stats::Counters& counters, core::RequestManager& request_manager,
-                     core::Egress& egress, std::function<bool()> ready)
+HttpListener::HttpListener(asio::io_context& io, const Downstream::ListenOptions& options,
+                           Downstream::Limits limits, MemoryBudget& budget, stats::Counters& counters,
+                           core::RequestManager& request_manager, core::Egress& egress,
+                           std::function<bool()> ready)
     : request_manager_(request_manager),
       egress_(egress),
-      inbound_(io, listening, limits, budget, counters,
-               {[this](const Inbound::SessionPtr& session, Inbound::Request request, int request_class) {
-                  OnRequest(session, std::move(request), request_class);
-                },
-                [this](const std::string& id) { request_manager_.OnRequestComplete(id); },
-                [this](const RequestHeader& header) {
-                  return core::ClassIndex(request_manager_.settings(), ToStringView(header[kClassHeader]));
-                },
-                [this](const std::string& id) { request_manager_.OnClientGone(id); }, std::move(ready)}) {}
-
-std::optional<RequestError> HttpFront::Check(const HttpRequest& request, int request_class) const {
+      downstream_(io, options, limits, budget, counters,
+                  {[this](const Downstream::SessionPtr& session, Downstream::Request request,
+                          int request_class) { OnRequest(session, std::move(request), request_class); },
+                   [this](const std::string& id) { request_manager_.OnRequestComplete(id); },
+                   [this](const RequestHeader& header) {
+                     return core::ClassIndex(request_manager_.settings(), ToStringView(header[kClassHeader]));
+                   },
+                   [this](const std::string& id) { request_manager_.OnClientGone(id); }, std::move(ready)}) {}
+
+std::optional<RequestError> HttpListener::Check(const HttpRequest& request, int request_class) const {
   if (request_class < 0) return RequestError{http::status::not_found, "unknown Req-Kind\n"};
   if (request_manager_.Contains(std::string(ToStringView(request[kIdHeader]))))
     return RequestError{http::status::conflict, "Req-Id is in use\n"};
@@ -119,26 +121,27 @@
       request, request_manager_.settings().classes[static_cast<std::size_t>(request_class)].retry_safety);
 }
 
-void HttpFront::OnRequest(const Inbound::SessionPtr& session, Inbound::Request from, int request_class) {
-  HttpRequest& request = from.head;
+void HttpListener::OnRequest(const Downstream::SessionPtr& session, Downstream::Request received,
+                             int request_class) {
+  HttpRequest& request = received.message;
   const Settings& settings = request_manager_.settings();
-  core::IncomingRequest arrival;
-  arrival.request_class = request_class;
-  if (const auto fault = Check(request, arrival.request_class)) return Inbound::Reject(session, *fault);
-  arrival.id = std::string(ToStringView(request[kIdHeader]));
-  arrival.tenant = core::TenantIndex(settings, ToStringView(request[kTenantHeader]));
+  core::IncomingRequest incoming;
+  incoming.request_class = request_class;
+  if (const auto error = Check(request, incoming.request_class)) return Downstream::Reject(session, *error);
+  incoming.id = std::string(ToStringView(request[kIdHeader]));
+  incoming.tenant = core::TenantIndex(settings, ToStringView(request[kTenantHeader]));
   if (const auto seconds = ParseDecimal(ToStringView(request[kDeadlineHeader])))
-    arrival.client_timeout = static_cast<Micros>(*seconds * kMicrosASecond);
-  arrival.is_retry = request[kRetryHeader] == "1";
-  arrival.write = request.method() != http::verb::get;
+    incoming.client_timeout = static_cast<Micros>(*seconds * kMicrosPerSecond);
+  incoming.is_retry = request[kRetryHeader] == "1";
+  incoming.write = request.method() != http::verb::get;
   if (const auto cost = ParseDecimal(ToStringView(request[kCostHeader])); cost && *cost < 1e12)
-    arrival.cost = static_cast<Micros>(*cost);
-  arrival.key = std::string(KeyOf(ToStringView(request.target())));
-  if (from.rest != nullptr) arrival.upload_time = from.upload;
-  arrival.request = std::make_unique<RequestMessage>(std::move(from));
-  arrival.response_sink = std::make_unique<HttpCaller>(session);
-  arrival.egress = &egress_;
-  request_manager_.Submit(std::move(arrival));
+    incoming.cost = static_cast<Micros>(*cost);
+  incoming.key = std::string(KeyOf(ToStringView(request.target())));
+  if (received.body_pipe != nullptr) incoming.upload_time = received.upload_time;
+  incoming.request = std::make_unique<RequestMessage>(std::move(received));
+  incoming.response_sink = std::make_unique<HttpResponseSink>(session);
+  incoming.egress = &egress_;
+  request_manager_.Submit(std::move(incoming));
 }
 
 }  // namespace merlinrun::net
--- a/src/net/http_listener.hpp
+++ b/src/net/http_listener.hpp
@@ -1,5 +1,4 @@
-// HTTP/1.1 on both sides of the core: the ingress turns requests into arrivals, the egress turns attempts
-// into requests to servers.
+// Connects HTTP/1.1 to the core: HttpListener submits client requests, HttpEgress sends attempts to servers.
 #ifndef MERLINRUN_NET_HTTP_LISTENER_HPP_
 #define MERLINRUN_NET_HTTP_LISTENER_HPP_
 
@@ -21,38 +20,38 @@
   explicit HttpEgress(Upstream& upstream) : upstream_(upstream) {}
   AttemptId Send(const std::string& server, const core::Message& request, const SendOptions& order,
                  Done done) override;
-  void CancelAttempt(AttemptId attempt) override { upstream_.GiveUp(attempt); }
+  void CancelAttempt(AttemptId attempt) override { upstream_.CancelAttempt(attempt); }
 
  private:
   Upstream& upstream_;
 };
 
-class HttpFront : public core::ProtocolListener {
+class HttpListener : public core::ProtocolListener {
  public:
-  // Throws boost::system::system_error if the address cannot be listened on. All that it is given must
-  // outlive it.
-  HttpFront(asio::io_context& io, const Inbound::Listening& listening, Inbound::Limits limits,
-            MemoryBudget& budget, stats::Counters& counters, core::RequestManager& request_manager,
-            core::Egress& egress, std::function<bool()> ready);
-
-  void SetDraining(bool draining) override { inbound_.SetDraining(draining); }
-  void StopAccepting() override { inbound_.StopAccepting(); }
-  void PauseAccepting() override { inbound_.PauseAccepting(); }
-  void ResumeAccepting() override { inbound_.ResumeAccepting(); }
-  // Client connections from now on; some idle ones are closed if there are more.
-  void SetMost(std::size_t sessions) { inbound_.SetMost(sessions); }
-  int listener() { return inbound_.listener(); }
-  void CloseIdle(Micros rested) override { inbound_.CloseIdle(rested); }
-  std::size_t sessions() const override { return inbound_.sessions(); }
-  Tcp::endpoint address() const { return inbound_.address(); }
+  // Throws boost::system::system_error if the address cannot be listened on. The references must outlive
+  // this.
+  HttpListener(asio::io_context& io, const Downstream::ListenOptions& options, Downstream::Limits limits,
+               MemoryBudget& budget, stats::Counters& counters, core::RequestManager& request_manager,
+               core::Egress& egress, std::function<bool()> ready);
+
+  void SetDraining(bool draining) override { downstream_.SetDraining(draining); }
+  void StopAccepting() override { downstream_.StopAccepting(); }
+  void PauseAccepting() override { downstream_.PauseAccepting(); }
+  void ResumeAccepting() override { downstream_.ResumeAccepting(); }
+  // Closes idle client connections above the new limit.
+  void SetMaxSessions(std::size_t sessions) { downstream_.SetMaxSessions(sessions); }
+  int listener() { return downstream_.listener(); }
+  void CloseIdle(Micros min_idle) override { downstream_.CloseIdle(min_idle); }
+  std::size_t sessions() const override { return downstream_.sessions(); }
+  Tcp::endpoint address() const { return downstream_.address(); }
 
  private:
-  void OnRequest(const Inbound::SessionPtr& session, Inbound::Request from, int request_class);
+  void OnRequest(const Downstream::SessionPtr& session, Downstream::Request received, int request_class);
   std::optional<RequestError> Check(const HttpRequest& request, int request_class) const;
 
   core::RequestManager& request_manager_;
   core::Egress& egress_;
-  Inbound inbound_;  // last: it calls back into the rest
+  Downstream downstream_;  // last member: its callbacks use the others
 };
 
 }  // namespace merlinrun::net
--- a/src/net/protocol.hpp
+++ b/src/net/protocol.hpp
@@ -1,4 +1,4 @@
-// The names that the protocol fixes, and the message types that its parts share.
+// Header names, limits and message types of the HTTP protocol between clients, sidecar and servers.
 #ifndef MERLINRUN_NET_PROTOCOL_HPP_
 #define MERLINRUN_NET_PROTOCOL_HPP_
 
@@ -23,24 +23,24 @@
 using HttpRequest = http::request<http::string_body>;
 using HttpResponse = http::response<http::string_body>;
 
-// What is held whole of a body; more goes through a pipe, up to kMaxStreamedBody.
+// Larger bodies are streamed through a pipe, up to kMaxStreamedBody. Sizes are in bytes.
 inline constexpr std::size_t kMaxBufferedBody = std::size_t{64} * 1024;
 inline constexpr std::size_t kMaxStreamedBody = std::size_t{32} * 1024 * 1024;
-// What a pipe holds, and what its ends hold besides while they read and write.
+// The reservation includes the buffers with which both ends read and write.
 inline constexpr std::size_t kPipeCapacity = kMaxBufferedBody;
 inline constexpr std::size_t kPipeReservation = 2 * kPipeCapacity;
-// What is set aside for a body of unknown length before it has come; it grows with it.
+// For a body of unknown length.
 inline constexpr std::size_t kInitialReservation = std::size_t{8} * 1024;
-// What is to be set aside for a body of which `come` bytes are held: doubled, so that it seldom grows.
-inline constexpr std::size_t ReservationFor(std::size_t come) {
-  return std::min(kMaxBufferedBody, std::max(kInitialReservation, 2 * come));
+// The reservation for a body of which `received` bytes have been read; doubled, so that it grows rarely.
+inline constexpr std::size_t ReservationFor(std::size_t received) {
+  return std::min(kMaxBufferedBody, std::max(kInitialReservation, 2 * received));
 }
-// The kernel's buffer for a stream's peer. Guards against a slow reader that shows no progress for long: a
-// writer is woken when a third of the buffer is free.
+// Socket send buffer for streamed bodies. Small, as a writer is only woken when a third of the buffer is
+// free: with a large buffer a slow reader seems to stall.
 inline constexpr int kStreamSendBuffer = 128 * 1024;
 inline constexpr std::size_t kMaxHeader = std::size_t{8} * 1024;
 inline constexpr std::size_t kReadSize = std::size_t{8} * 1024;
-// What a connection holds unparsed: one header and one read.
+// Unparsed input of a connection: one header and one read.
 inline constexpr std::size_t kMaxUnparsed = kMaxHeader + kReadSize;
 
 inline constexpr const char* kIdHeader = "Req-Id";
@@ -51,7 +51,7 @@
 inline constexpr const char* kCostHeader = "Req-Cost";
 inline constexpr const char* kExtraHeader = "Req-Extra";
 inline constexpr const char* kIdempotencyHeader = "Idempotency-Key";
-// What a request brings that the protocol names: passed on, and never more than once in a request.
+// Request headers that are forwarded to servers. None may be repeated in a request.
 inline constexpr const char* kRequestHeaders[] = {"Host",        kIdHeader,       kClassHeader,
                                                   kTenantHeader, kDeadlineHeader, kRetryHeader,
                                                   kCostHeader,   kExtraHeader,    kIdempotencyHeader};
@@ -59,8 +59,8 @@
 inline constexpr const char* kKeyParameter = "obj";
 inline constexpr const char* kReadyPath = "/ready";
 
-// A body as it comes, for parsers. The library's string would make room for the whole length that a header
-// claims.
+// A string body for parsers that grows as data arrives. Beast's string_body reserves the whole Content-Length
+// at once.
 struct IncrementalBody {
   using value_type = std::string;
   class reader {
@@ -89,7 +89,7 @@
   };
 };
 
-// The message of a parser that is done with it, or as far as it has come.
+// Moves the message out of a parser, with the body as far as it has been read.
 template <bool kRequest>
 http::message<kRequest, http::string_body> TakeMessage(http::parser<kRequest, IncrementalBody>& parser) {
   http::message<kRequest, http::string_body> out(std::move(parser.get().base()));
@@ -97,7 +97,7 @@
   return out;
 }
 
-// An answer of the sidecar's own.
+// A response by the sidecar itself.
 inline HttpResponse TextResponse(http::status status, std::string text) {
   HttpResponse response(status, 11);
   response.set(http::field::content_type, "text/plain");
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -12,89 +12,92 @@
 namespace merlinrun::net {
 namespace {
 
-// Descriptors for all but clients and servers: standard streams, epoll and its helpers, listener, watch, and
-// the connections that are being turned away.
-constexpr std::size_t kOtherSockets = 32;
-// The clients' part of the rest. They use a third of all at most for requests, and some of theirs are idle; a
-// request in work takes one of each side.
+// File descriptors not used by client or server connections: standard streams, event loop, listener,
+// discovery and connections that are being rejected.
+constexpr std::size_t kReservedDescriptors = 32;
+// Share of client connections in the remaining descriptors. Above one half: each request needs one connection
+// on both sides, and some client connections are idle.
 constexpr double kClientShare = 0.55;
-// The part of the memory that bodies and answers may hold; the rest is for the program, what connections hold
-// beside bodies, lists of servers and what the allocator leaves unused.
-constexpr double kBudgetShare = 0.4;
-// Idle connections are closed this far into the time after which servers may close them. Guards against a
-// request that crosses the server's close: it would be reset and may have run.
+// Share of the memory limit for request and response bodies. The rest is for everything else, including
+// allocator overhead.
+constexpr double kBodyMemoryShare = 0.4;
+// Idle connections are closed after this share of the servers' idle timeout, so that no request is sent while
+// the server closes the connection: it would be reset, and whether it has run would be unknown.
 constexpr double kIdleShare = 0.7;
-// A process that takes over waits so long for discovery's word before it serves by the list that it knows.
-constexpr Micros kPatience = 2'000'000;
-// How often one that is taken over from tells what it still holds, and how long it waits to be told to stop.
-constexpr Micros kTellEvery = 50'000;
-constexpr Micros kOutlived = 10'000'000;
-// Connections to servers beyond those that are open that it may still need, for attempts after the first.
-constexpr std::size_t kLastAttempts = 8;
-// What is kept of one line that the module has to say.
-constexpr std::size_t kMostLogged = 400;
-
-// The second address takes none of the requests': it answers whatever the load.
-std::size_t OtherSockets(const Config& config) {
-  return kOtherSockets + (config.ops ? ops::Listener::Sockets({}) : 0);
+// During a takeover: how long to wait for discovery before serving with the last known server list.
+constexpr Micros kDiscoveryWait = 2'000'000;
+// After yielding: interval of the reports to the successor, and time until this process stops by itself.
+constexpr Micros kHeldResourcesInterval = 50'000;
+constexpr Micros kReplacedTimeout = 10'000'000;
+// After yielding: connections allowed beyond the open ones, for retries.
+constexpr std::size_t kSpareConnections = 8;
+// Longer log lines of the balancer are truncated.
+constexpr std::size_t kMaxLogLength = 400;
+
+// Includes the descriptors of the operators' listener, which must work under any load.
+std::size_t ReservedDescriptors(const Config& config) {
+  return kReservedDescriptors + (config.ops ? ops::Listener::MaxDescriptors({}) : 0);
 }
 
-std::size_t ClientSockets(const Config& config) {
-  return static_cast<std::size_t>(kClientShare * static_cast<double>(config.sockets - OtherSockets(config)));
+std::size_t ClientDescriptors(const Config& config) {
+  return static_cast<std::size_t>(
+      kClientShare * static_cast<double>(config.max_file_descriptors - ReservedDescriptors(config)));
 }
 
 // Connections to servers, over all protocols.
-std::size_t ServerSockets(const Config& config) {
-  return config.sockets - OtherSockets(config) - ClientSockets(config);
+std::size_t ServerDescriptors(const Config& config) {
+  return config.max_file_descriptors - ReservedDescriptors(config) - ClientDescriptors(config);
 }
 
-// What Diameter may have of them; HTTP has the rest. It holds one to a server.
-std::size_t DiameterServerSockets(const Config& config) { return ServerSockets(config) / 3; }
+// The part for Diameter, which needs one connection per server. The rest is for HTTP.
+std::size_t DiameterServerDescriptors(const Config& config) { return ServerDescriptors(config) / 3; }
 
 std::size_t BodyMemory(const Config& config) {
-  return static_cast<std::size_t>(kBudgetShare * static_cast<double>(config.memory));
+  return static_cast<std::size_t>(kBodyMemoryShare * static_cast<double>(config.memory_limit));
 }
 
 Upstream::Limits UpstreamLimits(const Config& config) {
   Upstream::Limits limits;
-  limits.keep_idle =
+  limits.idle_timeout =
       static_cast<Micros>(kIdleShare * static_cast<double>(config.wire.settings.connection_idle_timeout));
-  limits.dial_timeout = config.wire.settings.dial_timeout;
-  limits.connections = ServerSockets(config) - (config.diameter.empty() ? 0 : DiameterServerSockets(config));
+  limits.connect_timeout = config.wire.settings.dial_timeout;
+  limits.max_connections =
+      ServerDescriptors(config) - (config.diameter_file.empty() ? 0 : DiameterServerDescriptors(config));
   return limits;
 }
 
 Discovery::Timing DiscoveryTiming(const Config& config) {
   Discovery::Timing timing;
-  timing.reopens = !config.wire.settings.must_subscribe;
+  timing.auto_reconnect = !config.wire.settings.must_subscribe;
   return timing;
 }
 
 diameter::Application ReadApplication(const Config& config) {
-  auto read = diameter::ParseApplication(ReadFile(config.diameter), config.diameter, config.wire.settings,
-                                         config.name);
+  auto read = diameter::ParseApplication(ReadFile(config.diameter_file), config.diameter_file,
+                                         config.wire.settings, config.name);
   if (const auto* error = std::get_if<std::string>(&read)) throw ConfigError(*error);
   auto application = std::get<diameter::Application>(std::move(read));
-  if (2 * diameter::Node::Sockets(application) > ClientSockets(config))
-    throw ConfigError(config.diameter + ": more clients than limits.sockets leaves descriptors for");
+  if (2 * diameter::Node::Sockets(application) > ClientDescriptors(config))
+    throw ConfigError(config.diameter_file + ": more clients than limits.sockets leaves descriptors for");
   return application;
 }
 
-void AddTo(record::Recorder& recorder, Micros now, const core::CompletedRequest& ended) {
+void AddRecord(record::Recorder& recorder, Micros now, const core::CompletedRequest& completed) {
   record::Record to;
-  to.arrival_time = ended.arrival_time;
-  to.budget = ended.budget;
-  to.duration = ended.duration;
-  to.request_class = static_cast<std::uint32_t>(ended.request_class);
-  to.attempts = static_cast<std::uint32_t>(ended.attempts);
-  to.disposition = static_cast<record::Disposition>(ended.disposition);
-  to.protocol = static_cast<std::uint8_t>(ended.protocol);
-  to.is_retry = ended.is_retry;
-  recorder.Add(now, to, ended.id, ended.key);
+  to.arrival_time = completed.arrival_time;
+  to.budget = completed.budget;
+  to.duration = completed.duration;
+  to.request_class = static_cast<std::uint32_t>(completed.request_class);
+  to.attempts = static_cast<std::uint32_t>(completed.attempts);
+  to.disposition = static_cast<record::Disposition>(completed.disposition);
+  to.protocol = static_cast<std::uint8_t>(completed.protocol);
+  to.is_retry = completed.is_retry;
+  recorder.Add(now, to, completed.id, completed.key);
 }
 
 void Log(std::string_view text) {
-  std::fprintf(stderr, "module: %.*s\n", static_cast<int>(std::min(text.size(), kMostLogged)), text.data());
+  std::fprintf(stderr, "balancer: %.*s\n", static_cast<int>(std::min(text.size(), kMaxLogLength)),
+               text.data());
 }
 
 }  // namespace
@@ -108,7 +111,7 @@
       http_egress_(upstream_),
       discovery_(io, config_.discovery, config_.wire, DiscoveryTiming(config_), config_.seed,
                  {[this](const EndpointList& list) {
-                    OnList(list.whole ? ListUpdate::Kind::kFull : ListUpdate::Kind::kDelta, list);
+                    OnList(list.is_full ? ListUpdate::Kind::kFull : ListUpdate::Kind::kDelta, list);
                   },
                   [this] { OnDiscoveryFailed(); }}) {
   try {
@@ -118,20 +121,20 @@
     throw ConfigError(std::string("settings: ") + error.what());
   }
   counters_.classes.resize(config_.wire.settings.classes.size());
-  phase_.emplace(loop_, *request_manager_);
-  if (!config_.record.empty()) Record();
-  if (!config_.trace.empty()) StartTrace();
-  if (!config_.fleet.empty()) StartTalk();
-  if (!config_.zones.empty()) request_manager_->OnZoneOverrides(Orders(config_));
+  lifecycle_.emplace(loop_, *request_manager_);
+  if (!config_.recording_file.empty()) StartRecording();
+  if (!config_.trace_file.empty()) StartTrace();
+  if (!config_.fleet_file.empty()) StartPeerExchange();
+  if (!config_.zone_overrides_file.empty()) request_manager_->OnZoneOverrides(ReadZoneOverrides(config_));
   if (recorder_ != nullptr || trace_ != nullptr)
-    request_manager_->OnRequestCompleted([this](const core::CompletedRequest& ended) {
-      if (recorder_ != nullptr) AddTo(*recorder_, loop_.Now(), ended);
-      if (trace_ != nullptr) trace_->Add(ended);
+    request_manager_->OnRequestCompleted([this](const core::CompletedRequest& completed) {
+      if (recorder_ != nullptr) AddRecord(*recorder_, loop_.Now(), completed);
+      if (trace_ != nullptr) trace_->Add(completed);
     });
-  if (config_.diameter.empty()) return;
+  if (config_.diameter_file.empty()) return;
   diameter::Node::Limits limits;
   limits.dial_timeout = config_.wire.settings.dial_timeout;
-  limits.server_connections = DiameterServerSockets(config_);
+  limits.server_connections = DiameterServerDescriptors(config_);
   try {
     diameter_ =
         std::make_unique<diameter::Node>(io, loop_, ReadApplication(config_), limits, config_.seed,
@@ -141,8 +144,8 @@
   }
 }
 
-void Sidecar::Record() {
-  const auto read = record::ParseRecordingSettings(ReadFile(config_.record), config_.record);
+void Sidecar::StartRecording() {
+  const auto read = record::ParseRecordingSettings(ReadFile(config_.recording_file), config_.recording_file);
   if (const auto* error = std::get_if<std::string>(&read)) throw ConfigError(*error);
   const auto& settings = std::get<record::RecordingSettings>(read);
   record::Header header;
@@ -152,7 +155,7 @@
                                                         .count());
   for (const RequestClass& c : config_.wire.settings.classes) header.classes.push_back(c.name);
   try {
-    recorder_ = std::make_unique<record::Recorder>(record::OpenFile(settings.file, settings.most_bytes),
+    recorder_ = std::make_unique<record::Recorder>(record::OpenFile(settings.file, settings.max_bytes),
                                                    header, settings.salt, loop_.Now());
   } catch (const std::runtime_error& error) {
     throw ConfigError(error.what());
@@ -160,29 +163,29 @@
 }
 
 void Sidecar::StartTrace() {
-  const auto read = stats::ParseTraceSettings(ReadFile(config_.trace), config_.trace);
+  const auto read = stats::ParseTraceSettings(ReadFile(config_.trace_file), config_.trace_file);
   if (const auto* error = std::get_if<std::string>(&read)) throw ConfigError(*error);
   trace_ =
       std::make_unique<stats::Trace>(loop_, *request_manager_, std::get<stats::TraceSettings>(read), [this] {
-        stats::Held held{request_manager_->active_requests(), http_ == nullptr ? 0 : http_->sessions(),
-                         upstream_.open_connections()};
-        if (talk_ == nullptr) return held;
+        stats::RuntimeCounts counts{request_manager_->active_requests(),
+                                    http_ == nullptr ? 0 : http_->sessions(), upstream_.open_connections()};
+        if (talk_ == nullptr) return counts;
         const fleet::DatagramCounters& t = talk_->exchange().counters();
-        held.words = {talk_->exchange().peer_table().RecentPeerCount(loop_.Now()),
-                      t.accepted,
-                      t.stale,
-                      t.wrong_address,
-                      t.future_incarnation,
-                      t.malformed,
-                      t.sent,
-                      t.sent_bytes};
-        return held;
+        counts.peer_messages = {talk_->exchange().peer_table().RecentPeerCount(loop_.Now()),
+                                t.accepted,
+                                t.stale,
+                                t.wrong_address,
+                                t.future_incarnation,
+                                t.malformed,
+                                t.sent,
+                                t.sent_bytes};
+        return counts;
       });
 }
 
-// Only where the platform has a way between sidecars: elsewhere the operator's file is read, and that is all.
-void Sidecar::StartTalk() {
-  const auto read = fleet::ParseReportSettings(ReadFile(config_.fleet), config_.fleet);
+// Without a peer address only the file is validated.
+void Sidecar::StartPeerExchange() {
+  const auto read = fleet::ParseReportSettings(ReadFile(config_.fleet_file), config_.fleet_file);
   if (const auto* error = std::get_if<std::string>(&read)) throw ConfigError(*error);
   if (config_.peer_listen.empty()) return;
   const auto udp = [](const char* key, const std::string& text) {
@@ -200,133 +203,137 @@
                                                      [this] { return generation_; });
 }
 
-std::size_t Sidecar::HttpSessions(const Config& config) const {
-  return ClientSockets(config) - (diameter_ == nullptr ? 0 : diameter_->sockets());
+std::size_t Sidecar::MaxHttpSessions(const Config& config) const {
+  return ClientDescriptors(config) - (diameter_ == nullptr ? 0 : diameter_->sockets());
 }
 
 void Sidecar::Start() {
-  Inbound::Limits limits;
-  limits.sessions = HttpSessions(config_);
-  std::optional<handover::Claim> claim;
-  Inbound::Listening listening{config_.listen, config_.ops.has_value()};
+  Downstream::Limits limits;
+  limits.max_sessions = MaxHttpSessions(config_);
+  std::optional<handover::InheritedState> inherited;
+  Downstream::ListenOptions options{config_.listen, config_.ops.has_value()};
   if (config_.ops) {
     handover_timer_ = loop_.NewTimer();
-    handover_path_ = handover::PathFor(config_.temporary, FormatAddress(config_.listen));
-    claim = handover::Ask(handover_path_);
-    if (claim) listening.inherited = claim->listener.Release();
+    handover_path_ = handover::SocketPath(config_.temp_directory, FormatAddress(config_.listen));
+    inherited = handover::RequestHandover(handover_path_);
+    if (inherited) options.inherited_fd = inherited->listener.Release();
   }
-  http_ = std::make_unique<HttpFront>(io_, listening, limits, budget_, counters_, *request_manager_,
-                                      http_egress_, [this] { return phase_->TakesClients(); });
-  phase_->Add(*http_);
+  http_ = std::make_unique<HttpListener>(io_, options, limits, budget_, counters_, *request_manager_,
+                                         http_egress_, [this] { return lifecycle_->AcceptsClients(); });
+  lifecycle_->Add(*http_);
   if (config_.ops) {
-    api_.emplace(*phase_, *request_manager_, counters_);
+    api_.emplace(*lifecycle_, *request_manager_, counters_);
     ops_.emplace(io_, *config_.ops, ops::Listener::Limits(), *api_);
   }
   if (diameter_ != nullptr) {
     diameter_->Listen(budget_, counters_, *request_manager_);
-    phase_->Add(diameter_->front());
+    lifecycle_->Add(diameter_->front());
   }
-  if (claim) Follow(std::move(*claim));
-  OnList(ListUpdate::Kind::kStale, config_.known);
-  if (config_.known.endpoints.empty()) generation_ = Discovery::kUnknown;
+  if (inherited) BeginTakeover(std::move(*inherited));
+  OnList(ListUpdate::Kind::kStale, config_.last_known_endpoints);
+  if (config_.last_known_endpoints.endpoints.empty()) generation_ = Discovery::kUnknownGeneration;
   if (!config_.wire.settings.must_subscribe) discovery_.Watch(generation_);
   if (talk_ != nullptr) talk_->Start(/*beside=*/config_.ops.has_value());
-  if (!taking_over_) OpenDoor();
+  if (!taking_over_) StartHandoverServer();
 }
 
-// ---- Hot restart: docs/design/hot-restart.md ----
+// ---- Hot restart ----
 
-void Sidecar::Follow(handover::Claim claim) {
+void Sidecar::BeginTakeover(handover::InheritedState inherited) {
   taking_over_ = true;
-  if (claim.holding.evacuated) phase_->Evacuate();
-  ShareWith(claim.holding);
+  if (inherited.held_resources.evacuated) lifecycle_->Evacuate();
+  ApplySharedLimits(inherited.held_resources);
   predecessor_ = std::make_unique<handover::Channel>(
-      io_, std::move(claim.channel),
+      io_, std::move(inherited.channel),
       handover::Channel::Events{[this](std::string_view message) {
                                   std::string error;
-                                  if (const auto held = handover::ParseHeldResources(message, error))
-                                    ShareWith(*held);
+                                  if (const auto resources = handover::ParseHeldResources(message, error))
+                                    ApplySharedLimits(*resources);
                                 },
                                 [this] {
-                                  ShareWith({});
-                                  TakeOver();
+                                  ApplySharedLimits({});
+                                  CompleteTakeover();
                                 }});
-  handover_timer_->Start(kPatience, [this] { TakeOver(); });
+  handover_timer_->Start(kDiscoveryWait, [this] { CompleteTakeover(); });
 }
 
-// Guards against a yes of a process that does not know any server: it would refuse what the old one can
-// serve.
-void Sidecar::TakeOver() {
-  if (!taking_over_ || !upstream_.any_server()) return;
+// Does nothing until servers are known, as the running process can still serve requests.
+void Sidecar::CompleteTakeover() {
+  if (!taking_over_ || !upstream_.has_servers()) return;
   taking_over_ = false;
   predecessor_->Send(handover::kServing);
   http_->ResumeAccepting();
-  phase_->Started();
-  OpenDoor();
+  lifecycle_->MarkReady();
+  StartHandoverServer();
 }
 
-void Sidecar::ShareWith(const handover::HeldResources& other) {
-  Config left = config_;
-  left.sockets = handover::Left(config_.sockets, other.sockets, kMinFileDescriptors);
-  http_->SetMost(HttpSessions(left));
-  upstream_.SetMost(UpstreamLimits(left).connections);
+void Sidecar::ApplySharedLimits(const handover::HeldResources& other) {
+  Config remaining = config_;
+  remaining.max_file_descriptors =
+      handover::RemainingShare(config_.max_file_descriptors, other.descriptors, kMinFileDescriptors);
+  http_->SetMaxSessions(MaxHttpSessions(remaining));
+  upstream_.SetMaxConnections(UpstreamLimits(remaining).max_connections);
   const std::size_t memory = BodyMemory(config_);
-  budget_.SetLimit(other.sockets > 0 ? memory / 2 : memory);
+  budget_.SetLimit(other.descriptors > 0 ? memory / 2 : memory);
 }
 
-void Sidecar::OpenDoor() {
+void Sidecar::StartHandoverServer() {
   if (!config_.ops) return;
-  // A newcomer needs room for itself before it serves.
-  const auto on_newcomer = [this] { ShareWith({false, handover::kNewcomer, 0}); };
-  door_.emplace(io_, handover_path_, http_->listener(),
-                handover::Door::Events{[this] { return HeldResources(); }, on_newcomer, [this] { GiveWay(); },
-                                       [this] { GoOnAlone(); }});
+  // Leaves room for the descriptors that a successor needs before it serves.
+  const auto on_successor = [this] { ApplySharedLimits({false, handover::kSuccessorDescriptors, 0}); };
+  handover_server_.emplace(
+      io_, handover_path_, http_->listener(),
+      handover::HandoverServer::Events{[this] { return HeldResources(); }, on_successor,
+                                       [this] { YieldToSuccessor(); }, [this] { OnSuccessorLost(); }});
 }
 
 handover::HeldResources Sidecar::HeldResources() const {
-  const std::size_t servers = yielded_ > 0 ? upstream_most_ : upstream_.open_connections();
-  return {phase_->evacuated(), http_->sessions() + servers + OtherSockets(config_), budget_.reserved()};
+  const std::size_t servers = yielded_at_ > 0 ? upstream_limit_ : upstream_.open_connections();
+  return {lifecycle_->evacuated(), http_->sessions() + servers + ReservedDescriptors(config_),
+          budget_.reserved()};
 }
 
-void Sidecar::GiveWay() {
-  yielded_ = loop_.Now();
-  phase_->Yield();
-  upstream_.CloseIdle();
-  upstream_most_ = upstream_.open_connections() + kLastAttempts;
+void Sidecar::YieldToSuccessor() {
+  yielded_at_ = loop_.Now();
+  lifecycle_->Yield();
+  upstream_.CloseIdleConnections();
+  upstream_limit_ = upstream_.open_connections() + kSpareConnections;
   budget_.SetLimit(BodyMemory(config_) / 2);
   SendHeldResources();
 }
 
 void Sidecar::SendHeldResources() {
-  upstream_most_ = std::min(upstream_most_, upstream_.open_connections() + kLastAttempts);
-  upstream_.SetMost(upstream_most_);
-  door_->Tell();
-  if (loop_.Now() - yielded_ >= kOutlived && outlived_) return std::exchange(outlived_, nullptr)();
-  handover_timer_->Start(kTellEvery, [this] { SendHeldResources(); });
+  upstream_limit_ = std::min(upstream_limit_, upstream_.open_connections() + kSpareConnections);
+  upstream_.SetMaxConnections(upstream_limit_);
+  handover_server_->SendHeldResources();
+  if (loop_.Now() - yielded_at_ >= kReplacedTimeout && on_replaced_)
+    return std::exchange(on_replaced_, nullptr)();
+  handover_timer_->Start(kHeldResourcesInterval, [this] { SendHeldResources(); });
 }
 
-void Sidecar::GoOnAlone() {
-  yielded_ = 0;
+void Sidecar::OnSuccessorLost() {
+  yielded_at_ = 0;
   handover_timer_ = loop_.NewTimer();
-  ShareWith({});
-  phase_->Resume();
+  ApplySharedLimits({});
+  lifecycle_->Resume();
 }
 
-std::vector<ZoneOverride> Sidecar::Orders(const Config& config) const {
-  if (config.zones.empty()) return {};
-  const auto read = zones::ParseZoneOverrides(ReadFile(config.zones), config.zones, config_.wire.zones);
+std::vector<ZoneOverride> Sidecar::ReadZoneOverrides(const Config& config) const {
+  if (config.zone_overrides_file.empty()) return {};
+  const auto read = zones::ParseZoneOverrides(ReadFile(config.zone_overrides_file),
+                                              config.zone_overrides_file, config_.wire.zones);
   if (const auto* error = std::get_if<std::string>(&read)) throw ConfigError(*error);
   return std::get<std::vector<ZoneOverride>>(read);
 }
 
-// A wrong file throws before anything has changed.
+// An invalid file throws before anything has changed.
 void Sidecar::Reload(const Config& config) {
-  const std::vector<ZoneOverride> orders = Orders(config);
-  discovery_.Switch(config.discovery);
-  request_manager_->OnZoneOverrides(orders);
+  const std::vector<ZoneOverride> overrides = ReadZoneOverrides(config);
+  discovery_.SetAddress(config.discovery);
+  request_manager_->OnZoneOverrides(overrides);
 }
 
-void Sidecar::Stop(std::function<void()> finished) { phase_->Stop(std::move(finished)); }
+void Sidecar::Stop(std::function<void()> finished) { lifecycle_->Stop(std::move(finished)); }
 
 std::optional<Tcp::endpoint> Sidecar::ops_address() const {
   return ops_ ? std::optional(ops_->address()) : std::nullopt;
@@ -335,9 +342,9 @@
 void Sidecar::OnList(ListUpdate::Kind kind, const EndpointList& list) {
   generation_ = list.generation;
   EndpointList applied = list;
-  applied.whole = kind != ListUpdate::Kind::kDelta;
-  upstream_.Apply(applied);
-  if (diameter_ != nullptr) TellDiameter(applied);
+  applied.is_full = kind != ListUpdate::Kind::kDelta;
+  upstream_.UpdateEndpoints(applied);
+  if (diameter_ != nullptr) UpdateDiameterServers(applied);
   std::vector<ServerInfo> servers;
   servers.reserve(list.endpoints.size());
   for (const Endpoint& endpoint : list.endpoints) {
@@ -345,28 +352,27 @@
     if (diameter_ != nullptr) servers.back().protocols |= diameter_->Fronts(endpoint.info.id);
   }
   request_manager_->OnServers({kind, list.generation, servers});
-  if (!upstream_.any_server()) return;
-  if (!taking_over_) return phase_->Started();
-  // Discovery's own word, or nobody else is there to serve until it comes.
-  if (kind != ListUpdate::Kind::kStale) TakeOver();
+  if (!upstream_.has_servers()) return;
+  if (!taking_over_) return lifecycle_->MarkReady();
+  // Not with the last known list, unless the wait for discovery times out.
+  if (kind != ListUpdate::Kind::kStale) CompleteTakeover();
 }
 
-void Sidecar::TellDiameter(const EndpointList& list) {
-  if (list.whole) listed_.clear();
+void Sidecar::UpdateDiameterServers(const EndpointList& list) {
+  if (list.is_full) diameter_servers_.clear();
   std::vector<diameter::ServerAddress> servers;
   for (const Endpoint& endpoint : list.endpoints) {
     servers.push_back({endpoint.info, endpoint.diameter});
-    listed_[endpoint.info.id] = endpoint.info;
-    if (endpoint.info.state == ServerInfo::State::kGone) listed_.erase(endpoint.info.id);
+    diameter_servers_[endpoint.info.id] = endpoint.info;
+    if (endpoint.info.state == ServerInfo::State::kGone) diameter_servers_.erase(endpoint.info.id);
   }
-  diameter_->Apply(list.whole, servers);
+  diameter_->Apply(list.is_full, servers);
 }
 
-// A server that can be reached over Diameter, or can't any more, is the same server: the module hears of it
-// as of any change.
+// A change of the reachability over Diameter is reported to the balancer as a change of the server.
 void Sidecar::OnDiameterUsable(const std::string& server) {
-  const auto it = listed_.find(server);
-  if (it == listed_.end()) return;
+  const auto it = diameter_servers_.find(server);
+  if (it == diameter_servers_.end()) return;
   ServerInfo info = it->second;
   info.protocols |= diameter_->Fronts(server);
   request_manager_->OnServers({ListUpdate::Kind::kDelta, generation_, {&info, 1}});
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -1,5 +1,5 @@
-// Connections to the servers: one request on each at a time, the most recently used first. Carries out an
-// attempt exactly once and says what became of it; never sends one again by itself.
+// HTTP/1.1 connection pool for the servers: one request at a time on each connection, most recently used
+// first. Sends each attempt once and reports its result; never retries by itself.
 #ifndef MERLINRUN_NET_UPSTREAM_HPP_
 #define MERLINRUN_NET_UPSTREAM_HPP_
 
@@ -21,85 +21,84 @@
 
 namespace merlinrun::net {
 
-struct UpstreamAnswer {
+struct UpstreamResult {
   Result result = Result::kUnreachable;
-  HttpResponse response;                // whole, unless `rest` is there; of interest after a success
-  MemoryReservation charge;             // for its body
-  std::shared_ptr<Pipe> rest;           // the body, of which more comes; null: it is in `response`
-  std::optional<std::uint64_t> length;  // of the body in `rest`, if its server says so
-  bool spent = false;                   // the request's own bytes are gone
+  HttpResponse response;            // of interest after a success; complete, unless `body_pipe` is set
+  MemoryReservation reservation;    // for the body
+  std::shared_ptr<Pipe> body_pipe;  // streams the body; null: the body is in `response`
+  std::optional<std::uint64_t> content_length;  // of a streamed body, if the server states it
+  bool cannot_retry = false;                    // the streamed request body has been consumed
 };
 
-// A request on its way to a server.
 struct UpstreamRequest {
-  HttpRequest head;                          // whole, unless `rest` is there
-  std::shared_ptr<Pipe> rest = nullptr;      // the body, of which more comes; null: it is in `head`
-  std::optional<std::uint64_t> length = {};  // of the body in `rest`; none: it goes in chunks
+  HttpRequest message;                               // complete, unless `body_pipe` is set
+  std::shared_ptr<Pipe> body_pipe = nullptr;         // streams the body; null: the body is in `message`
+  std::optional<std::uint64_t> content_length = {};  // of a streamed body; none: chunked
 };
 
 class Upstream {
  public:
   using AttemptId = std::uint64_t;
-  using Done = std::function<void(UpstreamAnswer)>;
+  using Done = std::function<void(UpstreamResult)>;
   struct Limits {
-    Micros keep_idle = 0;     // an idle connection is closed after so long; 0 = only when its peer does
-    Micros dial_timeout = 0;  // 0 = as long as the attempt lasts
-    // An idle connection is used again after so long: what its server sent beyond its last answer has come by
-    // then and shows that it is of no further use.
-    Micros rest = 25'000;
-    std::size_t connections = 512;
-    // A server that neither gives nor takes anything of a large body for so long is given up.
-    Micros stall = 6'000'000;
+    Micros idle_timeout = 0;     // 0 = idle connections are kept until the server closes them
+    Micros connect_timeout = 0;  // 0 = as long as the attempt lasts
+    // An idle connection is only reused after this delay, so that unexpected data after the last response is
+    // noticed first.
+    Micros reuse_delay = 25'000;
+    std::size_t max_connections = 512;
+    // Time without progress of a streamed body, in either direction, after which the attempt fails.
+    Micros stall_timeout = 6'000'000;
   };
 
-  // Attempts that are written whole are counted. The references must outlive it.
+  // Counts completely written attempts in `counters`. The references must outlive this.
   Upstream(asio::io_context& io, Limits limits, MemoryBudget& budget, stats::Counters& counters);
   ~Upstream();
   Upstream(const Upstream&) = delete;
   Upstream& operator=(const Upstream&) = delete;
 
-  // Takes a list. A server that drains, is gone, has moved or has restarted loses its idle connections; what
-  // is under way on the others finishes.
-  void Apply(const EndpointList& list);
+  // Closes the idle connections of servers that are draining, removed, moved or restarted. Attempts in flight
+  // finish.
+  void UpdateEndpoints(const EndpointList& list);
 
-  // Starts an attempt. `done` is called once, from the loop and never from in here, unless it is given up.
+  // Starts an attempt. `done` is called once from the loop, never from inside Send, unless the attempt is
+  // cancelled.
   AttemptId Send(const std::string& server, UpstreamRequest request, Done done);
-  // Ends an attempt by closing its connection; its `done` is not called any more.
-  void GiveUp(AttemptId attempt);
+  // Cancels an attempt by closing its connection; its `done` is not called after this.
+  void CancelAttempt(AttemptId attempt);
 
-  // Connections from now on; as many idle ones as there are too many are closed.
-  void SetMost(std::size_t connections);
-  // Closes those that are idle.
-  void CloseIdle();
+  // Closes idle connections above the new limit.
+  void SetMaxConnections(std::size_t connections);
+  void CloseIdleConnections();
 
-  bool any_server() const { return !servers_.empty(); }
-  std::size_t open_connections() const { return open_; }
+  bool has_servers() const { return !servers_.empty(); }
+  std::size_t open_connections() const { return open_connections_; }
 
  private:
   class Connection;
   struct Server;
   using ConnectionPtr = std::shared_ptr<Connection>;
 
-  static void Update(Server& server, const Endpoint& endpoint);
-  ConnectionPtr TakeIdle(Server& server);
-  bool MakeRoom();
-  AttemptId FailLater(Done done, bool spent);
-  void Release(const ConnectionPtr& connection);
-  void Forget(const Connection& connection);
-  void SweepLater();
-  void Sweep();
+  static void UpdateServer(Server& server, const Endpoint& endpoint);
+  ConnectionPtr TakeIdleConnection(Server& server);
+  bool CloseOldestIdle();
+  AttemptId FailAsync(Done done, bool body_consumed);
+  void ReturnToPool(const ConnectionPtr& connection);
+  void RemoveConnection(const Connection& connection);
+  void ScheduleSweep();
+  void CloseExpiredConnections();
 
   asio::io_context& io_;
   Limits limits_;
   MemoryBudget& budget_;
   stats::Counters& counters_;
-  asio::steady_timer sweep_;
+  asio::steady_timer sweep_timer_;
   bool sweeping_ = false;
-  std::size_t open_ = 0;
+  std::size_t open_connections_ = 0;
   AttemptId last_attempt_ = 0;
   std::unordered_map<std::string, std::shared_ptr<Server>> servers_;
-  std::unordered_set<ConnectionPtr> streams_;              // whose answers are passed on while they come
-  std::unordered_map<AttemptId, ConnectionPtr> attempts_;  // null: it has failed, which is about to be told
+  std::unordered_set<ConnectionPtr> streaming_connections_;           // with a streamed response
+  std::unordered_map<AttemptId, ConnectionPtr> attempt_connections_;  // null: failed, result posted
 };
 
 }  // namespace merlinrun::net
--- a/src/net/validate.cpp
+++ b/src/net/validate.cpp
@@ -14,30 +14,30 @@
 namespace merlinrun::net {
 namespace {
 
-constexpr std::size_t kMostFields = 64;
-constexpr std::size_t kMostTarget = std::size_t{4} * 1024;
-constexpr std::size_t kMostId = 64;
-constexpr std::size_t kMostKey = 128;
-constexpr double kMostDeadline = 86'400;  // seconds
+constexpr std::size_t kMaxFields = 64;
+constexpr std::size_t kMaxTarget = std::size_t{4} * 1024;
+constexpr std::size_t kMaxId = 64;
+constexpr std::size_t kMaxKey = 128;
+constexpr double kMaxDeadline = 86'400;  // seconds
 
 bool IsDigit(char c) { return c >= '0' && c <= '9'; }
 
-// What ids and keys may be made of: nothing that means something else in a header or a list.
-bool IsName(std::string_view text, std::size_t most) {
-  return !text.empty() && text.size() <= most && std::all_of(text.begin(), text.end(), [](char c) {
+// Allowed in ids and keys: no characters with a special meaning in headers or lists.
+bool IsIdentifier(std::string_view text, std::size_t max_size) {
+  return !text.empty() && text.size() <= max_size && std::all_of(text.begin(), text.end(), [](char c) {
     return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' || c == '_' || c == '.' || c == ':';
   });
 }
 
-// A length that every reader takes for the same: digits alone, few enough for any integer.
+// A length that all parsers read alike: only digits, without overflow.
 bool IsLength(std::string_view text) {
   return !text.empty() && text.size() <= 15 && std::all_of(text.begin(), text.end(), IsDigit);
 }
 
-// Guards against a second message hidden in the body of a first one: two lengths, two framings, or a framing
-// that another reader may not know.
+// Prevents request smuggling: no repeated Content-Length, no combination with Transfer-Encoding, and no
+// transfer coding but chunked.
 template <typename Header>
-bool OneFraming(const Header& header, unsigned version) {
+bool HasUnambiguousFraming(const Header& header, unsigned version) {
   const auto lengths = header.count(http::field::content_length);
   const auto codings = header.count(http::field::transfer_encoding);
   if (lengths + codings > 1) return false;
@@ -52,8 +52,8 @@
   return std::any_of(length.begin(), length.end(), [](char c) { return c != '0'; });
 }
 
-// Two values of one field could be read as either.
-bool Repeats(const RequestHeader& header) {
+// Parsers differ in which value of a repeated field they use.
+bool HasRepeatedFields(const RequestHeader& header) {
   const auto more = [&](auto name) { return header.count(name) > 1; };
   return std::any_of(std::begin(kRequestHeaders), std::end(kRequestHeaders), more);
 }
@@ -81,7 +81,7 @@
   if (target.size() <= kScheme.size() || !beast::iequals(target.substr(0, kScheme.size()), kScheme)) return;
   const std::size_t path = target.find_first_of("/?", kScheme.size());
   const std::string host = target.substr(kScheme.size(), path - kScheme.size());
-  // Guards against two hosts, or none: the first could be meant for somebody else.
+  // Rejected as ambiguous: no host, or user information.
   if (host.empty() || host.find('@') != std::string::npos) return;
   std::string rest = path == std::string::npos ? "/" : target.substr(path);
   if (rest.front() == '?') rest.insert(0, 1, '/');
@@ -91,9 +91,9 @@
 
 std::optional<RequestError> ValidateRequest(const RequestHeader& header) {
   const auto bad = [](const char* text) { return RequestError{http::status::bad_request, text}; };
-  if (static_cast<std::size_t>(std::distance(header.begin(), header.end())) > kMostFields)
+  if (static_cast<std::size_t>(std::distance(header.begin(), header.end())) > kMaxFields)
     return RequestError{http::status::request_header_fields_too_large, "too many header fields\n"};
-  if (!OneFraming(header, header.version())) return bad("the body's length is in doubt\n");
+  if (!HasUnambiguousFraming(header, header.version())) return bad("the body's length is in doubt\n");
   const auto length = ToStringView(header[http::field::content_length]);
   if (ParseDecimal(length).value_or(0) > static_cast<double>(kMaxStreamedBody))
     return RequestError{http::status::payload_too_large, "too large\n"};
@@ -101,50 +101,49 @@
       expects > 1 || (expects == 1 && (header.version() < 11 ||
                                        !beast::iequals(header[http::field::expect], "100-continue"))))
     return RequestError{http::status::expectation_failed, "unknown expectation\n"};
-  if (header.target().empty() || header.target().front() != '/' || header.target().size() > kMostTarget)
+  if (header.target().empty() || header.target().front() != '/' || header.target().size() > kMaxTarget)
     return bad("the target is no path\n");
-  if (Repeats(header)) return bad("a header field is repeated\n");
+  if (HasRepeatedFields(header)) return bad("a header field is repeated\n");
   if (header.method() == http::verb::get && HasBody(header)) return bad("GET with a body\n");
   if (header.target() == kReadyPath) {
     if (header.method() != http::verb::get)
       return RequestError{http::status::method_not_allowed, "GET alone\n"};
     return std::nullopt;
   }
-  if (!IsName(ToStringView(header[kIdHeader]), kMostId)) return bad("no valid Req-Id\n");
+  if (!IsIdentifier(ToStringView(header[kIdHeader]), kMaxId)) return bad("no valid Req-Id\n");
   if (header.count(kDeadlineHeader) > 0) {
     const auto deadline = ParseDecimal(ToStringView(header[kDeadlineHeader]));
-    if (!deadline || *deadline <= 0 || *deadline > kMostDeadline) return bad("no valid Req-Deadline\n");
+    if (!deadline || *deadline <= 0 || *deadline > kMaxDeadline) return bad("no valid Req-Deadline\n");
   }
   return std::nullopt;
 }
 
-std::optional<RequestError> ValidateForClass(const RequestHeader& header, RetrySafety repeat) {
+std::optional<RequestError> ValidateForClass(const RequestHeader& header, RetrySafety retry_safety) {
   const bool keyed = header.count(kIdempotencyHeader) > 0;
-  const auto method = repeat == RetrySafety::kSafe ? http::verb::get : http::verb::post;
+  const auto method = retry_safety == RetrySafety::kSafe ? http::verb::get : http::verb::post;
   if (header.method() != method)
     return RequestError{http::status::method_not_allowed, "not this class's method\n"};
-  if (keyed != (repeat == RetrySafety::kDeduplicated) ||
-      (keyed && !IsName(ToStringView(header[kIdempotencyHeader]), kMostKey)))
+  if (keyed != (retry_safety == RetrySafety::kDeduplicated) ||
+      (keyed && !IsIdentifier(ToStringView(header[kIdempotencyHeader]), kMaxKey)))
     return RequestError{http::status::bad_request, "Idempotency-Key does not fit the class\n"};
   return std::nullopt;
 }
 
 bool IsDelimitedByClose(const ResponseHeader& header) {
-  const bool says_so = http::token_list(header[http::field::connection]).exists("close");
-  return says_so && header.result_int() >= 200 && header.count(http::field::content_length) == 0 &&
+  const bool announces_close = http::token_list(header[http::field::connection]).exists("close");
+  return announces_close && header.result_int() >= 200 && header.count(http::field::content_length) == 0 &&
          header.count(http::field::transfer_encoding) == 0;
 }
 
 bool IsValidResponse(const ResponseHeader& header) {
-  // Guards against one that was cut off and looks whole: it has to say that it ends with its connection, and
-  // then does so in order; a process that dies resets it.
-  const bool needs_no_length = IsDelimitedByClose(header) || header.result_int() < 200 ||
+  // A response without a length could be truncated unnoticed, unless it announces the end of the connection.
+  const bool length_optional = IsDelimitedByClose(header) || header.result_int() < 200 ||
                                header.result() == http::status::no_content ||
                                header.result() == http::status::not_modified;
-  if (!needs_no_length && header.count(http::field::content_length) == 0 &&
+  if (!length_optional && header.count(http::field::content_length) == 0 &&
       header.count(http::field::transfer_encoding) == 0)
     return false;
-  return OneFraming(header, header.version()) &&
+  return HasUnambiguousFraming(header, header.version()) &&
          ParseDecimal(ToStringView(header[http::field::content_length])).value_or(0) <=
              static_cast<double>(kMaxStreamedBody);
 }
--- a/src/net/validate.hpp
+++ b/src/net/validate.hpp
@@ -1,4 +1,4 @@
-// The strictness that the HTTP library lacks: what is wrong with a header that it has parsed.
+// HTTP header validation beyond that of the HTTP library, against request smuggling and invalid requests.
 #ifndef MERLINRUN_NET_VALIDATE_HPP_
 #define MERLINRUN_NET_VALIDATE_HPP_
 
@@ -16,31 +16,31 @@
 using RequestHeader = http::request_header<>;
 using ResponseHeader = http::response_header<>;
 
-// Why a message is turned away.
 struct RequestError {
   http::status status;
   const char* text;
 };
 
-// A target in absolute form becomes a path, and its host the request's (RFC 9112, 3.2.2). Any other is left.
+// Converts a target in absolute form to origin form and sets Host (RFC 9112, 3.2.2). Leaves other targets
+// unchanged.
 void ConvertToOriginForm(RequestHeader& header);
 
-// A request's framing and the form of its fields, whatever it asks for.
+// Checks the framing and header fields of a request, independent of its class.
 std::optional<RequestError> ValidateRequest(const RequestHeader& header);
 
-// That a request is what its class says: method and key follow from whether it may be repeated.
-std::optional<RequestError> ValidateForClass(const RequestHeader& header, RetrySafety repeat);
+// Checks the method and idempotency key of a request against its class.
+std::optional<RequestError> ValidateForClass(const RequestHeader& header, RetrySafety retry_safety);
 
-// True if an answer's framing is beyond doubt and its length within what a body may have.
+// True if the framing of a response is unambiguous and its length within the body limit.
 bool IsValidResponse(const ResponseHeader& header);
 
-// True if an answer's body ends with its connection, as it says itself (RFC 9112, 6.3).
+// True if the body of a response ends with its connection (RFC 9112, 6.3).
 bool IsDelimitedByClose(const ResponseHeader& header);
 
-// A plain decimal number such as 0.480: no sign, no exponent, nothing around it.
+// Parses a decimal number such as 0.480 without sign, exponent or surrounding characters.
 std::optional<double> ParseDecimal(std::string_view text);
 
-// The form that ParseDecimal reads, of a time in seconds: 0.480.
+// Formats a time in seconds as ParseDecimal reads it: 0.480.
 std::string FormatSeconds(Micros time);
 
 inline std::string_view ToStringView(beast::string_view text) { return {text.data(), text.size()}; }
--- a/src/ops/api.hpp
+++ b/src/ops/api.hpp
@@ -1,4 +1,4 @@
-// What a call to the second address means. Free of I/O.
+// The HTTP API for operators. Does no I/O.
 #ifndef MERLINRUN_OPS_API_HPP_
 #define MERLINRUN_OPS_API_HPP_
 
@@ -10,31 +10,31 @@
 
 namespace merlinrun::ops {
 
-// The answer to a call.
 struct Reply {
   unsigned status = 200;
   std::string body;
   std::string_view type = "text/plain";
-  std::string_view allow = {};  // with 405: the method that the path has
+  std::string_view allow = {};  // with status 405: the allowed method
 };
 
-// The figures as one JSON object, without its line's end: each class of the settings is there from the start.
-std::string FiguresText(const stats::Counters& counters, const Settings& settings,
-                        const BalancerSnapshot& beliefs);
+// The metrics as a JSON object without a line break. Contains every class of the settings, even without
+// requests.
+std::string MetricsJson(const stats::Counters& counters, const Settings& settings,
+                        const BalancerSnapshot& snapshot);
 
-// Answers calls by the phase and the figures of the moment. What it is given must outlive it.
+// The references must outlive this.
 class Api {
  public:
-  Api(Phase& phase, const core::RequestManager& request_manager, const stats::Counters& counters)
-      : phase_(phase), request_manager_(request_manager), counters_(counters) {}
+  Api(Lifecycle& lifecycle, const core::RequestManager& request_manager, const stats::Counters& counters)
+      : lifecycle_(lifecycle), request_manager_(request_manager), counters_(counters) {}
 
-  // `target` as the call has it; a query is ignored.
+  // `target`: the request target; its query is ignored.
   Reply Handle(std::string_view method, std::string_view target);
 
  private:
-  Reply Do(std::string_view path);
+  Reply Execute(std::string_view path);
 
-  Phase& phase_;
+  Lifecycle& lifecycle_;
   const core::RequestManager& request_manager_;
   const stats::Counters& counters_;
 };
--- a/src/ops/lifecycle.cpp
+++ b/src/ops/lifecycle.cpp
@@ -8,122 +8,122 @@
 
 constexpr Micros kMs = 1000;
 
-// After SIGTERM: connections still come for up to 0.4 s, and the kill comes no sooner than 3.7 s.
+// After SIGTERM new connections arrive for up to 0.4 s; SIGKILL follows after 3.7 s at the earliest.
 constexpr Micros kAcceptAfterStop = 550 * kMs;
-constexpr Micros kIdleAfterStop = 150 * kMs;  // and then so long for what was accepted last to speak
-constexpr Micros kMostStop = 3200 * kMs;
-constexpr Micros kLastWords = 100 * kMs;  // for the answers given at that moment to be read
+constexpr Micros kIdleAfterStop = 150 * kMs;  // for the last accepted connections to send a request
+constexpr Micros kMaxStopTime = 3200 * kMs;
+constexpr Micros kResponseReadTime = 100 * kMs;  // for clients to read the last responses
 constexpr Micros kStopPoll = 20 * kMs;
 
-// While evacuated: how often idle connections are looked at, and how long one that has just come may say
-// nothing, as new ones still come for a moment.
+// While draining: interval of the check for idle connections, and how long a new connection may stay idle.
 constexpr Micros kIdlePoll = 50 * kMs;
-constexpr Micros kLeastRest = 200 * kMs;
+constexpr Micros kMinIdleTime = 200 * kMs;
 
 }  // namespace
 
-Phase::Phase(core::Loop& loop, core::RequestManager& request_manager)
+Lifecycle::Lifecycle(core::Loop& loop, core::RequestManager& request_manager)
     : loop_(loop), request_manager_(request_manager), timer_(loop.NewTimer()) {}
 
-void Phase::SetDraining(bool draining) {
-  for (core::ProtocolListener* front : fronts_) front->SetDraining(draining);
+void Lifecycle::SetDraining(bool draining) {
+  for (core::ProtocolListener* listener : listeners_) listener->SetDraining(draining);
 }
 
-void Phase::Started() {
+void Lifecycle::MarkReady() {
   if (state_ == State::kStarting) state_ = State::kServing;
-  started_ = true;
+  ready_ = true;
 }
 
-bool Phase::Evacuate() {
+bool Lifecycle::Evacuate() {
   if (state_ == State::kStopping) return false;
-  if (std::exchange(away_, true) || yielded_) return true;
+  if (std::exchange(evacuated_, true) || yielded_) return true;
   state_ = State::kEvacuated;
-  BeginEnding();
+  BeginDrain();
   return true;
 }
 
-bool Phase::Rejoin() {
+bool Lifecycle::Rejoin() {
   if (state_ == State::kStopping) return false;
-  if (!std::exchange(away_, false) || yielded_) return true;
-  LeaveDrain();
+  if (!std::exchange(evacuated_, false) || yielded_) return true;
+  EndDrain();
   return true;
 }
 
-void Phase::LeaveDrain() {
-  state_ = started_ ? State::kServing : State::kStarting;
-  timer_ = loop_.NewTimer();  // nothing more is closed
+void Lifecycle::EndDrain() {
+  state_ = ready_ ? State::kServing : State::kStarting;
+  timer_ = loop_.NewTimer();  // cancels closing idle connections
   SetDraining(false);
 }
 
-void Phase::Yield() {
+void Lifecycle::Yield() {
   if (state_ == State::kStopping || std::exchange(yielded_, true)) return;
   state_ = State::kYielding;
-  for (core::ProtocolListener* front : fronts_) front->PauseAccepting();
-  BeginEnding();
+  for (core::ProtocolListener* listener : listeners_) listener->PauseAccepting();
+  BeginDrain();
 }
 
-void Phase::Resume() {
+void Lifecycle::Resume() {
   if (state_ != State::kYielding) return;
   yielded_ = false;
-  for (core::ProtocolListener* front : fronts_) front->ResumeAccepting();
-  if (!away_) return LeaveDrain();
+  for (core::ProtocolListener* listener : listeners_) listener->ResumeAccepting();
+  if (!evacuated_) return EndDrain();
   state_ = State::kEvacuated;
 }
 
-void Phase::BeginEnding() {
-  ending_ = loop_.Now();
+void Lifecycle::BeginDrain() {
+  drain_start_ = loop_.Now();
   SetDraining(true);
-  EndIdle();
+  CloseIdleWhileDraining();
 }
 
-// Those that have rested longest go first: guards against closes that cross a request, as clients use the
-// connection that they used last.
-void Phase::EndIdle() {
-  const Micros left = std::max<Micros>(ending_ + kEvacuated - loop_.Now(), 0);
-  for (core::ProtocolListener* front : fronts_) front->CloseIdle(std::max(left, kLeastRest));
+// Closes the connections that have been idle longest first. Clients reuse the most recently used connection,
+// so this rarely closes one on which a request is on its way.
+void Lifecycle::CloseIdleWhileDraining() {
+  const Micros min_idle = std::max<Micros>(drain_start_ + kEvacuationTime - loop_.Now(), 0);
+  for (core::ProtocolListener* listener : listeners_) listener->CloseIdle(std::max(min_idle, kMinIdleTime));
   if (state_ == State::kStopping &&
-      (left == 0 || (sessions() == 0 && request_manager_.active_requests() == 0)))
-    return CloseIdle();
-  timer_->Start(kIdlePoll, [this] { EndIdle(); });
+      (min_idle == 0 || (sessions() == 0 && request_manager_.active_requests() == 0)))
+    return CloseAllIdle();
+  timer_->Start(kIdlePoll, [this] { CloseIdleWhileDraining(); });
 }
 
-void Phase::Stop(std::function<void()> finished) {
+void Lifecycle::Stop(std::function<void()> finished) {
   if (state_ == State::kStopping) return;
   state_ = State::kStopping;
   finished_ = std::move(finished);
-  end_ = loop_.Now() + kMostStop;
-  request_manager_.SetShutdownDeadline(end_);
-  // The queue is the other process's, and nothing new comes.
-  if (yielded_) return EndIdle();
+  stop_deadline_ = loop_.Now() + kMaxStopTime;
+  request_manager_.SetShutdownDeadline(stop_deadline_);
+  // The successor accepts, so there are no new connections.
+  if (yielded_) return CloseIdleWhileDraining();
   SetDraining(true);
   timer_->Start(kAcceptAfterStop, [this] { StopAccepting(); });
 }
 
-void Phase::StopAccepting() {
-  for (core::ProtocolListener* front : fronts_) front->StopAccepting();
-  timer_->Start(kIdleAfterStop, [this] { CloseIdle(); });
+void Lifecycle::StopAccepting() {
+  for (core::ProtocolListener* listener : listeners_) listener->StopAccepting();
+  timer_->Start(kIdleAfterStop, [this] { CloseAllIdle(); });
 }
 
-void Phase::CloseIdle() {
-  closing_ = true;
-  for (core::ProtocolListener* front : fronts_) front->CloseIdle(0);
+void Lifecycle::CloseAllIdle() {
+  closing_idle_ = true;
+  for (core::ProtocolListener* listener : listeners_) listener->CloseIdle(0);
   request_manager_.OnEmpty([this] { CheckFinished(); });
-  // What would outlast the time before the kill: an answer now, if only a failure, is better than none.
-  timer_->Start(std::max<Micros>(end_ - loop_.Now(), 0),
+  // Requests that would outlast the kill are answered now, even if with a failure.
+  timer_->Start(std::max<Micros>(stop_deadline_ - loop_.Now(), 0),
                 [this] { request_manager_.EnforceShutdownDeadline(); });
   CheckFinished();
 }
 
-std::size_t Phase::sessions() const {
+std::size_t Lifecycle::sessions() const {
   std::size_t sum = 0;
-  for (const core::ProtocolListener* front : fronts_) sum += front->sessions();
+  for (const core::ProtocolListener* listener : listeners_) sum += listener->sessions();
   return sum;
 }
 
-// Guards against ending with answers still unsent: each session goes when its client has read its answer.
-void Phase::CheckFinished() {
-  if (!closing_ || request_manager_.active_requests() > 0 || !finished_) return;
-  if (sessions() == 0 || loop_.Now() >= end_ + kLastWords) return std::exchange(finished_, nullptr)();
+// Waits until clients have read their responses, which ends their sessions.
+void Lifecycle::CheckFinished() {
+  if (!closing_idle_ || request_manager_.active_requests() > 0 || !finished_) return;
+  if (sessions() == 0 || loop_.Now() >= stop_deadline_ + kResponseReadTime)
+    return std::exchange(finished_, nullptr)();
   timer_->Start(kStopPoll, [this] { CheckFinished(); });
 }
 
--- a/src/ops/lifecycle.hpp
+++ b/src/ops/lifecycle.hpp
@@ -1,5 +1,5 @@
-// The phase of the whole sidecar: starting, serving, evacuated, yielding, stopping. What each says on both
-// addresses, and what it asks of the fronts. Free of I/O; one thread, that of its Loop.
+// The lifecycle of the sidecar: its readiness for clients and operators, draining, hot restart and shutdown.
+// Drives the protocol listeners; does no I/O of its own. Runs on the thread of the Loop.
 #ifndef MERLINRUN_OPS_LIFECYCLE_HPP_
 #define MERLINRUN_OPS_LIFECYCLE_HPP_
 
@@ -13,68 +13,68 @@
 
 namespace merlinrun::ops {
 
-class Phase {
+class Lifecycle {
  public:
-  // kYielding: another process of this sidecar serves, and this one finishes what it has.
+  // kYielding: the successor of this process serves; this one finishes its requests.
   enum class State { kStarting, kServing, kEvacuated, kYielding, kStopping };
 
-  // Both must outlive it.
-  Phase(core::Loop& loop, core::RequestManager& request_manager);
-  Phase(const Phase&) = delete;
-  Phase& operator=(const Phase&) = delete;
+  // The references must outlive this.
+  Lifecycle(core::Loop& loop, core::RequestManager& request_manager);
+  Lifecycle(const Lifecycle&) = delete;
+  Lifecycle& operator=(const Lifecycle&) = delete;
 
-  // Before all else. The front must outlive this.
-  void Add(core::ProtocolListener& front) { fronts_.push_back(&front); }
+  // To be called before all other methods. The listener must outlive this.
+  void Add(core::ProtocolListener& listener) { listeners_.push_back(&listener); }
 
-  // From now on it can serve: it listens and knows servers. Does nothing a second time, nor once it stops.
-  void Started();
-  // Clients are to go elsewhere; what they have sent is finished, and their connections end within
-  // kEvacuated. False if it stops, which outranks this. A second call does nothing.
+  // The sidecar listens and knows servers. Does nothing if called again or after Stop.
+  void MarkReady();
+  // Drains: tells clients to go elsewhere, finishes their requests and closes their idle connections within
+  // kEvacuationTime. Returns false after Stop. Repeated calls do nothing.
   bool Evacuate();
-  // Back to work at once, also amid a drain. False if it stops. Does nothing if it was not evacuated.
+  // Ends an evacuation immediately, also while draining. Returns false after Stop.
   bool Rejoin();
-  // Another process has the listener now. It accepts no more, finishes what it has and lets its clients'
-  // connections end as after Evacuate. Does nothing if it stops.
+  // The successor accepts on the listener now: stops accepting and drains as after Evacuate. Does nothing
+  // after Stop.
   void Yield();
-  // The other process has gone: back to what it was before. Does nothing if it does not yield.
+  // The successor is gone: returns to the state before Yield.
   void Resume();
-  // The planned end: takes what still comes for a short while, finishes what is held, answers what would
-  // outlast the kill, then calls `finished` once, from the loop. Final; a second call does nothing.
+  // Graceful shutdown: accepts for a short grace period, finishes the active requests, answers those that
+  // would outlast the kill, then calls `finished` once from the loop. Final; repeated calls do nothing.
   void Stop(std::function<void()> finished);
 
   State state() const { return state_; }
-  // What GET /ready says to clients. On connections kept from before it yielded it speaks for the sidecar,
-  // which the other process serves.
-  bool TakesClients() const { return !away_ && (state_ == State::kServing || yielded_); }
-  // Whether this process can serve, as the operators ask at the second address.
+  // The result of GET /ready for clients. After Yield it is the readiness of the sidecar, which the successor
+  // serves.
+  bool AcceptsClients() const { return !evacuated_ && (state_ == State::kServing || yielded_); }
+  // Whether this process can serve: the result of GET /api/ready for operators.
   bool CanServe() const { return state_ != State::kStarting && state_ != State::kStopping; }
-  bool evacuated() const { return away_; }
+  bool evacuated() const { return evacuated_; }
 
-  // After Evacuate, until no connection is held idle any more, in microseconds.
-  static constexpr Micros kEvacuated = 1'500'000;
+  // Microseconds from Evacuate until no idle connection is left.
+  static constexpr Micros kEvacuationTime = 1'500'000;
 
  private:
-  void BeginEnding();
-  void EndIdle();
-  void LeaveDrain();
+  void BeginDrain();
+  void CloseIdleWhileDraining();
+  void EndDrain();
   void StopAccepting();
-  void CloseIdle();
+  void CloseAllIdle();
   void CheckFinished();
   std::size_t sessions() const;
   void SetDraining(bool draining);
 
   core::Loop& loop_;
   core::RequestManager& request_manager_;
-  std::vector<core::ProtocolListener*> fronts_;
+  std::vector<core::ProtocolListener*> listeners_;
   std::unique_ptr<core::Timer> timer_;
   std::function<void()> finished_;
   State state_ = State::kStarting;
-  bool started_ = false;  // it could serve at some time
-  bool away_ = false;     // clients were told to go elsewhere
-  bool yielded_ = false;  // another process has the listener
-  Micros ending_ = 0;     // when connections began to be ended
-  Micros end_ = 0;        // of stopping
-  bool closing_ = false;
+  bool ready_ = false;      // MarkReady was called
+  bool evacuated_ = false;  // by the operator
+  bool yielded_ = false;    // the successor accepts on the listener
+  Micros drain_start_ = 0;
+  Micros stop_deadline_ = 0;  // 0 = not stopping
+  bool closing_idle_ = false;
 };
 
 }  // namespace merlinrun::ops
--- a/src/ops/listener.cpp
+++ b/src/ops/listener.cpp
@@ -16,11 +16,11 @@
 using Tcp = asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-// A call is a short head; what comes as a body is read and left aside, up to its own limit.
-constexpr std::uint32_t kMostHead = 4096;
-constexpr std::uint64_t kMostBody = std::uint64_t{16} * 1024;
-// How long accepting rests when descriptors have run out: guards against a loop that spins on EMFILE.
-constexpr auto kAcceptPause = std::chrono::milliseconds(50);
+// Bodies are read and ignored.
+constexpr std::uint32_t kMaxHeaderBytes = 4096;
+constexpr std::uint64_t kMaxBodyBytes = std::uint64_t{16} * 1024;
+// Delay before accepting again after an error such as EMFILE; avoids a busy loop.
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(50);
 
 unsigned StatusOf(ErrorCode error) {
   if (error == http::error::header_limit) return 431;
@@ -29,25 +29,25 @@
 
 }  // namespace
 
-class Listener::Caller : public std::enable_shared_from_this<Caller> {
+class Listener::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Caller(Listener& owner, Tcp::socket socket) : owner_(&owner), tcp_(std::move(socket)) {}
+  Connection(Listener& owner, Tcp::socket socket) : owner_(&owner), tcp_(std::move(socket)) {}
 
   void Start() {
-    parser_.header_limit(kMostHead);
-    parser_.body_limit(kMostBody);
-    tcp_.expires_after(std::chrono::microseconds(owner_->limits_.call));
+    parser_.header_limit(kMaxHeaderBytes);
+    parser_.body_limit(kMaxBodyBytes);
+    tcp_.expires_after(std::chrono::microseconds(owner_->limits_.io_timeout));
     http::async_read(tcp_, buffer_, parser_,
                      [self = shared_from_this()](ErrorCode error, std::size_t) { self->OnRead(error); });
   }
 
-  // Without a word to the owner: it has let go of this, or is going itself.
+  // Closes without notifying the owner, which has dropped this connection or is being destroyed.
   void Abandon() {
     owner_ = nullptr;
     tcp_.close();
   }
 
-  std::list<CallerPtr>::iterator place;
+  std::list<ConnectionPtr>::iterator position;
 
  private:
   void OnRead(ErrorCode error) {
@@ -58,7 +58,7 @@
       const auto target = request.target();
       return Write(owner_->api_.Handle({method.data(), method.size()}, {target.data(), target.size()}));
     }
-    // Gone, silent too long, or half a call and a close: there is nobody to be told.
+    // Disconnected or timed out: no response is possible.
     if (error == beast::error::timeout || error == asio::error::eof || error == http::error::end_of_stream ||
         error == http::error::partial_message || error.category() == asio::error::get_system_category())
       return Close();
@@ -74,23 +74,24 @@
     response_.keep_alive(false);
     response_.body() = std::move(reply.body);
     response_.prepare_payload();
-    tcp_.expires_after(std::chrono::microseconds(owner_->limits_.call));
+    tcp_.expires_after(std::chrono::microseconds(owner_->limits_.io_timeout));
     http::async_write(tcp_, response_, [self = shared_from_this()](ErrorCode error, std::size_t) {
       if (error) return self->Close();
       self->Linger();
     });
   }
 
-  // Until the caller has read its answer and gone: a close with input unread would reset it.
+  // Waits until the client closes: closing with unread input would reset the connection and lose the
+  // response.
   void Linger() {
     if (owner_ == nullptr) return;
     ErrorCode error;
     tcp_.socket().shutdown(Tcp::socket::shutdown_send, error);
     if (error) return Close();
     buffer_.clear();
-    tcp_.async_read_some(buffer_.prepare(kMostHead),
+    tcp_.async_read_some(buffer_.prepare(kMaxHeaderBytes),
                          [self = shared_from_this()](ErrorCode ended, std::size_t n) {
-                           if (ended || (self->lingered_ += n) > kMostBody) return self->Close();
+                           if (ended || (self->lingered_bytes_ += n) > kMaxBodyBytes) return self->Close();
                            self->Linger();
                          });
   }
@@ -98,25 +99,29 @@
   void Close() {
     if (owner_ == nullptr) return;
     const auto self = shared_from_this();
-    std::exchange(owner_, nullptr)->callers_.erase(place);
+    std::exchange(owner_, nullptr)->connections_.erase(position);
     tcp_.close();
   }
 
-  Listener* owner_;  // null once it is closed
+  Listener* owner_;  // null once closed
   beast::tcp_stream tcp_;
-  beast::flat_buffer buffer_{kMostHead + kMostBody};
+  beast::flat_buffer buffer_{kMaxHeaderBytes + kMaxBodyBytes};
   http::request_parser<http::string_body> parser_;
   http::response<http::string_body> response_;
-  std::size_t lingered_ = 0;
+  std::size_t lingered_bytes_ = 0;
 };
 
 Listener::Listener(asio::io_context& io, const Tcp::endpoint& address, Limits limits, Api& api)
-    : io_(io), limits_(limits), api_(api), acceptor_(io, address, /*reuse_addr=*/true), pause_(io) {
+    : io_(io),
+      limits_(limits),
+      api_(api),
+      acceptor_(io, address, /*reuse_addr=*/true),
+      accept_retry_timer_(io) {
   Accept();
 }
 
 Listener::~Listener() {
-  for (const CallerPtr& caller : callers_) caller->Abandon();
+  for (const ConnectionPtr& connection : connections_) connection->Abandon();
 }
 
 void Listener::Accept() {
@@ -126,22 +131,22 @@
       if (!error) Add(std::move(socket));
       return Accept();
     }
-    pause_.expires_after(kAcceptPause);
-    pause_.async_wait([this](ErrorCode stopped) {
+    accept_retry_timer_.expires_after(kAcceptRetryDelay);
+    accept_retry_timer_.async_wait([this](ErrorCode stopped) {
       if (!stopped) Accept();
     });
   });
 }
 
 void Listener::Add(Tcp::socket socket) {
-  if (callers_.size() >= limits_.callers) {
-    const CallerPtr oldest = callers_.front();
-    callers_.pop_front();
+  if (connections_.size() >= limits_.max_connections) {
+    const ConnectionPtr oldest = connections_.front();
+    connections_.pop_front();
     oldest->Abandon();
   }
-  const auto caller = std::make_shared<Caller>(*this, std::move(socket));
-  caller->place = callers_.insert(callers_.end(), caller);
-  caller->Start();
+  const auto connection = std::make_shared<Connection>(*this, std::move(socket));
+  connection->position = connections_.insert(connections_.end(), connection);
+  connection->Start();
 }
 
 }  // namespace merlinrun::ops
--- a/src/ops/listener.hpp
+++ b/src/ops/listener.hpp
@@ -1,4 +1,4 @@
-// The second address on sockets: HTTP/1.1, one call to a connection.
+// The HTTP/1.1 listener of the operators' API, with one request per connection.
 #ifndef MERLINRUN_OPS_LISTENER_HPP_
 #define MERLINRUN_OPS_LISTENER_HPP_
 
@@ -13,19 +13,18 @@
 
 namespace merlinrun::ops {
 
-// Threading: all of it on the thread of `io`.
+// Threading: everything runs on the thread of `io`.
 class Listener {
  public:
   struct Limits {
-    // Callers at once; one more makes the one go that has been here longest. Guards against callers that say
-    // nothing and so keep the others out.
-    std::size_t callers = 16;
-    // From its connection a caller has so long to ask, and then once more to read its answer, microseconds.
-    Micros call = 2'000'000;
+    // One more connection closes the oldest, so that silent connections can't block others.
+    std::size_t max_connections = 16;
+    // Microseconds to send the request, and again to read the response.
+    Micros io_timeout = 2'000'000;
   };
 
-  // Throws boost::system::system_error if the address cannot be listened on. What it is given must outlive
-  // it.
+  // Throws boost::system::system_error if the address cannot be listened on. The references must outlive
+  // this.
   Listener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, Limits limits,
            Api& api);
   ~Listener();
@@ -33,13 +32,14 @@
   Listener& operator=(const Listener&) = delete;
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-  std::size_t callers() const { return callers_.size(); }
-  // Descriptors that it may hold: the callers', its own, and one that is accepted before another goes.
-  static constexpr std::size_t Sockets(const Limits& limits) { return limits.callers + 2; }
+  std::size_t connections() const { return connections_.size(); }
+  // The largest number of open descriptors: connections, acceptor, and a new connection before the oldest is
+  // closed.
+  static constexpr std::size_t MaxDescriptors(const Limits& limits) { return limits.max_connections + 2; }
 
  private:
-  class Caller;
-  using CallerPtr = std::shared_ptr<Caller>;
+  class Connection;
+  using ConnectionPtr = std::shared_ptr<Connection>;
 
   void Accept();
   void Add(boost::asio::ip::tcp::socket socket);
@@ -48,8 +48,8 @@
   const Limits limits_;
   Api& api_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_;
-  std::list<CallerPtr> callers_;  // the one that has been here longest first
+  boost::asio::steady_timer accept_retry_timer_;
+  std::list<ConnectionPtr> connections_;  // oldest first
 };
 
 }  // namespace merlinrun::ops
--- a/src/record/format.cpp
+++ b/src/record/format.cpp
@@ -10,11 +10,11 @@
 namespace merlinrun::record {
 namespace {
 
-constexpr std::string_view kMagic = "FNHREC\r\n";  // a copy that changes line ends shows at once
+constexpr std::string_view kMagic = "FNHREC\r\n";  // detects conversions of line breaks
 constexpr std::uint16_t kVersion = 1;
 constexpr std::size_t kHeaderStart = 8 + 2 + 4 + 4;  // magic, version, length, checksum
 constexpr std::size_t kBlockStart = 4 + 4 + 8 + 4;   // length, count, lost, checksum
-// More than any writer makes: guards against a damaged length that asks for gigabytes.
+// Larger than any valid length; damaged lengths must not cause large allocations.
 constexpr std::uint32_t kMaxLength = 16 << 20;
 constexpr std::size_t kMaxClasses = 255;
 
@@ -27,7 +27,7 @@
   for (; value >= 0x80; value >>= 7) out.push_back(static_cast<char>(value | 0x80));
   out.push_back(static_cast<char>(value));
 }
-// Differences may be negative: small ones of either sign are short.
+// ZigZag encoding: small values of either sign are short.
 void PutSigned(std::string& out, std::int64_t value) {
   PutNumber(out, (static_cast<std::uint64_t>(value) << 1) ^ static_cast<std::uint64_t>(value >> 63));
 }
@@ -39,7 +39,7 @@
   return crc.checksum();
 }
 
-// Reads from left to right; what was not there is none from then on.
+// Reads values in sequence. Once data was missing, good() stays false and all values are 0 or empty.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : rest_(bytes) {}
@@ -86,7 +86,7 @@
 constexpr std::uint8_t kKeyBit = 0x40;
 constexpr std::uint32_t kMaxProtocol = 31;
 
-// What a record's first byte does not hold follows as numbers.
+// A record starts with a byte of flags.
 bool ReadRecord(Reader& reader, Micros& last, std::size_t classes, Record& out) {
   const auto flags = reader.Take<std::uint8_t>();
   out.disposition = static_cast<Disposition>(flags & 3);
@@ -181,7 +181,7 @@
   out += records_;
   records_.clear();
   count_ = 0;
-  last_ = 0;  // each block can be read without those before it
+  last_ = 0;  // blocks can be read independently
   return out;
 }
 
--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -19,20 +19,20 @@
 namespace merlinrun::record {
 namespace {
 
-// A block is handed to the writer when it is so big, or so old when the next record comes.
-constexpr std::size_t kBlock = std::size_t{32} << 10;
-constexpr Micros kMostAge = 1'000'000;
-// Blocks that wait for the disk. At 300 requests a second they are half an hour; one more is lost.
-constexpr std::size_t kMostWaiting = 32;
-// The file's last bytes are kept for the blocks that tell nothing but how much was lost.
-constexpr std::uint64_t kLastWord = 64;
-// How long the end of the sidecar waits for a slow disk. Guards against a planned end that never comes.
-constexpr auto kFarewell = std::chrono::seconds(1);
-
-class File : public Disk {
+// A block is passed to the writer when it has this size, or this age when the next record is added.
+constexpr std::size_t kBlockSize = std::size_t{32} << 10;
+constexpr Micros kMaxBlockAge = 1'000'000;
+// Further blocks are dropped.
+constexpr std::size_t kMaxPendingBlocks = 32;
+// Reserved at the end of the file for empty blocks, which only report lost records.
+constexpr std::uint64_t kReservedBytes = 64;
+// How long the shutdown waits for a slow disk.
+constexpr auto kShutdownTimeout = std::chrono::seconds(1);
+
+class File : public RecordingFile {
  public:
-  File(const std::string& path, std::uint64_t most)
-      : most_(most), file_(::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600)) {
+  File(const std::string& path, std::uint64_t max_size)
+      : max_size_(max_size), file_(::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600)) {
     if (file_ < 0) throw std::runtime_error(path + ": can't be written: " + std::strerror(errno));
   }
   ~File() override { ::close(file_); }
@@ -40,13 +40,13 @@
   File& operator=(const File&) = delete;
 
   bool Append(std::string_view bytes) override {
-    const std::uint64_t most = bytes.size() > kLastWord ? most_ - kLastWord : most_;
-    if (size_ + bytes.size() > most) return false;
+    const std::uint64_t limit = bytes.size() > kReservedBytes ? max_size_ - kReservedBytes : max_size_;
+    if (size_ + bytes.size() > limit) return false;
     std::string_view rest = bytes;
     while (!rest.empty()) {
       const ssize_t written = ::write(file_, rest.data(), rest.size());
       if (written < 0 && errno == EINTR) continue;
-      if (written <= 0) return Undo();
+      if (written <= 0) return RemovePartialWrite();
       rest.remove_prefix(static_cast<std::size_t>(written));
     }
     size_ += bytes.size();
@@ -54,13 +54,13 @@
   }
 
  private:
-  bool Undo() {
-    const auto whole = static_cast<off_t>(size_);
-    if (::ftruncate(file_, whole) != 0 || ::lseek(file_, whole, SEEK_SET) != whole)
-      size_ = most_;  // no more of it
+  bool RemovePartialWrite() {
+    const auto valid_size = static_cast<off_t>(size_);
+    if (::ftruncate(file_, valid_size) != 0 || ::lseek(file_, valid_size, SEEK_SET) != valid_size)
+      size_ = max_size_;  // writes nothing more
     return false;
   }
-  const std::uint64_t most_;
+  const std::uint64_t max_size_;
   const int file_;
   std::uint64_t size_ = 0;
 };
@@ -71,8 +71,8 @@
 
 std::variant<RecordingSettings, std::string> ParseRecordingSettings(std::string_view text,
                                                                     const std::string& file) {
-  constexpr std::int64_t kMostMegabytes = 1 << 20;
-  constexpr std::size_t kLeastSalt = 16;  // bytes: less can be guessed, and with it the ids
+  constexpr std::int64_t kMaxMegabytes = 1 << 20;
+  constexpr std::size_t kMinSaltBytes = 16;  // shorter salts can be guessed
   try {
     const toml::table root = toml::parse(text, file);
     RecordingSettings out;
@@ -81,19 +81,19 @@
         out.file = node.value_or(std::string());
       } else if (key == "salt" && node.is_string()) {
         out.salt = node.value_or(std::string());
-        if (out.salt.size() < kLeastSalt)
+        if (out.salt.size() < kMinSaltBytes)
           return FormatTomlError(node.source(), file, "salt: at least 16 bytes are needed");
       } else if (key == "most_mb" && node.is_integer()) {
         const auto megabytes = node.value_or(std::int64_t{0});
-        if (megabytes < 1 || megabytes > kMostMegabytes)
+        if (megabytes < 1 || megabytes > kMaxMegabytes)
           return FormatTomlError(node.source(), file, "most_mb: a whole number from 1 to 1048576 is needed");
-        out.most_bytes = static_cast<std::uint64_t>(megabytes) << 20;
+        out.max_bytes = static_cast<std::uint64_t>(megabytes) << 20;
       } else {
         return FormatTomlError(node.source(), file,
                                "'" + std::string(key.str()) + "' is unknown or of the wrong kind");
       }
     }
-    if (out.file.empty() || out.salt.empty() || out.most_bytes == 0)
+    if (out.file.empty() || out.salt.empty() || out.max_bytes == 0)
       return FormatTomlError(root.source(), file, "file, salt and most_mb are needed");
     return out;
   } catch (const toml::parse_error& error) {
@@ -101,61 +101,61 @@
   }
 }
 
-std::unique_ptr<Disk> OpenFile(const std::string& path, std::uint64_t most) {
-  return std::make_unique<File>(path, most);
+std::unique_ptr<RecordingFile> OpenFile(const std::string& path, std::uint64_t max_size) {
+  return std::make_unique<File>(path, max_size);
 }
 
-// What the loop's thread and the writer's have in common. The writer keeps it alive, should it outlast the
-// recorder.
+// Shared by the loop's thread and the writer's, which may outlive the recorder.
 struct Recorder::Shared {
   struct Block {
     BlockWriter records;
     std::uint32_t count = 0;
   };
-  std::unique_ptr<Disk> disk;  // the writer's alone once it runs
+  std::unique_ptr<RecordingFile> output;  // only used by the writer's thread after the start
   std::mutex mutex;
   std::condition_variable changed;
-  std::deque<Block> waiting;
-  bool ending = false;
-  bool ended = false;
+  std::deque<Block> pending;
+  bool stopping = false;
+  bool stopped = false;
   std::uint64_t recorded = 0;
   std::uint64_t lost = 0;
-  std::uint64_t lost_told = 0;  // of them, those that a block has told
+  std::uint64_t lost_reported = 0;  // reported in a written block
 };
 
-Recorder::Recorder(std::unique_ptr<Disk> disk, const Header& header, std::string_view salt, Micros now)
-    : hash_(salt), began_(now), shared_(std::make_shared<Shared>()) {
-  if (!disk->Append(EncodeHeader(header)))
+Recorder::Recorder(std::unique_ptr<RecordingFile> output, const Header& header, std::string_view salt,
+                   Micros now)
+    : hash_(salt), start_time_(now), shared_(std::make_shared<Shared>()) {
+  if (!output->Append(EncodeHeader(header)))
     throw std::runtime_error("the recording's header can't be written");
-  shared_->disk = std::move(disk);
+  shared_->output = std::move(output);
   std::thread(Write, shared_).detach();
 }
 
 Recorder::~Recorder() {
-  HandOver();
+  FlushBlock();
   std::unique_lock<std::mutex> lock(shared_->mutex);
-  shared_->ending = true;
+  shared_->stopping = true;
   shared_->changed.notify_all();
-  shared_->changed.wait_for(lock, kFarewell, [this] { return shared_->ended; });
+  shared_->changed.wait_for(lock, kShutdownTimeout, [this] { return shared_->stopped; });
 }
 
 void Recorder::Add(Micros now, Record record, std::string_view id, std::string_view key) {
-  if (block_.count() == 0) block_began_ = now;
-  record.arrival_time -= began_;
+  if (block_.count() == 0) block_start_ = now;
+  record.arrival_time -= start_time_;
   record.id = hash_(id);
   record.key = key.empty() ? 0 : hash_(key);
   block_.Add(record);
-  if (block_.size() >= kBlock || now - block_began_ >= kMostAge) HandOver();
+  if (block_.size() >= kBlockSize || now - block_start_ >= kMaxBlockAge) FlushBlock();
 }
 
-void Recorder::HandOver() {
+void Recorder::FlushBlock() {
   if (block_.count() == 0) return;
-  const std::lock_guard<std::mutex> lock(shared_->mutex);  // held by either side for a few instructions only
+  const std::lock_guard<std::mutex> lock(shared_->mutex);  // never held during I/O
   const std::uint32_t count = block_.count();
-  if (shared_->waiting.size() >= kMostWaiting)
+  if (shared_->pending.size() >= kMaxPendingBlocks)
     shared_->lost += count;
   else
-    shared_->waiting.push_back({std::move(block_), count});
+    shared_->pending.push_back({std::move(block_), count});
   block_ = BlockWriter();
   shared_->changed.notify_all();
 }
@@ -163,28 +163,28 @@
 void Recorder::Write(const std::shared_ptr<Shared>& shared) {
   std::unique_lock<std::mutex> lock(shared->mutex);
   for (;;) {
-    shared->changed.wait(lock, [&] { return shared->ending || !shared->waiting.empty(); });
-    if (shared->waiting.empty()) break;
-    Shared::Block block = std::move(shared->waiting.front());
-    shared->waiting.pop_front();
+    shared->changed.wait(lock, [&] { return shared->stopping || !shared->pending.empty(); });
+    if (shared->pending.empty()) break;
+    Shared::Block block = std::move(shared->pending.front());
+    shared->pending.pop_front();
     const std::uint64_t lost = shared->lost;
-    const std::uint64_t untold = lost - shared->lost_told;
+    const std::uint64_t unreported = lost - shared->lost_reported;
     lock.unlock();
-    const bool written = shared->disk->Append(block.records.Take(untold));
+    const bool written = shared->output->Append(block.records.Take(unreported));
     lock.lock();
     if (written) {
       shared->recorded += block.count;
-      shared->lost_told = lost;
+      shared->lost_reported = lost;
     } else {
       shared->lost += block.count;
     }
   }
-  if (const std::uint64_t untold = shared->lost - shared->lost_told; untold > 0) {
+  if (const std::uint64_t unreported = shared->lost - shared->lost_reported; unreported > 0) {
     lock.unlock();
-    shared->disk->Append(BlockWriter().Take(untold));
+    shared->output->Append(BlockWriter().Take(unreported));
     lock.lock();
   }
-  shared->ended = true;
+  shared->stopped = true;
   shared->changed.notify_all();
 }
 
--- a/src/record/recorder.hpp
+++ b/src/record/recorder.hpp
@@ -1,6 +1,6 @@
-// Writes a recording while requests are served, without ever making one wait: records are put into memory on
-// the loop's thread, and a thread of its own writes whole blocks to the file. What can't be written in time,
-// or at all, is lost and counted. Off by default; on it holds some 1.2 MB at most.
+// Records requests without delaying them: records are buffered on the loop's thread, and a separate thread
+// writes complete blocks to the file. Records that can't be written, or not in time, are dropped and counted.
+// Off by default; uses about 1.2 MB at most.
 #ifndef MERLINRUN_RECORD_RECORDER_HPP_
 #define MERLINRUN_RECORD_RECORDER_HPP_
 
@@ -15,53 +15,53 @@
 
 namespace merlinrun::record {
 
-// The operator's file that switches recording on (TOML; deploy/record.example.toml).
+// The settings in the TOML file that EDGE_RECORD names (see deploy/record.example.toml).
 struct RecordingSettings {
   std::string file;
-  std::uint64_t most_bytes = 0;
+  std::uint64_t max_bytes = 0;
   std::string salt;
 };
-// On failure one line: "FILE:LINE:COLUMN: what is wrong".
+// On failure returns a one-line message: "FILE:LINE:COLUMN: what is wrong".
 std::variant<RecordingSettings, std::string> ParseRecordingSettings(std::string_view text,
                                                                     const std::string& file);
 
-// Where blocks go. Called from the writer's thread alone; may take as long as it likes.
-class Disk {
+// The destination of the blocks. Only called from the writer's thread, and may block.
+class RecordingFile {
  public:
-  virtual ~Disk() = default;
-  // Appends all of it or nothing; false if it can't.
+  virtual ~RecordingFile() = default;
+  // Appends all of `bytes`, or nothing and returns false.
   virtual bool Append(std::string_view bytes) = 0;
 };
 
-// A file that is begun anew and never grows beyond `most` bytes. Throws std::runtime_error, with one plain
-// line, if it can't be opened. What a failed write left is cut off again, so that the file stays whole.
-std::unique_ptr<Disk> OpenFile(const std::string& path, std::uint64_t most);
+// Creates or truncates a file, which never grows beyond `max_size` bytes. Throws std::runtime_error with a
+// one-line message if it can't be opened. Partial writes are removed, so that the file stays valid.
+std::unique_ptr<RecordingFile> OpenFile(const std::string& path, std::uint64_t max_size);
 
 class Recorder {
  public:
-  // Writes the header at once, before the thread begins. `now`: the loop's time, from which the records'
-  // count. Throws std::runtime_error if it can't be written.
-  Recorder(std::unique_ptr<Disk> disk, const Header& header, std::string_view salt, Micros now);
-  // Waits a second at most for what is still to be written.
+  // Writes the header before the thread starts. `now`: the loop's time, the start of the recording. Throws
+  // std::runtime_error if the header can't be written.
+  Recorder(std::unique_ptr<RecordingFile> output, const Header& header, std::string_view salt, Micros now);
+  // Waits a second at most for pending blocks to be written.
   ~Recorder();
   Recorder(const Recorder&) = delete;
   Recorder& operator=(const Recorder&) = delete;
 
-  // `record.arrival_time` is the loop's time; id and key come as they are and are hashed here. Never waits.
+  // `record.arrival_time` is the loop's time. Hashes `id` and `key`. Never blocks.
   void Add(Micros now, Record record, std::string_view id, std::string_view key);
 
-  std::uint64_t recorded() const;  // records that were written
-  std::uint64_t lost() const;      // that were not, and never will be
+  std::uint64_t recorded() const;  // records written
+  std::uint64_t lost() const;      // records dropped
 
  private:
   struct Shared;
   static void Write(const std::shared_ptr<Shared>& shared);
-  void HandOver();
+  void FlushBlock();
 
   const Hasher hash_;
-  const Micros began_;
+  const Micros start_time_;
   BlockWriter block_;
-  Micros block_began_ = 0;
+  Micros block_start_ = 0;
   std::shared_ptr<Shared> shared_;
 };
 
--- a/src/stats/counters.hpp
+++ b/src/stats/counters.hpp
@@ -10,7 +10,7 @@
 
 namespace merlinrun::stats {
 
-// How a request ended for the client.
+// How a request completed for the client.
 enum class RequestResult { kOk, kShed, kError };
 
 // The result for a response status: 200 is a success, 429 and 503 are refusals (by the sidecar or the
--- a/src/stats/interval_stats.cpp
+++ b/src/stats/interval_stats.cpp
@@ -5,50 +5,51 @@
 
 namespace merlinrun::stats {
 
-Account::Account(const Settings& settings) {
-  for (const RequestClass& c : settings.classes) aims_.push_back(c.latency_target);
-  stretch_.classes.resize(aims_.size());
+IntervalCollector::IntervalCollector(const Settings& settings) {
+  for (const RequestClass& c : settings.classes) target_latencies_.push_back(c.latency_target);
+  stats_.classes.resize(target_latencies_.size());
 }
 
-void Account::Add(const core::CompletedRequest& ended) {
-  const auto number = static_cast<std::size_t>(ended.request_class);
-  if (number >= aims_.size()) return;
-  ClassAccount& to = stretch_.classes[number];
-  to.tries += static_cast<std::int64_t>(ended.attempts);
+void IntervalCollector::Add(const core::CompletedRequest& completed) {
+  const auto number = static_cast<std::size_t>(completed.request_class);
+  if (number >= target_latencies_.size()) return;
+  ClassStats& to = stats_.classes[number];
+  to.attempt_count += static_cast<std::int64_t>(completed.attempts);
   using Disposition = core::CompletedRequest::Disposition;
-  switch (ended.disposition) {
+  switch (completed.disposition) {
     case Disposition::kServed:
-      ++(ended.duration <= aims_[number] ? to.served : to.late);
+      ++(completed.duration <= target_latencies_[number] ? to.served : to.late);
       return;
     case Disposition::kClientGone:
-      ++to.left;
+      ++to.client_gone;
       return;
     case Disposition::kRefused:
     case Disposition::kFailed:
       break;
   }
-  if (ended.attempts == 0) ++to.untried;
-  if (!ended.end_cause) return void(++to.out_of_time);
-  ++(ended.disposition == Disposition::kRefused ? to.refused
-                                                : to.failed)[static_cast<std::size_t>(*ended.end_cause)];
+  if (completed.attempts == 0) ++to.without_attempt;
+  if (!completed.end_cause) return void(++to.deadline_exceeded);
+  ++(completed.disposition == Disposition::kRefused
+         ? to.refused
+         : to.failed)[static_cast<std::size_t>(*completed.end_cause)];
 }
 
-void Account::Add(const core::CompletedAttempt& attempt) {
-  auto it = stretch_.servers.find(attempt.server);
-  if (it == stretch_.servers.end()) {
-    const bool full = stretch_.servers.size() >= kServers;
-    it = stretch_.servers.try_emplace(std::string(full ? kOtherServers : attempt.server)).first;
+void IntervalCollector::Add(const core::CompletedAttempt& attempt) {
+  auto it = stats_.servers.find(attempt.server);
+  if (it == stats_.servers.end()) {
+    const bool full = stats_.servers.size() >= kMaxServers;
+    it = stats_.servers.try_emplace(std::string(full ? kOtherServers : attempt.server)).first;
   }
-  ServerAccount& to = it->second;
+  ServerStats& to = it->second;
   ++to.results[static_cast<std::size_t>(attempt.result)];
-  if (attempt.result == Result::kSuccess) to.took += attempt.duration;
-  to.longest = std::max(to.longest, attempt.duration);
+  if (attempt.result == Result::kSuccess) to.total_duration += attempt.duration;
+  to.max_duration = std::max(to.max_duration, attempt.duration);
 }
 
-Stretch Account::Take() {
-  Stretch empty;
-  empty.classes.resize(aims_.size());
-  return std::exchange(stretch_, std::move(empty));
+IntervalStats IntervalCollector::Take() {
+  IntervalStats empty;
+  empty.classes.resize(target_latencies_.size());
+  return std::exchange(stats_, std::move(empty));
 }
 
 }  // namespace merlinrun::stats
--- a/src/stats/interval_stats.hpp
+++ b/src/stats/interval_stats.hpp
@@ -1,8 +1,7 @@
-// What became of requests and attempts over a stretch of time: by class and cause, and by server. Free of
-// I/O; what is counted is taken out whole, stretch by stretch.
+// Results of requests and attempts per interval, by class, cause and server. Does no I/O.
 //
-// Bounded: classes and causes are fixed, and servers are those that were tried in the stretch, kServers at
-// most; what goes to further ones is counted under one name.
+// Memory is bounded: only servers with attempts in the interval are counted, up to kMaxServers; all others
+// are summed up under kOtherServers.
 #ifndef MERLINRUN_STATS_INTERVAL_STATS_HPP_
 #define MERLINRUN_STATS_INTERVAL_STATS_HPP_
 
@@ -17,43 +16,42 @@
 namespace merlinrun::stats {
 
 inline constexpr std::size_t kResults = static_cast<std::size_t>(Result::kNeverSent) + 1;
-// A window holds 64 servers at most where keys are kept warm; a busy sidecar's may be wider.
-inline constexpr std::size_t kServers = 256;
+inline constexpr std::size_t kMaxServers = 256;
 inline constexpr std::string_view kOtherServers = "(others)";
 
-struct ClassAccount {
-  std::int64_t served = 0;   // within the aim
-  std::int64_t late = 0;     // served after it
-  std::int64_t left = 0;     // their client did
-  std::int64_t untried = 0;  // refused or failed without an attempt
-  std::int64_t tries = 0;    // attempts of all that ended
+struct ClassStats {
+  std::int64_t served = 0;  // within the target latency
+  std::int64_t late = 0;    // served later than that
+  std::int64_t client_gone = 0;
+  std::int64_t without_attempt = 0;  // refused or failed without an attempt
+  std::int64_t attempt_count = 0;    // of all completed requests
   std::array<std::int64_t, kCauseCount> refused = {};
   std::array<std::int64_t, kCauseCount> failed = {};
-  std::int64_t out_of_time = 0;  // failed by the core, as the module gave no answer
+  std::int64_t deadline_exceeded = 0;  // without a decision of the balancer
 };
 
-struct ServerAccount {
+struct ServerStats {
   std::array<std::int64_t, kResults> results = {};
-  Micros took = 0;     // by those that succeeded, together
-  Micros longest = 0;  // by any
+  Micros total_duration = 0;  // of the successful attempts
+  Micros max_duration = 0;    // of all attempts
 };
 
-struct Stretch {
-  std::vector<ClassAccount> classes;  // as the settings number them
-  std::map<std::string, ServerAccount, std::less<>> servers;
+struct IntervalStats {
+  std::vector<ClassStats> classes;  // indexed like Settings::classes
+  std::map<std::string, ServerStats, std::less<>> servers;
 };
 
-class Account {
+class IntervalCollector {
  public:
-  explicit Account(const Settings& settings);
-  void Add(const core::CompletedRequest& ended);
+  explicit IntervalCollector(const Settings& settings);
+  void Add(const core::CompletedRequest& completed);
   void Add(const core::CompletedAttempt& attempt);
-  // All since the last call.
-  Stretch Take();
+  // Returns the results since the last call.
+  IntervalStats Take();
 
  private:
-  std::vector<Micros> aims_;  // by class
-  Stretch stretch_;
+  std::vector<Micros> target_latencies_;  // indexed like Settings::classes
+  IntervalStats stats_;
 };
 
 }  // namespace merlinrun::stats
--- a/src/stats/trace.hpp
+++ b/src/stats/trace.hpp
@@ -1,6 +1,6 @@
-// A trace for whoever has to explain a loss: every so often one line of JSON that lays what became of
-// requests, by class and cause, beside what the module believes of each server and what was tried there. Off
-// unless the operator names a file (EDGE_TRACE; deploy/trace.example.toml).
+// A periodic trace for diagnosing failed requests: one line of JSON per interval with the results of requests
+// and attempts, and the balancer's view of each server. Off unless EDGE_TRACE names a file (see
+// deploy/trace.example.toml).
 #ifndef MERLINRUN_STATS_TRACE_HPP_
 #define MERLINRUN_STATS_TRACE_HPP_
 
@@ -18,52 +18,51 @@
 namespace merlinrun::stats {
 
 struct TraceSettings {
-  Micros every = 0;
-  bool servers = true;  // a part for each server that was tried or is left alone
+  Micros interval = 0;
+  bool servers = true;  // include the servers in the balancer's window or with attempts
 };
-// On failure one line: "FILE:LINE:COLUMN: what is wrong".
+// On failure returns a one-line message: "FILE:LINE:COLUMN: what is wrong".
 std::variant<TraceSettings, std::string> ParseTraceSettings(std::string_view text, const std::string& file);
 
-// Counts of the moment that others hold.
-struct Held {
+// Current values, and counters of the messages between sidecars.
+struct RuntimeCounts {
   std::size_t requests = 0;
-  std::size_t clients = 0;      // connections
-  std::size_t connections = 0;  // to servers
-  // Words between sidecars; no part of the line where they are off.
-  struct Words {
-    std::size_t heard = 0;    // sidecars, lately
-    std::uint64_t taken = 0;  // since the start, here and below
-    std::uint64_t old = 0;
+  std::size_t clients = 0;      // client connections
+  std::size_t connections = 0;  // server connections
+  // Messages between sidecars; omitted from the line if they are off.
+  struct PeerMessages {
+    std::size_t heard = 0;       // sidecars heard from recently
+    std::uint64_t accepted = 0;  // since the start, like all below
+    std::uint64_t outdated = 0;
     std::uint64_t foreign = 0;
     std::uint64_t future = 0;
-    std::uint64_t broken = 0;
+    std::uint64_t malformed = 0;
     std::uint64_t sent = 0;
     std::uint64_t sent_bytes = 0;
   };
-  std::optional<Words> words = {};
+  std::optional<PeerMessages> peer_messages = {};
 };
 
-// One line, without its end. Times are in milliseconds but for `at`, which is the loop's time in
-// microseconds.
-std::string TraceLine(Micros at, const Settings& settings, const Stretch& stretch,
-                      const BalancerSnapshot& beliefs, const Held& held, bool servers);
+// One line without a line break. Times are in milliseconds, except for `at`, the loop's time in microseconds.
+std::string TraceLine(Micros at, const Settings& settings, const IntervalStats& interval_stats,
+                      const BalancerSnapshot& snapshot, const RuntimeCounts& runtime, bool servers);
 
-// Writes such lines to standard error. Takes the place of other listeners of `request_manager`' attempts.
+// Writes the lines to standard error. Registers itself with RequestManager::OnAttemptCompleted.
 class Trace {
  public:
-  // `request_manager` and `loop` outlive it.
+  // `loop` and `request_manager` must outlive this.
   Trace(core::Loop& loop, core::RequestManager& request_manager, TraceSettings settings,
-        std::function<Held()> held);
-  void Add(const core::CompletedRequest& ended) { account_.Add(ended); }
+        std::function<RuntimeCounts()> read_counts);
+  void Add(const core::CompletedRequest& completed) { collector_.Add(completed); }
 
  private:
-  void Next();
+  void ScheduleNext();
 
   core::Loop& loop_;
   core::RequestManager& request_manager_;
   const TraceSettings settings_;
-  const std::function<Held()> held_;
-  Account account_;
+  const std::function<RuntimeCounts()> read_counts_;
+  IntervalCollector collector_;
   std::unique_ptr<core::Timer> timer_;
 };
 
--- a/tests/core/virtual_loop.hpp
+++ b/tests/core/virtual_loop.hpp
@@ -1,4 +1,4 @@
-// The core's loop in virtual time, and what stands in for a protocol on both of its sides.
+// A Loop with virtual time, and fakes for the protocol: messages, response sinks and an Egress.
 #ifndef MERLINRUN_TESTS_CORE_VIRTUAL_LOOP_HPP_
 #define MERLINRUN_TESTS_CORE_VIRTUAL_LOOP_HPP_
 
@@ -23,7 +23,7 @@
   }
   std::unique_ptr<Timer> NewTimer() override { return std::make_unique<VirtualTimer>(*this); }
 
-  // Runs all that is due within `time`, in order, and moves the clock there.
+  // Runs everything due within `time`, in order, and advances the clock by it.
   void Run(Micros time) {
     const Micros end = now_ + time;
     while (!queue_.empty() && queue_.begin()->first.first <= end) {
@@ -38,16 +38,16 @@
   class VirtualTimer : public Timer {
    public:
     explicit VirtualTimer(VirtualLoop& loop) : loop_(loop) {}
-    ~VirtualTimer() override { *turn_ += 1; }
+    ~VirtualTimer() override { *generation_ += 1; }
     void Start(Micros delay, std::function<void()> due) override {
-      loop_.After(delay, [turn = turn_, wanted = ++*turn_, due = std::move(due)] {
-        if (*turn == wanted) due();
+      loop_.After(delay, [generation = generation_, own_generation = ++*generation_, due = std::move(due)] {
+        if (*generation == own_generation) due();
       });
     }
 
    private:
     VirtualLoop& loop_;
-    std::shared_ptr<int> turn_ = std::make_shared<int>(0);
+    std::shared_ptr<int> generation_ = std::make_shared<int>(0);
   };
 
   Micros now_ = 1'000'000;
@@ -55,56 +55,59 @@
   std::map<std::pair<Micros, int>, std::function<void()>> queue_;
 };
 
-struct Note : Message {
-  explicit Note(std::string words) : text(std::move(words)) {}
+struct TextMessage : Message {
+  explicit TextMessage(std::string content) : text(std::move(content)) {}
   std::string text;
 };
 
-// What callers were told, as words: "served hello", "refused", "failed", "failed hello", "out of time".
-class Ledger {
+// Records the responses of each request: "served hello", "refused", "failed", "failed hello", "out of time".
+class ResponseLog {
  public:
   std::unique_ptr<ResponseSink> NewResponseSink(const std::string& id) {
     return std::make_unique<Entry>(*this, id);
   }
-  const std::vector<std::string>& For(const std::string& id) { return told_[id]; }
+  const std::vector<std::string>& For(const std::string& id) { return entries_[id]; }
 
  private:
   class Entry : public ResponseSink {
    public:
-    Entry(Ledger& ledger, std::string id) : ledger_(ledger), id_(std::move(id)) {}
-    void Deliver(MessagePtr answer) override { Tell("served " + static_cast<Note&>(*answer).text); }
-    void Refuse(Micros) override { Tell("refused"); }
-    void Fail(FailureReason why, MessagePtr answer) override {
-      Tell((why == FailureReason::kDeadlineExceeded ? "out of time" : "failed") +
-           (answer == nullptr ? "" : " " + static_cast<Note&>(*answer).text));
+    Entry(ResponseLog& responses, std::string id) : log_(responses), id_(std::move(id)) {}
+    void Deliver(MessagePtr response) override {
+      Append("served " + static_cast<TextMessage&>(*response).text);
+    }
+    void Refuse(Micros) override { Append("refused"); }
+    void Fail(FailureReason reason, MessagePtr response) override {
+      Append((reason == FailureReason::kDeadlineExceeded ? "out of time" : "failed") +
+             (response == nullptr ? "" : " " + static_cast<TextMessage&>(*response).text));
     }
 
    private:
-    void Tell(std::string word) { ledger_.told_[id_].push_back(std::move(word)); }
-    Ledger& ledger_;
+    void Append(std::string entry) { log_.entries_[id_].push_back(std::move(entry)); }
+    ResponseLog& log_;
     const std::string id_;
   };
-  std::map<std::string, std::vector<std::string>> told_;
+  std::map<std::string, std::vector<std::string>> entries_;
 };
 
-// Keeps what is sent until the test says what became of it.
-class HeldEgress : public Egress {
+// Records attempts until the test resolves them.
+class FakeEgress : public Egress {
  public:
   struct Sent {
     std::string server;
     std::string request;
-    SendOptions order;
+    SendOptions options;
     Done done;
-    bool given_up = false;
+    bool cancelled = false;
   };
-  AttemptId Send(const std::string& server, const Message& request, const SendOptions& order,
+  AttemptId Send(const std::string& server, const Message& request, const SendOptions& options,
                  Done done) override {
-    sent.push_back({server, static_cast<const Note&>(request).text, order, std::move(done)});
+    sent.push_back({server, static_cast<const TextMessage&>(request).text, options, std::move(done)});
     return sent.size();
   }
-  void CancelAttempt(AttemptId attempt) override { sent[attempt - 1].given_up = true; }
+  void CancelAttempt(AttemptId attempt) override { sent[attempt - 1].cancelled = true; }
   void Resolve(std::size_t i, Result result, const std::string& text = "") {
-    std::exchange(sent[i].done, nullptr)({result, text.empty() ? nullptr : std::make_unique<Note>(text)});
+    std::exchange(sent[i].done,
+                  nullptr)({result, text.empty() ? nullptr : std::make_unique<TextMessage>(text)});
   }
   std::vector<Sent> sent;
 };
