--- a/tests/handover/channel_test.cpp
+++ b/tests/handover/channel_test.cpp
@@ -1,4 +1,4 @@
-// The channel between two processes of one sidecar, both ends in this one.
+// Tests the handover channel with both ends in one process.
 #include "handover/channel.hpp"
 
 #include <gtest/gtest.h>
@@ -23,157 +23,158 @@
  protected:
   ChannelTest() : folder(::testing::TempDir() + "handover-" + std::to_string(::getpid())) {
     std::filesystem::create_directory(folder);
-    path = PathFor(folder, "127.0.0.1:80");
+    path = SocketPath(folder, "127.0.0.1:80");
   }
   ~ChannelTest() override { std::filesystem::remove_all(folder); }
   void Open() {
-    door = std::make_unique<Door>(io, path, listener.native_handle(),
-                                  Door::Events{[this] { return holding; }, [this] { ++newcomers; },
-                                               [this] { ++serving; }, [this] { ++lost; }});
+    server = std::make_unique<HandoverServer>(
+        io, path, listener.native_handle(),
+        HandoverServer::Events{[this] { return held_resources; }, [this] { ++successors; },
+                               [this] { ++serving; }, [this] { ++lost; }});
   }
-  // Ask waits for its answer: the door's loop runs on a thread of its own meanwhile.
-  std::optional<Claim> AskIt() {
-    std::optional<Claim> claim;
+  // RequestHandover blocks, so it runs on a thread of its own while this one runs the server's loop.
+  std::optional<InheritedState> RequestFromThread() {
+    std::optional<InheritedState> inherited;
     std::atomic<bool> done = false;
-    std::thread asker([&] {
-      claim = Ask(path);
+    std::thread requester([&] {
+      inherited = RequestHandover(path);
       done = true;
     });
     RunUntil(io, [&] { return done.load(); });
-    asker.join();
-    return claim;
+    requester.join();
+    return inherited;
   }
-  // A newcomer that has been given the listener and says that it serves; null if that does not come about.
+  // A successor that has received the listener and reports that it serves; null on failure.
   std::unique_ptr<Channel> Serving() {
     Open();
-    auto claim = AskIt();
-    if (!claim) return nullptr;
-    auto channel = Join(*claim);
+    auto inherited = RequestFromThread();
+    if (!inherited) return nullptr;
+    auto channel = Join(*inherited);
     channel->Send(kServing);
     return RunUntil(io, [&] { return serving == 1; }) ? std::move(channel) : nullptr;
   }
-  std::unique_ptr<Channel> Join(Claim& claim) {
+  std::unique_ptr<Channel> Join(InheritedState& inherited) {
     return std::make_unique<Channel>(
-        io, std::move(claim.channel),
-        Channel::Events{[this](std::string_view text) { told.emplace_back(text); }, [this] { ++closed; }});
+        io, std::move(inherited.channel),
+        Channel::Events{[this](std::string_view text) { messages.emplace_back(text); },
+                        [this] { ++closed; }});
   }
 
   asio::io_context io;
   net::Tcp::acceptor listener{io, Loopback()};
   const std::string folder;
   std::string path;
-  HeldResources holding{false, 12, 34};
-  std::unique_ptr<Door> door;
-  int newcomers = 0;
+  HeldResources held_resources{false, 12, 34};
+  std::unique_ptr<HandoverServer> server;
+  int successors = 0;
   int serving = 0;
   int lost = 0;
   int closed = 0;
-  std::vector<std::string> told;
+  std::vector<std::string> messages;
 };
 
-TEST_F(ChannelTest, NobodyThereIsNoClaim) {
-  EXPECT_FALSE(Ask(""));
-  EXPECT_FALSE(Ask(path));
-  EXPECT_FALSE(Ask(folder + "/no/such/folder.sock"));
+TEST_F(ChannelTest, WithoutARunningProcessNothingIsInherited) {
+  EXPECT_FALSE(RequestHandover(""));
+  EXPECT_FALSE(RequestHandover(path));
+  EXPECT_FALSE(RequestHandover(folder + "/no/such/folder.sock"));
 }
 
-TEST_F(ChannelTest, HandsOnAListenerThatTakesTheSameConnections) {
+TEST_F(ChannelTest, PassesAListenerThatAcceptsTheSameConnections) {
   Open();
-  auto claim = AskIt();
-  ASSERT_TRUE(claim);
-  EXPECT_EQ(claim->holding.sockets, 12U);
-  EXPECT_EQ(newcomers, 1);
-  auto client = Connect(io, listener.local_endpoint());  // stands in the queue
+  auto inherited = RequestFromThread();
+  ASSERT_TRUE(inherited);
+  EXPECT_EQ(inherited->held_resources.descriptors, 12U);
+  EXPECT_EQ(successors, 1);
+  auto client = Connect(io, listener.local_endpoint());  // waits in the backlog
   net::Tcp::acceptor other(io);
-  other.assign(net::Tcp::v4(), claim->listener.Release());
+  other.assign(net::Tcp::v4(), inherited->listener.Release());
   net::ErrorCode error;
-  listener.close(error);  // and is not lost with the first holder's descriptor
+  listener.close(error);  // does not affect the passed descriptor
   other.non_blocking(true);
   net::Tcp::socket taken = other.accept(error);
   EXPECT_FALSE(error) << error.message();
 }
 
-TEST_F(ChannelTest, ServingIsToldOnceAndThePathIsFree) {
+TEST_F(ChannelTest, ServingIsReportedOnceAndThePathIsFree) {
   Open();
-  auto claim = AskIt();
-  ASSERT_TRUE(claim);
-  auto channel = Join(*claim);
+  auto inherited = RequestFromThread();
+  ASSERT_TRUE(inherited);
+  auto channel = Join(*inherited);
   channel->Send("nonsense");
   channel->Send(kServing);
   channel->Send(kServing);
   ASSERT_TRUE(RunUntil(io, [&] { return serving > 0; }));
-  holding.sockets = 5;
-  door->Tell();
-  ASSERT_TRUE(RunUntil(io, [&] { return !told.empty(); }));
-  EXPECT_NE(told[0].find("\"sockets\":5"), std::string::npos);
+  held_resources.descriptors = 5;
+  server->SendHeldResources();
+  ASSERT_TRUE(RunUntil(io, [&] { return !messages.empty(); }));
+  EXPECT_NE(messages[0].find("\"sockets\":5"), std::string::npos);
   EXPECT_EQ(serving, 1);
-  EXPECT_FALSE(Ask(path)) << "the old process still answers at the path";
-  Door mine(io, path, listener.native_handle(),
-            Door::Events{[this] { return holding; }, [] {}, [] {}, [] {}});
-  EXPECT_TRUE(AskIt());
+  EXPECT_FALSE(RequestHandover(path)) << "the first process still listens at the path";
+  HandoverServer mine(io, path, listener.native_handle(),
+                      HandoverServer::Events{[this] { return held_resources; }, [] {}, [] {}, [] {}});
+  EXPECT_TRUE(RequestFromThread());
 }
 
-TEST_F(ChannelTest, ANewcomerThatIsLostLeavesThePathToTheFirst) {
+TEST_F(ChannelTest, ALostSuccessorLeavesThePathToTheFirstProcess) {
   auto channel = Serving();
   ASSERT_TRUE(channel);
   channel = nullptr;
   ASSERT_TRUE(RunUntil(io, [&] { return lost == 1; }));
-  EXPECT_TRUE(AskIt());
+  EXPECT_TRUE(RequestFromThread());
 }
 
-// Two upgrades in a row, the first process not told to stop yet: the second has handed on to a third and
-// ends.
-TEST_F(ChannelTest, ANewcomerThatHasHandedOnItselfIsNotMissed) {
+// Two restarts in a row: the second process is replaced by a third and ends while the first still runs.
+TEST_F(ChannelTest, ASuccessorThatWasReplacedItselfIsNotLost) {
   auto channel = Serving();
   ASSERT_TRUE(channel);
   int asked = 0;
-  const Door third(io, path, listener.native_handle(),
-                   Door::Events{[this] { return holding; }, [&] { ++asked; }, [] {}, [] {}});
+  const HandoverServer third(
+      io, path, listener.native_handle(),
+      HandoverServer::Events{[this] { return held_resources; }, [&] { ++asked; }, [] {}, [] {}});
   channel = nullptr;
   ASSERT_TRUE(RunUntil(io, [&] { return asked == 1; }));
   RunFor(io, 50ms);
   EXPECT_EQ(lost, 0);
 }
 
-TEST_F(ChannelTest, OneNewcomerAtATime) {
+TEST_F(ChannelTest, OneSuccessorAtATime) {
   Open();
-  auto first = AskIt();
+  auto first = RequestFromThread();
   ASSERT_TRUE(first);
-  EXPECT_FALSE(AskIt());
-  EXPECT_EQ(newcomers, 1);
+  EXPECT_FALSE(RequestFromThread());
+  EXPECT_EQ(successors, 1);
   first.reset();
   ASSERT_TRUE(RunUntil(io, [&] { return lost == 1; }));
-  EXPECT_TRUE(AskIt());
+  EXPECT_TRUE(RequestFromThread());
 }
 
-TEST_F(ChannelTest, TheEndOfTheOldProcessIsSeen) {
+TEST_F(ChannelTest, TheEndOfTheRunningProcessIsNoticed) {
   Open();
-  auto claim = AskIt();
-  ASSERT_TRUE(claim);
-  auto channel = Join(*claim);
-  door = nullptr;
+  auto inherited = RequestFromThread();
+  ASSERT_TRUE(inherited);
+  auto channel = Join(*inherited);
+  server = nullptr;
   EXPECT_TRUE(RunUntil(io, [&] { return closed == 1; }));
 }
 
-TEST_F(ChannelTest, ALeftoverOfAKilledProcessIsReplaced) {
+TEST_F(ChannelTest, ASocketFileOfAKilledProcessIsReplaced) {
   Open();
-  door = nullptr;  // the file stays, as after a kill
+  server = nullptr;  // the socket file stays, as after a kill
   ASSERT_TRUE(std::filesystem::exists(path));
-  EXPECT_FALSE(Ask(path));
+  EXPECT_FALSE(RequestHandover(path));
   Open();
-  EXPECT_TRUE(AskIt());
+  EXPECT_TRUE(RequestFromThread());
 }
 
-TEST_F(ChannelTest, WhatIsNoSocketIsLeftAlone) {
+TEST_F(ChannelTest, OtherFilesAtThePathAreNotReplaced) {
   std::ofstream(path) << "somebody's";
   Open();
-  EXPECT_FALSE(Ask(path));
+  EXPECT_FALSE(RequestHandover(path));
   std::ifstream file(path);
   EXPECT_EQ(std::string((std::istreambuf_iterator<char>(file)), {}), "somebody's");
 }
 
-// Whatever stands at the path: no claim, no harm.
-TEST_F(ChannelTest, AnAnswerThatMakesNoSenseIsNoClaim) {
+TEST_F(ChannelTest, InvalidResponsesAreRejected) {
   const int socket = ::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0);
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
@@ -181,7 +182,7 @@
   ASSERT_EQ(::bind(socket, reinterpret_cast<sockaddr*>(&address), sizeof address), 0);
   ASSERT_EQ(::listen(socket, 4), 0);
   for (const std::string& text :
-       {std::string("{\"program\":\"fenn"), Write(holding), std::string(4000, 'x')}) {
+       {std::string("{\"program\":\"fenn"), Serialize(held_resources), std::string(4000, 'x')}) {
     std::thread impostor([&] {
       const int peer = ::accept(socket, nullptr, nullptr);
       EXPECT_EQ(::send(peer, text.data(), text.size(), 0), static_cast<ssize_t>(text.size()));
@@ -189,7 +190,7 @@
       EXPECT_EQ(::recv(peer, &end, 1, 0), 0);
       ::close(peer);
     });
-    EXPECT_FALSE(Ask(path));  // the second has all but the listener
+    EXPECT_FALSE(RequestHandover(path));  // the second message lacks only the listener
     impostor.join();
   }
   ::close(socket);
--- a/tests/net/downstream_test.cpp
+++ b/tests/net/downstream_test.cpp
@@ -1,4 +1,4 @@
-// Clients that do not behave, and those that share the sidecar with them.
+// Tests the downstream side with misbehaving clients, and that they do not affect others.
 #include "net/downstream.hpp"
 
 #include "loopback.hpp"
@@ -8,31 +8,31 @@
 
 using namespace testing;  // NOLINT(google-build-using-namespace)
 
-class InboundTest : public ::testing::Test {
+class DownstreamTest : public ::testing::Test {
  protected:
-  InboundTest() {
-    limits.head = limits.body_grace = 200'000;
-    limits.idle = 300'000;
-    limits.idle_least = 0;
-    limits.linger = 100'000;
-    limits.sweep = 20'000;
+  DownstreamTest() {
+    limits.header_timeout = limits.body_grace = 200'000;
+    limits.idle_timeout = 300'000;
+    limits.min_idle_time = 0;
+    limits.linger_timeout = 100'000;
+    limits.sweep_interval = 20'000;
   }
   void Start() {
-    Inbound::Events events;
-    events.on_request = [this](const Inbound::SessionPtr& session, Inbound::Request request, int) {
-      requests.push_back(std::move(request.head));
-      pipes.push_back(std::move(request.rest));
-      if (answers) Inbound::Respond(session, TextResponse(http::status::ok, body));
+    Downstream::Events events;
+    events.on_request = [this](const Downstream::SessionPtr& session, Downstream::Request request, int) {
+      requests.push_back(std::move(request.message));
+      pipes.push_back(std::move(request.body_pipe));
+      if (respond) Downstream::Respond(session, TextResponse(http::status::ok, body));
     };
-    events.on_whole = [this](const std::string& id) { whole.push_back(id); };
-    events.on_gone = [this](const std::string& id) { gone.push_back(id); };
+    events.on_request_complete = [this](const std::string& id) { completed.push_back(id); };
+    events.on_client_gone = [this](const std::string& id) { disconnected.push_back(id); };
     events.class_of = [](const RequestHeader&) { return 0; };
     events.ready = [] { return true; };
-    inbound = std::make_unique<Inbound>(io, Inbound::Listening{Loopback()}, limits, budget, counters,
-                                        std::move(events));
+    downstream = std::make_unique<Downstream>(io, Downstream::ListenOptions{Loopback()}, limits, budget,
+                                              counters, std::move(events));
   }
   std::shared_ptr<Peer> Client(const std::string& text = "") {
-    auto client = Connect(io, inbound->address());
+    auto client = Connect(io, downstream->address());
     if (!text.empty()) client->Write(text);
     return client;
   }
@@ -46,19 +46,19 @@
   }
 
   asio::io_context io;
-  Inbound::Limits limits;
+  Downstream::Limits limits;
   MemoryBudget budget{std::size_t{1} << 20};
   stats::Counters counters{{{}}};
-  std::unique_ptr<Inbound> inbound;
+  std::unique_ptr<Downstream> downstream;
   std::vector<HttpRequest> requests;
   std::vector<std::shared_ptr<Pipe>> pipes;
-  std::vector<std::string> whole;
-  std::vector<std::string> gone;
-  bool answers = true;
+  std::vector<std::string> completed;
+  std::vector<std::string> disconnected;
+  bool respond = true;
   std::string body = "ok";
 };
 
-TEST_F(InboundTest, ClosesASilentConnectionAndToldHalfARequestOffInTime) {
+TEST_F(DownstreamTest, ClosesSilentConnectionsAndRejectsIncompleteRequestsInTime) {
   Start();
   auto silent = Client();
   auto half = Client("GET /api HTTP/1.1\r\nReq-Id: r1\r\n");
@@ -68,11 +68,11 @@
   EXPECT_EQ(Status(*half), "408");
   EXPECT_EQ(Status(*body_missing), "408");
   EXPECT_TRUE(Ends(*half) && Ends(*body_missing));
-  EXPECT_TRUE(RunUntil(io, [&] { return inbound->sessions() == 0; }));
+  EXPECT_TRUE(RunUntil(io, [&] { return downstream->sessions() == 0; }));
   EXPECT_TRUE(requests.empty());
 }
 
-TEST_F(InboundTest, TricklingExtendsNothing) {
+TEST_F(DownstreamTest, SlowBytesDoNotExtendTheTimeout) {
   Start();
   auto client = Client("GET /api HTTP/1.1\r\nX: ");
   const auto begin = std::chrono::steady_clock::now();
@@ -83,33 +83,33 @@
   EXPECT_EQ(Status(*client), "408");
 }
 
-TEST_F(InboundTest, AKeptConnectionAgesOutOnlyWhenIdle) {
-  answers = false;
+TEST_F(DownstreamTest, OnlyIdleConnectionsTimeOut) {
+  respond = false;
   Start();
   auto busy = Client(Get("r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return requests.size() == 1; }));
-  answers = true;
+  respond = true;
   auto kept = Client(Get("r2"));
   EXPECT_EQ(Status(*kept), "200");
   EXPECT_TRUE(Ends(*kept));
-  EXPECT_FALSE(busy->ended) << "closed while its request is held";
+  EXPECT_FALSE(busy->ended) << "closed while its request is in progress";
 }
 
-TEST_F(InboundTest, AClientThatDoesNotReadItsAnswerIsLetGo) {
-  limits.answer = 200'000;
+TEST_F(DownstreamTest, AClientThatDoesNotReadItsResponseIsDisconnected) {
+  limits.response_timeout = 200'000;
   body = std::string(16U << 20, 'x');  // far more than the kernel buffers
   Start();
   Tcp::socket client(io);
-  client.connect(inbound->address());
+  client.connect(downstream->address());
   asio::write(client, asio::buffer(Get("r1")));
   ASSERT_TRUE(RunUntil(io, [&] { return !requests.empty(); }));
-  EXPECT_TRUE(RunUntil(io, [&] { return inbound->sessions() == 0; }));
+  EXPECT_TRUE(RunUntil(io, [&] { return downstream->sessions() == 0; }));
 }
 
-// Silent connections used to fill all places until accepting stopped.
-TEST_F(InboundTest, SilentConnectionsMakeRoomForOthersAtOnce) {
-  limits.sessions = 4;
-  limits.head = 60'000'000;
+// Silent connections must not occupy all sessions.
+TEST_F(DownstreamTest, SilentConnectionsAreReplacedByNewOnes) {
+  limits.max_sessions = 4;
+  limits.header_timeout = 60'000'000;
   Start();
   std::vector<std::shared_ptr<Peer>> silent;
   for (int i = 0; i < 20; ++i) silent.push_back(Client());
@@ -117,9 +117,9 @@
   EXPECT_TRUE(Ends(*silent.front()));
 }
 
-TEST_F(InboundTest, FullOfWorkItTurnsNewConnectionsAwayAndKeepsTheWork) {
-  limits.sessions = 4;
-  answers = false;
+TEST_F(DownstreamTest, RejectsNewConnectionsWhenAllSessionsAreBusy) {
+  limits.max_sessions = 4;
+  respond = false;
   Start();
   std::vector<std::shared_ptr<Peer>> working;
   for (int i = 0; i < 4; ++i) working.push_back(Client(Get("r" + std::to_string(i))));
@@ -132,7 +132,7 @@
   for (const auto& client : working) EXPECT_FALSE(client->ended);
 }
 
-TEST_F(InboundTest, WhatIsBehindARejectedRequestIsNeverRead) {
+TEST_F(DownstreamTest, DataAfterARejectedRequestIsNeverParsed) {
   Start();
   const std::string hidden = Get("hidden");
   auto client = Client("POST /api HTTP/1.1\r\nReq-Id: r1\r\nTransfer-Encoding: chunked\r\nContent-Length: " +
@@ -142,7 +142,7 @@
   EXPECT_TRUE(requests.empty());
 }
 
-TEST_F(InboundTest, ABodyWithoutEndIsToldOffAtItsHeadAndNotKept) {
+TEST_F(DownstreamTest, TooLargeBodiesAreRejectedAtTheHeaderAndNotBuffered) {
   Start();
   auto client = Client("POST /api HTTP/1.1\r\nReq-Id: r1\r\nContent-Length: 60000000\r\n\r\n");
   EXPECT_EQ(Status(*client), "413");
@@ -152,11 +152,11 @@
   EXPECT_EQ(budget.reserved(), 0U);
 }
 
-TEST_F(InboundTest, BodiesBeyondTheMemoryBudgetAreRefusedAndTheBudgetComesBack) {
+TEST_F(DownstreamTest, BodiesBeyondTheMemoryBudgetAreRejectedAndTheBudgetIsReleased) {
   const std::string head = "POST /api HTTP/1.1\r\nReq-Id: r1\r\nContent-Length: 65536\r\n\r\n";
-  limits.head = limits.body_grace = limits.body_pause = 60'000'000;
+  limits.header_timeout = limits.body_grace = limits.body_idle_timeout = 60'000'000;
   Start();
-  std::vector<std::shared_ptr<Peer>> clients;  // 8 bodies, counted twice, are the whole megabyte
+  std::vector<std::shared_ptr<Peer>> clients;  // 8 bodies, reserved twice each, use the whole budget
   for (int i = 0; i < 8; ++i) clients.push_back(Client(head));
   ASSERT_TRUE(RunUntil(io, [&] { return budget.reserved() == std::size_t{1} << 20; }));
   EXPECT_EQ(Status(*Client(head)), "503");
@@ -166,14 +166,14 @@
   EXPECT_TRUE(RunUntil(io, [&] { return budget.reserved() == 0; }));
 }
 
-TEST_F(InboundTest, TellsWhichRequestsClientHasGone) {
-  answers = false;
+TEST_F(DownstreamTest, ReportsRequestsWhoseClientDisconnected) {
+  respond = false;
   Start();
   auto client = Client(Get("r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return requests.size() == 1; }));
   client->Reset();
-  ASSERT_TRUE(RunUntil(io, [&] { return !gone.empty(); }));
-  EXPECT_EQ(gone[0], "r1");
+  ASSERT_TRUE(RunUntil(io, [&] { return !disconnected.empty(); }));
+  EXPECT_EQ(disconnected[0], "r1");
 }
 
 }  // namespace
--- a/tests/net/loopback.hpp
+++ b/tests/net/loopback.hpp
@@ -1,5 +1,5 @@
-// What the tests of the sidecar share: a loop with a deadline, scripted servers and clients on loopback
-// addresses with ports that the kernel chooses, and a configuration.
+// Shared by the tests of the sidecar: running a loop with a timeout, scripted servers and clients on loopback
+// addresses with ephemeral ports, and a configuration.
 #ifndef MERLINRUN_TESTS_NET_LOOPBACK_HPP_
 #define MERLINRUN_TESTS_NET_LOOPBACK_HPP_
 
@@ -23,10 +23,10 @@
 
 using namespace std::chrono_literals;
 
-// Runs the loop until `done` holds; false if it does not within a time that is ample on a busy machine.
+// Runs the loop until `done` returns true. Returns false on timeout, which is ample even on a busy machine.
 inline bool RunUntil(asio::io_context& io, const std::function<bool()>& done,
-                     std::chrono::milliseconds most = 20s) {
-  const auto end = std::chrono::steady_clock::now() + most;
+                     std::chrono::milliseconds timeout = 20s) {
+  const auto end = std::chrono::steady_clock::now() + timeout;
   io.restart();
   while (!done()) {
     if (std::chrono::steady_clock::now() > end) return false;
@@ -43,7 +43,7 @@
 
 inline Tcp::endpoint Loopback() { return {asio::ip::make_address("127.0.0.1"), 0}; }
 
-// A peer's side of a connection: keeps what it has read, writes what it is told.
+// The other end of a connection: records what it reads and writes on request.
 class Peer : public std::enable_shared_from_this<Peer> {
  public:
   explicit Peer(Tcp::socket connected) : socket(std::move(connected)) {}
@@ -72,7 +72,7 @@
     socket.set_option(asio::socket_base::linger(true, 0), ignored);
     socket.close(ignored);
   }
-  // Requests read so far whose header has come whole; enough for the bodies that the tests send.
+  // Number of complete headers read so far.
   int requests() const {
     int count = 0;
     for (std::size_t at = received.find("\r\n\r\n"); at != std::string::npos;
@@ -90,7 +90,7 @@
   std::array<char, 65536> input_{};
 };
 
-// Listens and plays `on_data` on each connection.
+// Listens and calls `on_data` for data on any connection.
 class ScriptedServer {
  public:
   explicit ScriptedServer(asio::io_context& io, std::function<void(Peer&)> script = {})
@@ -134,7 +134,7 @@
          "\r\n\r\n" + body;
 }
 
-// Answers each request with 200 and `body`.
+// Responds to each request with 200 and `body`.
 inline std::function<void(Peer&)> Serves(const std::string& body) {
   return [body, answered = std::make_shared<std::vector<std::pair<const Peer*, int>>>()](Peer& peer) {
     auto it =
--- a/tests/net/program_test.cpp
+++ b/tests/net/program_test.cpp
@@ -1,4 +1,4 @@
-// The program itself: what only a process of its own can show.
+// Tests the program as a separate process.
 #include <spawn.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -16,7 +16,7 @@
 
 class ProgramTest : public ::testing::Test {
  protected:
-  ProgramTest() : discovery_(io, TellsOf(List(7, true, {}))) {
+  ProgramTest() : discovery_(io, SendsList(List(7, true, {}))) {
     Tcp::acceptor free_port(io, Loopback());
     listen = free_port.local_endpoint();
     char name[] = "/tmp/fennelhollow-test-XXXXXX";
@@ -32,7 +32,7 @@
     ::unlink(path.c_str());
   }
 
-  static std::function<void(Peer&)> TellsOf(const nlohmann::json& list) {
+  static std::function<void(Peer&)> SendsList(const nlohmann::json& list) {
     return [list](Peer& peer) {
       if (peer.received.find("stream=1") == std::string::npos)
         peer.Write(Reply("200 OK", list.dump()));
@@ -40,26 +40,25 @@
         peer.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     };
   }
-  void Configure(const std::string& text) { std::ofstream(path, std::ios::trunc) << text; }
-  std::string FormatAddress(const Tcp::endpoint& discovery,
-                            const std::vector<nlohmann::json>& instances) const {
+  void WriteConfig(const std::string& text) { std::ofstream(path, std::ios::trunc) << text; }
+  std::string ConfigText(const Tcp::endpoint& discovery, const std::vector<nlohmann::json>& instances) const {
     nlohmann::json json = ConfigJson(discovery, instances);
     json["listen"] = net::FormatAddress(listen);
     return json.dump();
   }
   void Start() {
     const std::string config = "EDGE_CONFIG=" + path;
-    const std::string named = "EDGE_DISCOVERY=" + net::FormatAddress(discovery_.address);
-    const std::vector<const char*> environment = {config.c_str(), named.c_str(), nullptr};
+    const std::string discovery_variable = "EDGE_DISCOVERY=" + net::FormatAddress(discovery_.address);
+    const std::vector<const char*> environment = {config.c_str(), discovery_variable.c_str(), nullptr};
     const std::vector<const char*> arguments = {FENNELHOLLOW_PROGRAM, nullptr};
     ASSERT_EQ(::posix_spawn(&pid, FENNELHOLLOW_PROGRAM, nullptr, nullptr,
                             const_cast<char* const*>(arguments.data()),
                             const_cast<char* const*>(environment.data())),
               0);
-    ASSERT_TRUE(RunUntil(io, [&] { return !Ask("GET /ready HTTP/1.1\r\n\r\n").empty(); }));
+    ASSERT_TRUE(RunUntil(io, [&] { return !StatusOf("GET /ready HTTP/1.1\r\n\r\n").empty(); }));
   }
-  // The status of the answer; empty if there is none.
-  std::string Ask(const std::string& text) {
+  // The status of the response; empty if there is none.
+  std::string StatusOf(const std::string& text) {
     auto client = std::make_shared<Peer>(Tcp::socket(io));
     ErrorCode error;
     client->socket.connect(listen, error);
@@ -78,25 +77,25 @@
   pid_t pid = 0;
 };
 
-// SIGHUP used to end the program. It follows the discovery that the file names now, though EDGE_DISCOVERY
-// still names the old one; a file that makes no sense changes nothing.
-TEST_F(ProgramTest, SighupMakesItFollowTheDiscoveryOfTheNewFile) {
+// On SIGHUP the discovery address of the file takes precedence over EDGE_DISCOVERY. Invalid configurations
+// change nothing.
+TEST_F(ProgramTest, SighupSwitchesToTheDiscoveryOfTheNewConfiguration) {
   ScriptedServer server(io, Serves("ok"));
-  ScriptedServer other(io, TellsOf(List(2, true, {Entry("s1", server.address)})));
-  Configure(FormatAddress(other.address, {}));  // EDGE_DISCOVERY comes before the file at the start
+  ScriptedServer other(io, SendsList(List(2, true, {Entry("s1", server.address)})));
+  WriteConfig(ConfigText(other.address, {}));  // at the start EDGE_DISCOVERY takes precedence
   Start();
   ASSERT_TRUE(RunUntil(io, [&] { return discovery_.requests() >= 2; }));
   EXPECT_TRUE(other.peers.empty());
-  Configure("{nonsense");
+  WriteConfig("{nonsense");
   ::kill(pid, SIGHUP);
   ::kill(pid, SIGHUP);
   RunFor(io, 50ms);
   EXPECT_TRUE(Runs());
   EXPECT_FALSE(discovery_.peers.back()->ended);
-  Configure(FormatAddress(other.address, {}));
+  WriteConfig(ConfigText(other.address, {}));
   ::kill(pid, SIGHUP);
-  ASSERT_TRUE(RunUntil(io, [&] { return Ask("GET /ready HTTP/1.1\r\n\r\n") == "200"; }));
-  EXPECT_EQ(Ask("GET /api HTTP/1.1\r\nReq-Id: r1\r\nReq-Kind: look\r\n\r\n"), "200");
+  ASSERT_TRUE(RunUntil(io, [&] { return StatusOf("GET /ready HTTP/1.1\r\n\r\n") == "200"; }));
+  EXPECT_EQ(StatusOf("GET /api HTTP/1.1\r\nReq-Id: r1\r\nReq-Kind: look\r\n\r\n"), "200");
   EXPECT_TRUE(RunUntil(io, [&] { return discovery_.peers.back()->ended; }));
 }
 
--- a/tests/net/sidecar_test.cpp
+++ b/tests/net/sidecar_test.cpp
@@ -1,4 +1,4 @@
-// The whole sidecar between scripted clients, servers and discovery.
+// Tests the whole sidecar with scripted clients, servers and discovery.
 #include "net/sidecar.hpp"
 
 #include "loopback.hpp"
@@ -31,7 +31,7 @@
     sidecar->Start();
     ASSERT_TRUE(RunUntil(io, [&] { return watching != nullptr; }));
   }
-  void Tell(const nlohmann::json& list) {
+  void SendList(const nlohmann::json& list) {
     const std::string text = list.dump() + "\n";
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
@@ -52,17 +52,17 @@
     client->Write(text);
     return client;
   }
-  // The status of the client's n-th answer; empty if none comes.
+  // The status of the client's n-th response; empty on timeout.
   std::string Status(Peer& client, int n = 1) {
     if (!RunUntil(io, [&] { return client.requests() >= n; })) return "";
     std::size_t at = 0;
     for (int i = 1; i < n; ++i) at = client.received.find("HTTP/1.1 ", at + 1);
     return client.received.substr(at + 9, 3);
   }
-  std::string Ask(const std::string& text) { return Status(*Client(text)); }
-  // Has so many requests out until so many have been answered, one by one; `waiting` are those at the
-  // servers.
-  void KeepOut(std::size_t out, int count, std::vector<Peer*>& waiting) {
+  std::string StatusOf(const std::string& text) { return Status(*Client(text)); }
+  // Keeps `out` requests in flight until `count` have been answered, one by one. `waiting`: the servers'
+  // connections with a pending request.
+  void KeepInFlight(std::size_t out, int count, std::vector<Peer*>& waiting) {
     std::vector<int> answered(out, 0);
     for (std::size_t i = 0; i < out; ++i) kept.push_back(Client(Get("c" + std::to_string(i))));
     for (int i = 0; i < count; ++i) {
@@ -91,13 +91,13 @@
 TEST_F(SidecarTest, IsReadyOnceItKnowsAServer) {
   ScriptedServer server(io, Serves("ok"));
   Start(std::vector<nlohmann::json>());
-  EXPECT_EQ(Ask("GET /ready HTTP/1.1\r\n\r\n"), "503");
-  Tell(List(2, true, {Entry("s1", server.address)}));
-  ASSERT_TRUE(RunUntil(io, [&] { return Ask("GET /ready HTTP/1.1\r\n\r\n") == "200"; }));
-  EXPECT_EQ(Ask(Get("r1")), "200");
+  EXPECT_EQ(StatusOf("GET /ready HTTP/1.1\r\n\r\n"), "503");
+  SendList(List(2, true, {Entry("s1", server.address)}));
+  ASSERT_TRUE(RunUntil(io, [&] { return StatusOf("GET /ready HTTP/1.1\r\n\r\n") == "200"; }));
+  EXPECT_EQ(StatusOf(Get("r1")), "200");
 }
 
-TEST_F(SidecarTest, PassesRequestAndAnswerOn) {
+TEST_F(SidecarTest, ForwardsRequestAndResponse) {
   ScriptedServer server(io, Serves("the body"));
   Start({Entry("s1", server.address)});
   auto client = Client(Get("r1", "Connection: keep-alive\r\nTE: trailers\r\n"));
@@ -106,14 +106,15 @@
   const std::string& sent = server.peers[0]->received;
   EXPECT_EQ(sent.rfind("GET /api?obj=k1 HTTP/1.1\r\n", 0), 0U);
   EXPECT_NE(sent.find("Req-Id: r1\r\n"), std::string::npos);
-  EXPECT_NE(sent.find("Req-Deadline: 4.9"), std::string::npos) << sent;  // what is left, with the margin off
+  EXPECT_NE(sent.find("Req-Deadline: 4.9"), std::string::npos)
+      << sent;  // the remaining time without the margin
   EXPECT_EQ(sent.find("TE: "), std::string::npos);
   client->Write(Get("r2"));
   EXPECT_EQ(Status(*client, 2), "200");
   EXPECT_EQ(sidecar->active_requests(), 0U);
 }
 
-TEST_F(SidecarTest, AnswersPipelinedRequestsInTurn) {
+TEST_F(SidecarTest, AnswersPipelinedRequestsInOrder) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
   auto client = Client(Post("pay", "r1") + Get("r2") + Get("r3"));
@@ -121,7 +122,7 @@
   EXPECT_EQ(server.requests(), 3);
 }
 
-TEST_F(SidecarTest, RejectsWhatIsMalformedOrTooLargeAndLivesOn) {
+TEST_F(SidecarTest, RejectsMalformedAndTooLargeRequests) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
   const std::pair<std::string, std::string> cases[] = {
@@ -133,19 +134,20 @@
   for (const auto& [text, status] : cases) {
     auto client = Client(text);
     EXPECT_EQ(Status(*client), status) << text.substr(0, 40);
-    EXPECT_TRUE(RunUntil(io, [&] { return client->ended; })) << "left open: " << text.substr(0, 40);
+    EXPECT_TRUE(RunUntil(io, [&] { return client->ended; })) << "not closed: " << text.substr(0, 40);
   }
-  EXPECT_EQ(Ask("GET /api HTTP/1.1\r\nReq-Kind: look\r\n\r\n"), "400");
-  EXPECT_EQ(Ask("GET /api HTTP/1.1\r\nReq-Id: r1\r\nReq-Kind: other\r\n\r\n"), "404");
-  EXPECT_EQ(Ask("GET /api HTTP/1.1\r\nReq-Id: r1\r\nReq-Kind: look\r\nReq-Deadline: soon\r\n\r\n"), "400");
+  EXPECT_EQ(StatusOf("GET /api HTTP/1.1\r\nReq-Kind: look\r\n\r\n"), "400");
+  EXPECT_EQ(StatusOf("GET /api HTTP/1.1\r\nReq-Id: r1\r\nReq-Kind: other\r\n\r\n"), "404");
+  EXPECT_EQ(StatusOf("GET /api HTTP/1.1\r\nReq-Id: r1\r\nReq-Kind: look\r\nReq-Deadline: soon\r\n\r\n"),
+            "400");
   EXPECT_EQ(server.requests(), 0);
-  EXPECT_EQ(Ask(Get("r2")), "200");
+  EXPECT_EQ(StatusOf(Get("r2")), "200");
 }
 
-TEST_F(SidecarTest, PassesOnTheHeadersOfTheProtocolAlone) {
+TEST_F(SidecarTest, ForwardsOnlyTheHeadersOfTheProtocol) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)});
-  EXPECT_EQ(Ask(Get("r1", "Req-Extra: a=1\r\nX-Other: x\r\nCookie: c\r\nUpgrade: h2c\r\n")), "200");
+  EXPECT_EQ(StatusOf(Get("r1", "Req-Extra: a=1\r\nX-Other: x\r\nCookie: c\r\nUpgrade: h2c\r\n")), "200");
   const std::string& sent = server.peers[0]->received;
   EXPECT_NE(sent.find("Req-Extra: a=1\r\n"), std::string::npos);
   EXPECT_NE(sent.find("Host: origin.svc\r\n"), std::string::npos);
@@ -153,8 +155,8 @@
     EXPECT_EQ(sent.find(other), std::string::npos) << sent;
 }
 
-// A spoilt answer may have run: what is safe goes on to another server, what is not fails.
-TEST_F(SidecarTest, ASpoiltAnswerIsRetriedOnlyWhereThatIsSafe) {
+// After an invalid response the request may have run: only safe requests are retried.
+TEST_F(SidecarTest, AnInvalidResponseIsRetriedOnlyIfSafe) {
   int seen = 0;
   const auto spoils_first = [&](Peer& peer) {
     peer.Write(seen++ == 0 ? "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nxx"
@@ -163,24 +165,24 @@
   ScriptedServer one(io, spoils_first);
   ScriptedServer two(io, spoils_first);
   Start({Entry("s1", one.address), Entry("s2", two.address)});
-  EXPECT_EQ(Ask(Get("r1")), "200");
+  EXPECT_EQ(StatusOf(Get("r1")), "200");
   EXPECT_EQ(seen, 2);
   seen = 0;
-  EXPECT_EQ(Ask(Post("port", "r2")), "502");
+  EXPECT_EQ(StatusOf(Post("port", "r2")), "502");
   EXPECT_EQ(seen, 1);
 }
 
-TEST_F(SidecarTest, AnUnsafeRequestThatMayHaveRunFailsAndIsSentOnce) {
+TEST_F(SidecarTest, AnUnsafeRequestThatMayHaveRunIsNotRetried) {
   const auto reset = [](Peer& peer) { peer.Reset(); };
   ScriptedServer one(io, reset);
   ScriptedServer two(io, reset);
   Start({Entry("s1", one.address), Entry("s2", two.address)});
-  EXPECT_EQ(Ask(Post("port", "r1")), "502");
+  EXPECT_EQ(StatusOf(Post("port", "r1")), "502");
   RunFor(io, 300ms);
   EXPECT_EQ(one.requests() + two.requests(), 1);
 }
 
-TEST_F(SidecarTest, AnUnsafeRequestThatWasDeclinedGoesElsewhere) {
+TEST_F(SidecarTest, AnUnsafeRequestThatWasDeclinedIsRetried) {
   int seen = 0;
   const auto decline_first = [&](Peer& peer) {
     peer.Write(seen++ == 0 ? Reply("503 Service Unavailable", "", "Srv-Declined: 1\r\n")
@@ -189,22 +191,23 @@
   ScriptedServer one(io, decline_first);
   ScriptedServer two(io, decline_first);
   Start({Entry("s1", one.address), Entry("s2", two.address)});
-  EXPECT_EQ(Ask(Post("port", "r1")), "200");
+  EXPECT_EQ(StatusOf(Post("port", "r1")), "200");
   EXPECT_EQ(one.requests(), 1);
   EXPECT_EQ(two.requests(), 1);
 }
 
-TEST_F(SidecarTest, ASilentServerGetsNoMoreThanTheClientsTime) {
+TEST_F(SidecarTest, ASilentServerIsLimitedByTheClientsDeadline) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   const auto begin = std::chrono::steady_clock::now();
-  EXPECT_EQ(Ask(Post("port", "r1", "0.6")), "502");
+  EXPECT_EQ(StatusOf(Post("port", "r1", "0.6")), "502");
   EXPECT_LT(std::chrono::steady_clock::now() - begin, 600ms);
-  EXPECT_TRUE(RunUntil(io, [&] { return server.peers[0]->ended; })) << "the attempt's connection was kept";
+  EXPECT_TRUE(RunUntil(io, [&] { return server.peers[0]->ended; }))
+      << "the connection of the attempt is still open";
   EXPECT_EQ(sidecar->active_requests(), 0U);
 }
 
-TEST_F(SidecarTest, AClientThatLeavesEndsItsAttempt) {
+TEST_F(SidecarTest, AClientDisconnectCancelsTheAttempt) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   auto client = Client(Get("r1"));
@@ -214,7 +217,7 @@
   EXPECT_TRUE(RunUntil(io, [&] { return sidecar->active_requests() == 0; }));
 }
 
-TEST_F(SidecarTest, ATruncatedAnswerIsNeverPassedOn) {
+TEST_F(SidecarTest, ATruncatedResponseIsNeverForwarded) {
   int seen = 0;
   ScriptedServer server(io, [&](Peer& peer) {
     if (seen++ > 0) return peer.Write(Reply("200 OK", "whole"));
@@ -223,12 +226,12 @@
   });
   Start({Entry("s1", server.address)});
   auto client = Client(Get("r1"));
-  EXPECT_EQ(Status(*client), "200");  // safe to repeat: the module sends it again
+  EXPECT_EQ(Status(*client), "200");  // safe, so it is retried
   ASSERT_TRUE(RunUntil(io, [&] { return client->received.find("whole") != std::string::npos; }));
   EXPECT_EQ(client->received.find("short"), std::string::npos);
 }
 
-TEST_F(SidecarTest, RefusesWithAdviceWhenNoServerCanBeReached) {
+TEST_F(SidecarTest, RefusesWithRetryAfterIfNoServerIsReachable) {
   ScriptedServer server(io);
   server.StopListening();
   Start({Entry("s1", server.address)});
@@ -237,21 +240,21 @@
   EXPECT_NE(client->received.find("Retry-After: "), std::string::npos);
 }
 
-TEST_F(SidecarTest, SendsNothingToAServerThatDrains) {
+TEST_F(SidecarTest, SendsNothingToADrainingServer) {
   ScriptedServer one(io, Serves("one"));
   ScriptedServer two(io, Serves("two"));
   Start({Entry("s1", one.address)});
-  EXPECT_EQ(Ask(Get("r1")), "200");
-  Tell(List(2, false, {Entry("s1", one.address, "draining"), Entry("s2", two.address)}));
+  EXPECT_EQ(StatusOf(Get("r1")), "200");
+  SendList(List(2, false, {Entry("s1", one.address, "draining"), Entry("s2", two.address)}));
   ASSERT_TRUE(RunUntil(io, [&] { return one.peers[0]->ended; }));
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(Ask(Get("d" + std::to_string(i))), "200");
+  for (int i = 0; i < 5; ++i) EXPECT_EQ(StatusOf(Get("d" + std::to_string(i))), "200");
   EXPECT_EQ(one.requests(), 1);
   EXPECT_EQ(two.requests(), 5);
 }
 
-// Met on a day on which servers are replaced: each answer that broke off, and each dear request, left a
-// healthy server alone for a while, up to five of nine at once, and the rest were overrun.
-TEST_F(SidecarTest, AServerThatServesOthersIsNotLeftAloneForOneSpoiltAnswer) {
+// One invalid response must not eject a server that serves other requests: with several servers ejected the
+// rest would be overloaded.
+TEST_F(SidecarTest, OneInvalidResponseDoesNotEjectAHealthyServer) {
   const auto holds_one = [](Peer& peer) {
     if (peer.received.find("Req-Id: held", peer.received.rfind("Req-Id: ")) == std::string::npos)
       peer.Write(Reply("200 OK", "ok"));
@@ -262,16 +265,16 @@
   auto held = Client(Post("port", "held"));
   ASSERT_TRUE(RunUntil(io, [&] { return one.requests() + two.requests() == 1; }));
   ScriptedServer& holder = one.requests() == 1 ? one : two;
-  for (int i = 0; holder.requests() < 5; ++i) ASSERT_EQ(Ask(Get("g" + std::to_string(i))), "200");
+  for (int i = 0; holder.requests() < 5; ++i) ASSERT_EQ(StatusOf(Get("g" + std::to_string(i))), "200");
   holder.peers[0]->Write("noise\r\n\r\n");
   EXPECT_EQ(Status(*held), "502");
   const int before = holder.requests();
-  for (int i = 0; i < 40; ++i) EXPECT_EQ(Ask(Get("n" + std::to_string(i))), "200");
+  for (int i = 0; i < 40; ++i) EXPECT_EQ(StatusOf(Get("n" + std::to_string(i))), "200");
   EXPECT_GT(holder.requests(), before + 2);
 }
 
-// Met on the same day: each server that was replaced cut what was let in for a quarter second.
-TEST_F(SidecarTest, AServerThatIsReplacedRefusesNobody) {
+// A draining server must not cause load shedding on the others.
+TEST_F(SidecarTest, ReplacingAServerRefusesNoRequests) {
   bool answers = true;
   ScriptedServer server(io, [&](Peer& peer) {
     if (answers) peer.Write(Reply("200 OK", "ok"));
@@ -279,9 +282,9 @@
   std::vector<nlohmann::json> servers;
   for (int i = 0; i < 8; ++i) servers.push_back(Entry("s" + std::to_string(i), server.address));
   Start(servers);
-  for (int i = 0; i < 40; ++i) ASSERT_EQ(Ask(Get("a" + std::to_string(i))), "200");
+  for (int i = 0; i < 40; ++i) ASSERT_EQ(StatusOf(Get("a" + std::to_string(i))), "200");
   answers = false;
-  Tell(List(2, false, {Entry("s3", server.address, "draining")}));
+  SendList(List(2, false, {Entry("s3", server.address, "draining")}));
   RunFor(io, 50ms);
   std::vector<std::shared_ptr<Peer>> clients;
   for (int i = 0; i < 80; ++i) clients.push_back(Client(Get("b" + std::to_string(i))));
@@ -290,13 +293,12 @@
   for (const auto& client : clients) EXPECT_EQ(client->received, "");
 }
 
-// Met on the same day: servers stopped answering while the answers that came were as quick as ever, and all
-// was let in until most were overrun. What is out tells it before any answer does.
-TEST_F(SidecarTest, MoreAttemptsOutThanUsualLetInLess) {
+// When servers stall, the attempts in flight show the overload before any response does.
+TEST_F(SidecarTest, MoreAttemptsInFlightThanUsualCauseLoadShedding) {
   std::vector<Peer*> waiting;
   ScriptedServer server(io, [&](Peer& peer) { waiting.push_back(&peer); });
   Start({Entry("s1", server.address), Entry("s2", server.address)});
-  KeepOut(32, 700, waiting);
+  KeepInFlight(32, 700, waiting);
   std::vector<std::shared_ptr<Peer>> more;
   for (int i = 0; i < 80; ++i) more.push_back(Client(Get("e" + std::to_string(i))));
   const auto refused = [&] {
@@ -307,9 +309,8 @@
   EXPECT_LT(waiting.size(), 70U);
 }
 
-// Met on the same day: servers that stalled for a second or two collected up to 20 requests each before the
-// first of them was late.
-TEST_F(SidecarTest, AServerThatGoesSilentWithWorkInHandGetsLittleMore) {
+// A stalled server must not receive many requests before the first of them is late.
+TEST_F(SidecarTest, AStalledServerWithRequestsInFlightGetsFewMore) {
   bool stalls = false;
   const auto delayed = [&](Peer& peer) {
     const auto timer = std::make_shared<asio::steady_timer>(io, 40ms);
@@ -329,21 +330,20 @@
     return RunUntil(io,
                     [&] { return good.requests() + stalled.requests() == static_cast<int>(clients.size()); });
   };
-  ASSERT_TRUE(send(60));  // they teach what is usual
+  ASSERT_TRUE(send(60));  // establishes the usual response time
   for (const auto& client : clients) ASSERT_EQ(Status(*client), "200");
   stalls = true;
   const int before = stalled.requests();
   ASSERT_TRUE(send(40));
   const int held = stalled.requests() - before;
   ASSERT_GT(held, 0);
-  RunFor(io, 500ms);  // half of their aim
+  RunFor(io, 500ms);  // half of the target latency
   ASSERT_TRUE(send(150));
   EXPECT_LT(stalled.requests() - before - held, 10);
 }
 
-// Met on the long day: requests that no server answered kept more than half of the work from servers that
-// stood idle.
-TEST_F(SidecarTest, RequestsWithoutAnAnswerAreNoPressureWhileLittleIsOut) {
+// Unanswered requests must not cause load shedding while the servers are idle.
+TEST_F(SidecarTest, UnansweredRequestsCauseNoLoadSheddingAtLowLoad) {
   std::vector<Peer*> waiting;
   bool answers = true;
   ScriptedServer server(io, [&](Peer& peer) {
@@ -351,7 +351,7 @@
       answers ? waiting.push_back(&peer) : peer.Write(Reply("200 OK", "ok"));
   });
   Start({Entry("s1", server.address), Entry("s2", server.address)});
-  KeepOut(32, 700, waiting);
+  KeepInFlight(32, 700, waiting);
   answers = false;
   for (Peer* peer : std::exchange(waiting, {})) peer->Write(Reply("200 OK", "ok"));
   std::vector<std::shared_ptr<Peer>> lost;
@@ -362,26 +362,26 @@
   }
   for (const auto& client : lost) EXPECT_EQ(Status(*client), "503");
   int served = 0;
-  for (int i = 0; i < 20; ++i) served += Ask(Get("n" + std::to_string(i))) == "200";
+  for (int i = 0; i < 20; ++i) served += StatusOf(Get("n" + std::to_string(i))) == "200";
   EXPECT_EQ(served, 20);
 }
 
-TEST_F(SidecarTest, AnIdInUseIsNotTakenTwice) {
+TEST_F(SidecarTest, RejectsARequestIdInUse) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   auto first = Client(Post("port", "r1"));
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
-  EXPECT_EQ(Ask(Post("port", "r1")), "409");
+  EXPECT_EQ(StatusOf(Post("port", "r1")), "409");
   EXPECT_EQ(server.requests(), 1);
   server.peers[0]->Write(Reply("200 OK", "ok"));
   EXPECT_EQ(Status(*first), "200");
 }
 
-TEST_F(SidecarTest, MakesRoomForClientsByClosingIdleConnections) {
+TEST_F(SidecarTest, ClosesIdleConnectionsForNewClients) {
   ScriptedServer server(io, Serves("ok"));
   Start({Entry("s1", server.address)}, [](nlohmann::json& json) { json["limits"]["sockets"] = 64; });
   std::vector<std::shared_ptr<Peer>> clients;
-  for (int i = 0; i < 60; ++i) {  // three times what 64 descriptors leave room for
+  for (int i = 0; i < 60; ++i) {  // three times the limit with 64 descriptors
     clients.push_back(Client(Get("r" + std::to_string(i))));
     EXPECT_EQ(Status(*clients.back()), "200") << i;
   }
@@ -389,7 +389,7 @@
   EXPECT_FALSE(clients.back()->ended);
 }
 
-TEST_F(SidecarTest, ADrainTakesWhatStillComesAndFinishesWhatIsHeld) {
+TEST_F(SidecarTest, ShutdownAcceptsLateRequestsAndFinishesAll) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   auto idle = Connect(io, sidecar->address());
@@ -413,7 +413,7 @@
   EXPECT_TRUE(RunUntil(io, [&] { return finished; }));
 }
 
-TEST_F(SidecarTest, ADrainEndsInTimeEvenIfServersStaySilent) {
+TEST_F(SidecarTest, ShutdownEndsInTimeEvenIfServersAreSilent) {
   ScriptedServer server(io);
   Start({Entry("s1", server.address)});
   auto client = Client(Post("port", "r1"));
@@ -423,7 +423,7 @@
   sidecar->Stop([&] { finished = true; });
   EXPECT_EQ(Status(*client), "502");
   EXPECT_TRUE(RunUntil(io, [&] { return finished; }));
-  EXPECT_LT(std::chrono::steady_clock::now() - begin, 3700ms);  // the kill comes no sooner
+  EXPECT_LT(std::chrono::steady_clock::now() - begin, 3700ms);  // the earliest SIGKILL
 }
 
 }  // namespace
--- a/tests/net/upstream_test.cpp
+++ b/tests/net/upstream_test.cpp
@@ -1,4 +1,4 @@
-// What becomes of attempts on real connections, and which connections are kept.
+// Tests the results of attempts on real connections, and the reuse of connections.
 #include "net/upstream.hpp"
 
 #include "loopback.hpp"
@@ -11,45 +11,46 @@
 class UpstreamTest : public ::testing::Test {
  protected:
   UpstreamTest() {
-    limits.dial_timeout = 2'000'000;
-    limits.rest = 0;  // but for the test of it
+    limits.connect_timeout = 2'000'000;
+    limits.reuse_delay = 0;  // except in its own test
   }
 
   Upstream& upstream() {
     if (upstream_ == nullptr) upstream_ = std::make_unique<Upstream>(io, limits, budget, counters);
     return *upstream_;
   }
-  void Tell(const Tcp::endpoint& address, const std::string& lifecycle = "up", std::int64_t started_ms = 0,
-            const std::string& id = "s1") {
+  void UpdateServer(const Tcp::endpoint& address, const std::string& lifecycle = "up",
+                    std::int64_t started_ms = 0, const std::string& id = "s1") {
     std::string error;
-    const auto list = ParseList(List(1, false, {Entry(id, address, lifecycle, started_ms)}), {}, error);
+    const auto list =
+        ParseEndpointList(List(1, false, {Entry(id, address, lifecycle, started_ms)}), {}, error);
     ASSERT_TRUE(list) << error;
-    upstream().Apply(*list);
+    upstream().UpdateEndpoints(*list);
   }
   Upstream::AttemptId Send(const std::string& id = "s1", std::size_t body = 0) {
     HttpRequest request(body > 0 ? http::verb::post : http::verb::get, "/api", 11);
     request.body() = std::string(body, 'x');
     request.prepare_payload();
     return upstream().Send(id, {request},
-                           [this](UpstreamAnswer answer) { answers.push_back(std::move(answer)); });
+                           [this](UpstreamResult result) { results.push_back(std::move(result)); });
   }
   // The result of one attempt.
   Result Try(const std::string& id = "s1", std::size_t body = 0) {
-    const std::size_t before = answers.size();
+    const std::size_t before = results.size();
     Send(id, body);
-    EXPECT_EQ(answers.size(), before) << "the module was called from inside its sink";
-    EXPECT_TRUE(RunUntil(io, [&] { return answers.size() > before; }));
-    return answers.size() > before ? answers.back().result : Result::kNeverSent;
+    EXPECT_EQ(results.size(), before) << "the result was reported inside Send";
+    EXPECT_TRUE(RunUntil(io, [&] { return results.size() > before; }));
+    return results.size() > before ? results.back().result : Result::kNeverSent;
   }
-  // The result when the server answers with this text.
+  // The result if the server sends this response.
   Result TryReply(const std::string& text, bool close = false) {
     ScriptedServer server(io, [&](Peer& peer) {
       peer.Write(text);
       if (close) peer.Close();
     });
-    Tell(server.address);
+    UpdateServer(server.address);
     const Result result = Try();
-    Tell(server.address, "removed");
+    UpdateServer(server.address, "removed");
     return result;
   }
 
@@ -57,15 +58,15 @@
   Upstream::Limits limits;
   MemoryBudget budget{std::size_t{1} << 20};
   stats::Counters counters;
-  std::vector<UpstreamAnswer> answers;
+  std::vector<UpstreamResult> results;
 
  private:
   std::unique_ptr<Upstream> upstream_;
 };
 
-TEST_F(UpstreamTest, StatusesMeanWhatTheProtocolSays) {
+TEST_F(UpstreamTest, MapsStatusesToResults) {
   EXPECT_EQ(TryReply(Reply("200 OK", "hello")), Result::kSuccess);
-  EXPECT_EQ(answers.back().response.body(), "hello");
+  EXPECT_EQ(results.back().response.body(), "hello");
   EXPECT_EQ(TryReply(Reply("503 Service Unavailable", "", "Srv-Declined: 1\r\n")), Result::kRefused);
   EXPECT_EQ(TryReply(Reply("504 Gateway Timeout", "", "Srv-Declined: 1\r\n")), Result::kRefused);
   EXPECT_EQ(TryReply(Reply("503 Service Unavailable", "")), Result::kError);
@@ -74,12 +75,11 @@
   EXPECT_EQ(TryReply(Reply("500 Internal Server Error", "", "Srv-Declined: 1\r\n")), Result::kError);
   EXPECT_EQ(TryReply("no HTTP at all\r\n\r\n"), Result::kReset);
   EXPECT_EQ(TryReply("HTTP/1.1 100 Continue\r\n\r\n" + Reply("200 OK", "later")), Result::kSuccess);
-  EXPECT_EQ(answers.back().response.body(), "later");
+  EXPECT_EQ(results.back().response.body(), "later");
 }
 
-// Boost 1.74 forgets the body limit of an answer when it parses eagerly: such an answer was read until memory
-// ran out.
-TEST_F(UpstreamTest, AnAnswerThatIsTooLongEndsTheAttemptAtOnce) {
+// Boost 1.74 does not enforce the body limit of a response when parsing eagerly.
+TEST_F(UpstreamTest, ATooLargeResponseEndsTheAttemptImmediately) {
   for (const std::string head :
        {"Content-Length: 3221225472", "Content-Length: 33554433", "Transfer-Encoding: chunked"}) {
     const std::string chunk = head[0] == 'T' ? "C0000000\r\n" : "";
@@ -94,8 +94,8 @@
   EXPECT_EQ(TryReply(interim), Result::kReset);
 }
 
-// A connection that carried a large request is used again: what broke off of the next one can be sent again.
-TEST_F(UpstreamTest, WhatOneRequestSpentIsNotTheNextOnes) {
+// The state of a streamed request must not affect the next request on the connection.
+TEST_F(UpstreamTest, ConsumedBodiesDoNotAffectTheNextRequest) {
   constexpr std::size_t kSize = 70'000;
   bool answered = false;
   ScriptedServer server(io, [&](Peer& peer) {
@@ -103,22 +103,22 @@
     answered = peer.received.size() > kSize;
     if (answered) peer.Write(Reply("200 OK", "ok"));
   });
-  Tell(server.address);
+  UpdateServer(server.address);
   const auto body = std::make_shared<Pipe>(kSize);
   body->Write(std::string(kSize, 'x'));
   body->End();
   upstream().Send("s1", {HttpRequest(http::verb::post, "/api", 11), body, kSize},
-                  [this](UpstreamAnswer answer) { answers.push_back(std::move(answer)); });
-  ASSERT_TRUE(RunUntil(io, [&] { return !answers.empty(); }));
-  EXPECT_EQ(answers[0].result, Result::kSuccess);
-  EXPECT_TRUE(body->spent());
+                  [this](UpstreamResult result) { results.push_back(std::move(result)); });
+  ASSERT_TRUE(RunUntil(io, [&] { return !results.empty(); }));
+  EXPECT_EQ(results[0].result, Result::kSuccess);
+  EXPECT_TRUE(body->consumed());
   EXPECT_EQ(Try("s1", 64U << 20), Result::kUnreachable);
   EXPECT_EQ(server.peers.size(), 1U);
-  EXPECT_FALSE(answers.back().spent);
+  EXPECT_FALSE(results.back().cannot_retry);
 }
 
-// RFC 9112, 6.3: without a length it ends with its connection, if it says so and the end is in order.
-TEST_F(UpstreamTest, AnAnswerMayEndWithItsConnection) {
+// RFC 9112, 6.3: a response without a length ends with its connection, if announced and closed cleanly.
+TEST_F(UpstreamTest, AResponseMayEndWithItsConnection) {
   const std::string head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
   EXPECT_EQ(TryReply(head + "whole", /*close=*/true), Result::kSuccess);
   EXPECT_EQ(TryReply("HTTP/1.1 200 OK\r\n\r\nwhole", /*close=*/true), Result::kReset);
@@ -126,11 +126,11 @@
     peer.Write(head + "half");
     peer.Reset();
   });
-  Tell(server.address);
+  UpdateServer(server.address);
   EXPECT_EQ(Try(), Result::kReset);
 }
 
-TEST_F(UpstreamTest, WhatBreaksAfterTheLastByteMayHaveRun) {
+TEST_F(UpstreamTest, AResetAfterTheLastByteMayHaveRun) {
   EXPECT_EQ(TryReply("", /*close=*/true), Result::kReset);
   EXPECT_EQ(TryReply("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort", /*close=*/true), Result::kReset);
   EXPECT_EQ(TryReply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n", /*close=*/true),
@@ -141,165 +141,166 @@
 TEST_F(UpstreamTest, ARefusedConnectionNeverRan) {
   ScriptedServer server(io);
   server.StopListening();
-  Tell(server.address);
+  UpdateServer(server.address);
   EXPECT_EQ(Try(), Result::kUnreachable);
   EXPECT_EQ(Try("unknown"), Result::kUnreachable);
   EXPECT_EQ(upstream().open_connections(), 0U);
 }
 
-TEST_F(UpstreamTest, ADialThatNeverComesUpTimesOutAndNeverRan) {
-  limits.dial_timeout = 100'000;
+TEST_F(UpstreamTest, AConnectTimeoutNeverRan) {
+  limits.connect_timeout = 100'000;
   Tcp::acceptor full(io, Tcp::v4());
   full.bind(Loopback());
   full.listen(0);
   Tcp::socket filler(io);
-  filler.connect(full.local_endpoint());  // the queue holds it; the next one gets no answer
+  filler.connect(full.local_endpoint());  // fills the backlog; the next connection is not accepted
   Tcp::socket filler2(io);
   filler2.async_connect(full.local_endpoint(), [](ErrorCode) {});
   RunFor(io, 20ms);
-  Tell(full.local_endpoint());
+  UpdateServer(full.local_endpoint());
   EXPECT_EQ(Try(), Result::kUnreachable);
 }
 
-TEST_F(UpstreamTest, WhatBreaksBeforeTheLastByteNeverRan) {
+TEST_F(UpstreamTest, AResetBeforeTheLastByteNeverRan) {
   Tcp::acceptor acceptor(io, Loopback());
   std::unique_ptr<Peer> peer;
   acceptor.async_accept(
       [&](ErrorCode, Tcp::socket socket) { peer = std::make_unique<Peer>(std::move(socket)); });
-  Tell(acceptor.local_endpoint());
-  Send("s1", 64U * 1024 * 1024);  // far more than the kernel buffers; nobody reads it
+  UpdateServer(acceptor.local_endpoint());
+  Send("s1", 64U * 1024 * 1024);  // far more than the kernel buffers
   ASSERT_TRUE(RunUntil(io, [&] { return peer != nullptr; }));
   RunFor(io, 50ms);
-  EXPECT_TRUE(answers.empty());
+  EXPECT_TRUE(results.empty());
   peer->Reset();
-  ASSERT_TRUE(RunUntil(io, [&] { return !answers.empty(); }));
-  EXPECT_EQ(answers.back().result, Result::kUnreachable);
+  ASSERT_TRUE(RunUntil(io, [&] { return !results.empty(); }));
+  EXPECT_EQ(results.back().result, Result::kUnreachable);
 }
 
-TEST_F(UpstreamTest, ReusesTheConnectionUsedLast) {
+TEST_F(UpstreamTest, ReusesTheMostRecentlyUsedConnection) {
   ScriptedServer server(io, Serves("ok"));
-  Tell(server.address);
+  UpdateServer(server.address);
   Send();
   Send();
-  ASSERT_TRUE(RunUntil(io, [&] { return answers.size() == 2; }));
-  EXPECT_EQ(server.peers.size(), 2U);  // one request on each at a time
+  ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 2; }));
+  EXPECT_EQ(server.peers.size(), 2U);  // one request at a time on each
   for (int i = 0; i < 3; ++i) EXPECT_EQ(Try(), Result::kSuccess);
   EXPECT_EQ(server.peers.size(), 2U);
   EXPECT_EQ(std::max(server.peers[0]->requests(), server.peers[1]->requests()), 4);
 }
 
-TEST_F(UpstreamTest, AReusedConnectionThatBreaksIsAResetAndNothingIsResent) {
+TEST_F(UpstreamTest, AResetOnAReusedConnectionIsNotRetried) {
   ScriptedServer server(io, [](Peer& peer) {
     if (peer.requests() == 1) return peer.Write(Reply("200 OK", "first"));
     peer.Reset();
   });
-  Tell(server.address);
+  UpdateServer(server.address);
   EXPECT_EQ(Try(), Result::kSuccess);
   EXPECT_EQ(Try(), Result::kReset);
   RunFor(io, 100ms);
   EXPECT_EQ(server.requests(), 2);
 }
 
-TEST_F(UpstreamTest, AnIdleConnectionThatThePeerHasClosedIsNotWrittenTo) {
+TEST_F(UpstreamTest, IdleConnectionsClosedByTheServerAreNotReused) {
   ScriptedServer server(io, Serves("ok"));
-  Tell(server.address);
+  UpdateServer(server.address);
   EXPECT_EQ(Try(), Result::kSuccess);
-  server.peers[0]->Close();  // the loop has not seen it yet when the next one is sent
+  server.peers[0]->Close();  // not yet noticed by the loop
   EXPECT_EQ(Try(), Result::kSuccess);
   EXPECT_EQ(server.peers.size(), 2U);
 }
 
-TEST_F(UpstreamTest, AConnectionWithAnAnswerLeftOverIsNotReused) {
+TEST_F(UpstreamTest, AConnectionWithASurplusResponseIsNotReused) {
   ScriptedServer server(io, [](Peer& peer) { peer.Write(Reply("200 OK", "a") + Reply("200 OK", "stray")); });
-  Tell(server.address);
+  UpdateServer(server.address);
   EXPECT_EQ(Try(), Result::kSuccess);
-  EXPECT_EQ(answers.back().response.body(), "a");
+  EXPECT_EQ(results.back().response.body(), "a");
   EXPECT_EQ(upstream().open_connections(), 0U);
 }
 
-// A second copy that came after the connection was used again passed for the next request's answer.
-TEST_F(UpstreamTest, AnAnswerThatComesTwiceIsNeverTheNextRequestsAnswer) {
-  limits.rest = 60'000'000;
+// A duplicate response must not be taken for the response to the next request.
+TEST_F(UpstreamTest, ADuplicateResponseIsNotTakenForTheNextRequest) {
+  limits.reuse_delay = 60'000'000;
   int asked = 0;
   ScriptedServer server(io, [&](Peer& peer) { peer.Write(Reply("200 OK", std::to_string(++asked))); });
-  Tell(server.address);
+  UpdateServer(server.address);
   EXPECT_EQ(Try(), Result::kSuccess);
-  EXPECT_EQ(Try(), Result::kSuccess);  // on another connection, as the first has not rested
-  EXPECT_EQ(answers.back().response.body(), "2");
+  EXPECT_EQ(Try(), Result::kSuccess);  // on a new connection, as the reuse delay has not passed
+  EXPECT_EQ(results.back().response.body(), "2");
   EXPECT_EQ(server.peers.size(), 2U);
   server.peers[0]->Write(Reply("200 OK", "1"));
-  EXPECT_TRUE(RunUntil(io, [&] { return upstream().open_connections() == 1; })) << "still to be used";
+  EXPECT_TRUE(RunUntil(io, [&] { return upstream().open_connections() == 1; }))
+      << "the connection is still open";
 }
 
-TEST_F(UpstreamTest, AnAnswerBeforeTheRequestIsWholeIsNone) {
+TEST_F(UpstreamTest, AResponseBeforeTheEndOfTheRequestIsRejected) {
   Tcp::acceptor acceptor(io, Loopback());
   std::unique_ptr<Peer> peer;
   acceptor.async_accept(
       [&](ErrorCode, Tcp::socket socket) { peer = std::make_unique<Peer>(std::move(socket)); });
-  Tell(acceptor.local_endpoint());
+  UpdateServer(acceptor.local_endpoint());
   Send("s1", 64U * 1024 * 1024);
   ASSERT_TRUE(RunUntil(io, [&] { return peer != nullptr; }));
   peer->Write(Reply("200 OK", "early"));
-  ASSERT_TRUE(RunUntil(io, [&] { return !answers.empty(); }));
-  EXPECT_EQ(answers.back().result, Result::kUnreachable);
+  ASSERT_TRUE(RunUntil(io, [&] { return !results.empty(); }));
+  EXPECT_EQ(results.back().result, Result::kUnreachable);
   EXPECT_EQ(upstream().open_connections(), 0U);
 }
 
-TEST_F(UpstreamTest, AResetNeverEndsABody) {
+TEST_F(UpstreamTest, AResetDoesNotEndABody) {
   ScriptedServer server(io, [](Peer& peer) {
     peer.Write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ncut of");
     peer.Reset();
   });
-  Tell(server.address);
+  UpdateServer(server.address);
   EXPECT_EQ(Try(), Result::kReset);
 }
 
-TEST_F(UpstreamTest, GivingUpClosesTheConnectionForGood) {
+TEST_F(UpstreamTest, CancellingClosesTheConnection) {
   ScriptedServer server(io);
-  Tell(server.address);
+  UpdateServer(server.address);
   const auto attempt = Send();
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 1; }));
-  upstream().GiveUp(attempt);
+  upstream().CancelAttempt(attempt);
   EXPECT_EQ(upstream().open_connections(), 0U);
   ASSERT_TRUE(RunUntil(io, [&] { return server.peers[0]->ended; }));
-  EXPECT_TRUE(answers.empty());
+  EXPECT_TRUE(results.empty());
   server.on_data = Serves("ok");
   EXPECT_EQ(Try(), Result::kSuccess);
   EXPECT_EQ(server.peers.size(), 2U);
 }
 
-// Met in a long day: the program died at 146 s. What ends an attempt may come in the very turn of the loop in
-// which its request has gone out and nobody has been told yet. Fails for certain under the address sanitizer.
-TEST_F(UpstreamTest, GivingUpInTheTurnOfTheWriteTouchesNothingThatIsGone) {
+// An attempt may be cancelled after its write has completed and before the handler runs: the request must
+// stay valid until then. Fails reliably under the address sanitizer.
+TEST_F(UpstreamTest, CancellingInTheTurnOfTheWriteAccessesNoFreedMemory) {
   ScriptedServer server(io, Serves("ok"));
-  Tell(server.address);
+  UpdateServer(server.address);
   for (int i = 0; i < 20; ++i) {
-    EXPECT_EQ(Try(), Result::kSuccess);  // leaves an idle connection: the next write is done at once
-    upstream().GiveUp(Send("s1", 100));
+    EXPECT_EQ(Try(), Result::kSuccess);  // leaves an idle connection, so the next write completes immediately
+    upstream().CancelAttempt(Send("s1", 100));
     RunFor(io, 5ms);
   }
-  EXPECT_EQ(answers.size(), 20U);
+  EXPECT_EQ(results.size(), 20U);
   EXPECT_EQ(upstream().open_connections(), 0U);
 }
 
-TEST_F(UpstreamTest, AFailureKnownAtOnceCanBeGivenUpToo) {
-  upstream().GiveUp(Send("unknown"));
+TEST_F(UpstreamTest, APendingFailureCanBeCancelled) {
+  upstream().CancelAttempt(Send("unknown"));
   RunFor(io, 30ms);
-  EXPECT_TRUE(answers.empty());
+  EXPECT_TRUE(results.empty());
 }
 
-TEST_F(UpstreamTest, ADrainClosesIdleConnectionsAndLetsTheRestFinish) {
+TEST_F(UpstreamTest, ADrainingServerFinishesItsAttempts) {
   ScriptedServer server(io, Serves("ok"));
-  Tell(server.address);
+  UpdateServer(server.address);
   EXPECT_EQ(Try(), Result::kSuccess);
   server.on_data = {};
   Send();
   ASSERT_TRUE(RunUntil(io, [&] { return server.requests() == 2; }));
-  Tell(server.address, "draining");
+  UpdateServer(server.address, "draining");
   EXPECT_EQ(upstream().open_connections(), 1U);
   server.peers[0]->Write(Reply("200 OK", "finished"));
-  ASSERT_TRUE(RunUntil(io, [&] { return answers.size() == 2; }));
-  EXPECT_EQ(answers.back().response.body(), "finished");
+  ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 2; }));
+  EXPECT_EQ(results.back().response.body(), "finished");
   EXPECT_EQ(upstream().open_connections(), 0U);
   EXPECT_EQ(Try(), Result::kUnreachable);
   EXPECT_EQ(server.requests(), 2);
@@ -307,36 +308,36 @@
 
 TEST_F(UpstreamTest, IdleConnectionsAreClosedWhenTheServerDrains) {
   ScriptedServer server(io, Serves("ok"));
-  Tell(server.address);
+  UpdateServer(server.address);
   EXPECT_EQ(Try(), Result::kSuccess);
   EXPECT_EQ(upstream().open_connections(), 1U);
-  Tell(server.address, "draining");
+  UpdateServer(server.address, "draining");
   EXPECT_EQ(upstream().open_connections(), 0U);
   EXPECT_TRUE(RunUntil(io, [&] { return server.peers[0]->ended; }));
 }
 
-TEST_F(UpstreamTest, WritesNothingWhenTheListChangesDuringTheDial) {
+TEST_F(UpstreamTest, WritesNothingIfTheServerChangesWhileConnecting) {
   ScriptedServer server(io, Serves("ok"));
   ScriptedServer moved(io, Serves("ok"));
   const std::function<void()> changes[] = {
-      [&] { Tell(server.address, "draining"); }, [&] { Tell(server.address, "removed"); },
-      [&] { Tell(server.address, "up", 1'700'000'000'000); }, [&] { Tell(moved.address); }};
+      [&] { UpdateServer(server.address, "draining"); }, [&] { UpdateServer(server.address, "removed"); },
+      [&] { UpdateServer(server.address, "up", 1'700'000'000'000); }, [&] { UpdateServer(moved.address); }};
   for (const auto& change : changes) {
-    Tell(server.address);
-    const std::size_t before = answers.size();
+    UpdateServer(server.address);
+    const std::size_t before = results.size();
     Send();
     change();
-    ASSERT_TRUE(RunUntil(io, [&] { return answers.size() > before; }));
-    EXPECT_EQ(answers.back().result, Result::kUnreachable);
+    ASSERT_TRUE(RunUntil(io, [&] { return results.size() > before; }));
+    EXPECT_EQ(results.back().result, Result::kUnreachable);
   }
   EXPECT_EQ(server.requests() + moved.requests(), 0);
 }
 
-TEST_F(UpstreamTest, AWholeListRemovesWhatItDoesNotName) {
+TEST_F(UpstreamTest, AFullListRemovesMissingServers) {
   ScriptedServer server(io, Serves("ok"));
-  Tell(server.address);
+  UpdateServer(server.address);
   EXPECT_EQ(Try(), Result::kSuccess);
-  upstream().Apply({true, 2, {}});
+  upstream().UpdateEndpoints({true, 2, {}});
   EXPECT_EQ(upstream().open_connections(), 0U);
   EXPECT_EQ(Try(), Result::kUnreachable);
 }
@@ -344,34 +345,34 @@
 TEST_F(UpstreamTest, FollowsAServerToItsNewAddress) {
   ScriptedServer before(io, Serves("before"));
   ScriptedServer after(io, Serves("after"));
-  Tell(before.address);
+  UpdateServer(before.address);
   EXPECT_EQ(Try(), Result::kSuccess);
-  Tell(after.address);
+  UpdateServer(after.address);
   EXPECT_EQ(Try(), Result::kSuccess);
-  EXPECT_EQ(answers.back().response.body(), "after");
+  EXPECT_EQ(results.back().response.body(), "after");
   EXPECT_EQ(upstream().open_connections(), 1U);
 }
 
 TEST_F(UpstreamTest, ClosesConnectionsThatStayIdle) {
-  limits.keep_idle = 60'000;
+  limits.idle_timeout = 60'000;
   ScriptedServer server(io, Serves("ok"));
-  Tell(server.address);
+  UpdateServer(server.address);
   EXPECT_EQ(Try(), Result::kSuccess);
   EXPECT_TRUE(RunUntil(io, [&] { return server.peers[0]->ended; }));
   EXPECT_EQ(upstream().open_connections(), 0U);
 }
 
-TEST_F(UpstreamTest, StaysWithinItsConnections) {
-  limits.connections = 1;
+TEST_F(UpstreamTest, RespectsTheConnectionLimit) {
+  limits.max_connections = 1;
   ScriptedServer one(io, Serves("ok"));
   ScriptedServer two(io);
-  Tell(one.address);
-  Tell(two.address, "up", 0, "s2");
+  UpdateServer(one.address);
+  UpdateServer(two.address, "up", 0, "s2");
   EXPECT_EQ(Try(), Result::kSuccess);
-  Send("s2");  // the idle one makes room
+  Send("s2");  // the idle connection is closed for it
   ASSERT_TRUE(RunUntil(io, [&] { return two.requests() == 1; }));
   EXPECT_EQ(upstream().open_connections(), 1U);
-  EXPECT_EQ(Try(), Result::kUnreachable);  // all are at work
+  EXPECT_EQ(Try(), Result::kUnreachable);  // all connections are busy
   EXPECT_EQ(one.requests(), 1);
 }
 
--- a/tests/net/validate_test.cpp
+++ b/tests/net/validate_test.cpp
@@ -1,4 +1,4 @@
-// What is turned away for its form, whatever the library makes of it.
+// Tests the validation of requests and responses beyond that of the HTTP library.
 #include "net/validate.hpp"
 
 #include <gtest/gtest.h>
@@ -9,34 +9,34 @@
 namespace merlinrun::net {
 namespace {
 
-// The status with which a request with these lines is turned away; 0 if it is taken.
-int Turned(const std::string& start, const std::string& fields, bool with_id = true) {
+// The status with which a request is rejected; 0 if it is accepted.
+int StatusOf(const std::string& start, const std::string& fields, bool with_id = true) {
   http::request_parser<http::string_body> parser;
   parser.header_limit(64 * 1024);
   parser.body_limit(std::uint64_t{1} << 40);
   ErrorCode error;
   const std::string text = start + " HTTP/1.1\r\n" + (with_id ? "Req-Id: r1\r\n" : "") + fields + "\r\n";
   parser.put(asio::buffer(text), error);
-  if (error && error != http::error::need_more) return 400;  // the library itself will not have it
+  if (error && error != http::error::need_more) return 400;  // rejected by the library
   EXPECT_TRUE(parser.is_header_done()) << text;
-  const auto fault = ValidateRequest(parser.get());
-  return fault ? static_cast<int>(fault->status) : 0;
+  const auto request_error = ValidateRequest(parser.get());
+  return request_error ? static_cast<int>(request_error->status) : 0;
 }
 
-TEST(ValidateRequest, TakesWhatTheProtocolDescribes) {
-  EXPECT_EQ(Turned("GET /api?obj=7f", "Req-Kind: a\r\nReq-Deadline: 0.480\r\n"), 0);
-  EXPECT_EQ(Turned("GET /api", "Content-Length: 0\r\nReq-Deadline: 3\r\n"), 0);
+TEST(ValidateRequest, AcceptsValidRequests) {
+  EXPECT_EQ(StatusOf("GET /api?obj=7f", "Req-Kind: a\r\nReq-Deadline: 0.480\r\n"), 0);
+  EXPECT_EQ(StatusOf("GET /api", "Content-Length: 0\r\nReq-Deadline: 3\r\n"), 0);
   EXPECT_EQ(
-      Turned("POST /api", "Content-Length: 65536\r\nIdempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n"),
+      StatusOf("POST /api", "Content-Length: 65536\r\nIdempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n"),
       0);
-  EXPECT_EQ(Turned("POST /api", "Transfer-Encoding: Chunked\r\n"), 0);
-  EXPECT_EQ(Turned("POST /api", "Content-Length: 33554432\r\n"), 0);
-  EXPECT_EQ(Turned("POST /api", "Content-Length: 4\r\nExpect: 100-Continue\r\n"), 0);
-  EXPECT_EQ(Turned("GET /ready", "", /*with_id=*/false), 0);
+  EXPECT_EQ(StatusOf("POST /api", "Transfer-Encoding: Chunked\r\n"), 0);
+  EXPECT_EQ(StatusOf("POST /api", "Content-Length: 33554432\r\n"), 0);
+  EXPECT_EQ(StatusOf("POST /api", "Content-Length: 4\r\nExpect: 100-Continue\r\n"), 0);
+  EXPECT_EQ(StatusOf("GET /ready", "", /*with_id=*/false), 0);
 }
 
-// RFC 9112, 3.2.2: what a proxy is sent. What is no plain host is left as it is, and turned away.
-TEST(ValidateRequest, ATargetInAbsoluteFormBecomesAPath) {
+// RFC 9112, 3.2.2. Targets without a plain host stay unchanged, and are rejected by ValidateRequest.
+TEST(ValidateRequest, ConvertsAbsoluteFormToOriginForm) {
   const auto origin = [](const std::string& target) {
     RequestHeader header;
     header.target(target);
@@ -49,11 +49,12 @@
   EXPECT_EQ(origin("HTTP://origin.svc:80"), "origin.svc:80 /");
   EXPECT_EQ(origin("http://origin.svc?obj=1"), "origin.svc /?obj=1");
   EXPECT_EQ(origin("/api?to=http://x/"), "before /api?to=http://x/");
-  for (const std::string left : {"http://", "http:///api", "https://x/api", "http://u@x/api", "*", "x:80"})
-    EXPECT_EQ(origin(left), "before " + left);
+  for (const std::string unchanged :
+       {"http://", "http:///api", "https://x/api", "http://u@x/api", "*", "x:80"})
+    EXPECT_EQ(origin(unchanged), "before " + unchanged);
 }
 
-TEST(ValidateRequest, TurnsAwayWhatIsInDoubt) {
+TEST(ValidateRequest, RejectsInvalidAndAmbiguousRequests) {
   const struct {
     int status;
     std::string start;
@@ -96,37 +97,38 @@
       {400, "GET /api", "Req-Deadline: \r\n"},
       {400, "GET /api", "Req-Deadline: 99999999\r\n"},
   };
-  for (const auto& c : cases) EXPECT_EQ(Turned(c.start, c.fields), c.status) << c.start << " " << c.fields;
+  for (const auto& c : cases) EXPECT_EQ(StatusOf(c.start, c.fields), c.status) << c.start << " " << c.fields;
   for (const std::string& id : {std::string(), std::string("a b"), std::string("a,b"), std::string(65, 'x')})
-    EXPECT_EQ(Turned("GET /api", "Req-Id: " + id + "\r\n", /*with_id=*/false), 400) << id;
-  EXPECT_EQ(Turned("GET /api", "", /*with_id=*/false), 400);
-  EXPECT_EQ(Turned("HEAD /ready", "", /*with_id=*/false), 405);
+    EXPECT_EQ(StatusOf("GET /api", "Req-Id: " + id + "\r\n", /*with_id=*/false), 400) << id;
+  EXPECT_EQ(StatusOf("GET /api", "", /*with_id=*/false), 400);
+  EXPECT_EQ(StatusOf("HEAD /ready", "", /*with_id=*/false), 405);
   std::string many;
   for (int i = 0; i < 64; ++i) many += "X" + std::to_string(i) + ": y\r\n";
-  EXPECT_EQ(Turned("GET /api", many), 431);
+  EXPECT_EQ(StatusOf("GET /api", many), 431);
 }
 
-TEST(ValidateForClass, MethodAndKeyFollowFromTheClass) {
-  const auto turned = [](http::verb method, RetrySafety repeat, const char* key) {
+TEST(ValidateForClass, ChecksMethodAndIdempotencyKey) {
+  const auto rejected = [](http::verb method, RetrySafety retry_safety, const char* key) {
     RequestHeader header;
     header.method(method);
     if (key != nullptr) header.set(kIdempotencyHeader, key);
-    return ValidateForClass(header, repeat).has_value();
+    return ValidateForClass(header, retry_safety).has_value();
   };
-  EXPECT_FALSE(turned(http::verb::get, RetrySafety::kSafe, nullptr));
-  EXPECT_FALSE(turned(http::verb::post, RetrySafety::kDeduplicated, "k1"));
-  EXPECT_FALSE(turned(http::verb::post, RetrySafety::kNever, nullptr));
-  EXPECT_TRUE(turned(http::verb::post, RetrySafety::kSafe, nullptr));
-  EXPECT_TRUE(turned(http::verb::head, RetrySafety::kSafe, nullptr));
-  EXPECT_TRUE(turned(http::verb::get, RetrySafety::kSafe, "k1"));
-  EXPECT_TRUE(turned(http::verb::get, RetrySafety::kNever, nullptr));
-  EXPECT_TRUE(turned(http::verb::post, RetrySafety::kDeduplicated, nullptr));
-  EXPECT_TRUE(turned(http::verb::post, RetrySafety::kDeduplicated, ""));
-  EXPECT_TRUE(turned(http::verb::post, RetrySafety::kNever, "k1"));
+  EXPECT_FALSE(rejected(http::verb::get, RetrySafety::kSafe, nullptr));
+  EXPECT_FALSE(rejected(http::verb::post, RetrySafety::kDeduplicated, "k1"));
+  EXPECT_FALSE(rejected(http::verb::post, RetrySafety::kNever, nullptr));
+  EXPECT_TRUE(rejected(http::verb::post, RetrySafety::kSafe, nullptr));
+  EXPECT_TRUE(rejected(http::verb::head, RetrySafety::kSafe, nullptr));
+  EXPECT_TRUE(rejected(http::verb::get, RetrySafety::kSafe, "k1"));
+  EXPECT_TRUE(rejected(http::verb::get, RetrySafety::kNever, nullptr));
+  EXPECT_TRUE(rejected(http::verb::post, RetrySafety::kDeduplicated, nullptr));
+  EXPECT_TRUE(rejected(http::verb::post, RetrySafety::kDeduplicated, ""));
+  EXPECT_TRUE(rejected(http::verb::post, RetrySafety::kNever, "k1"));
 }
 
-TEST(IsValidResponse, TakesOneLengthWithinTheLimitAndNothingElse) {
-  const auto takes = [](unsigned status, std::initializer_list<std::pair<http::field, const char*>> fields) {
+TEST(IsValidResponse, RequiresOneValidLengthWithinTheLimit) {
+  const auto accepts = [](unsigned status,
+                          std::initializer_list<std::pair<http::field, const char*>> fields) {
     ResponseHeader header;
     header.version(11);
     header.result(status);
@@ -135,19 +137,19 @@
   };
   const auto length = http::field::content_length;
   const auto coding = http::field::transfer_encoding;
-  EXPECT_TRUE(takes(200, {{length, "65536"}}));
-  EXPECT_TRUE(takes(200, {{coding, "chunked"}}));
-  EXPECT_TRUE(takes(100, {}));
-  EXPECT_TRUE(takes(204, {}));
-  EXPECT_FALSE(takes(200, {}));  // it could be cut off
-  EXPECT_TRUE(takes(200, {{http::field::connection, "Close"}}));
-  EXPECT_FALSE(takes(200, {{http::field::connection, "closed"}}));
-  EXPECT_FALSE(takes(200, {{length, "33554433"}}));
-  EXPECT_FALSE(takes(200, {{length, "3221225472"}}));
-  EXPECT_FALSE(takes(200, {{length, "-1"}}));
-  EXPECT_FALSE(takes(200, {{length, "4"}, {length, "4"}}));
-  EXPECT_FALSE(takes(200, {{length, "4"}, {coding, "chunked"}}));
-  EXPECT_FALSE(takes(200, {{coding, "gzip"}}));
+  EXPECT_TRUE(accepts(200, {{length, "65536"}}));
+  EXPECT_TRUE(accepts(200, {{coding, "chunked"}}));
+  EXPECT_TRUE(accepts(100, {}));
+  EXPECT_TRUE(accepts(204, {}));
+  EXPECT_FALSE(accepts(200, {}));  // could be truncated unnoticed
+  EXPECT_TRUE(accepts(200, {{http::field::connection, "Close"}}));
+  EXPECT_FALSE(accepts(200, {{http::field::connection, "closed"}}));
+  EXPECT_FALSE(accepts(200, {{length, "33554433"}}));
+  EXPECT_FALSE(accepts(200, {{length, "3221225472"}}));
+  EXPECT_FALSE(accepts(200, {{length, "-1"}}));
+  EXPECT_FALSE(accepts(200, {{length, "4"}, {length, "4"}}));
+  EXPECT_FALSE(accepts(200, {{length, "4"}, {coding, "chunked"}}));
+  EXPECT_FALSE(accepts(200, {{coding, "gzip"}}));
 }
 
 }  // namespace
--- a/tests/ops/api_test.cpp
+++ b/tests/ops/api_test.cpp
@@ -1,4 +1,4 @@
-// What calls to the second address mean, and what the figures say.
+// Tests the operators' API and its metrics.
 #include "ops/api.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 using namespace core::testing;       // NOLINT(google-build-using-namespace)
 using namespace merlinrun::testing;  // NOLINT(google-build-using-namespace)
 
-Settings Named() {
+Settings SettingsWithNamedClasses() {
   Settings settings = MakeSettings();
   for (std::size_t i = 0; i < settings.classes.size(); ++i)
     settings.classes[i].name = "class-" + std::to_string(i);
@@ -25,57 +25,57 @@
  protected:
   ApiTest()
       : request_manager(
-            loop, Named(), 7, [] {}, [](std::string_view) {}),
-        phase(loop, request_manager),
-        api(phase, request_manager, counters) {
+            loop, SettingsWithNamedClasses(), 7, [] {}, [](std::string_view) {}),
+        lifecycle(loop, request_manager),
+        api(lifecycle, request_manager, counters) {
     counters.classes.resize(request_manager.settings().classes.size());
   }
-  nlohmann::json Figures() { return nlohmann::json::parse(api.Handle("GET", "/api/telemetry").body); }
+  nlohmann::json Metrics() { return nlohmann::json::parse(api.Handle("GET", "/api/telemetry").body); }
 
   VirtualLoop loop;
   core::RequestManager request_manager;
-  Phase phase;
+  Lifecycle lifecycle;
   stats::Counters counters;
   Api api;
 };
 
-TEST_F(ApiTest, ReadyOnceItCanServeAndWhileEvacuatedToo) {
+TEST_F(ApiTest, ReadyAlsoWhileEvacuated) {
   EXPECT_EQ(api.Handle("GET", "/api/ready").status, 503U);
-  phase.Started();
+  lifecycle.MarkReady();
   EXPECT_EQ(api.Handle("GET", "/api/ready").status, 200U);
   EXPECT_EQ(api.Handle("PUT", "/api/evacuate").status, 200U);
-  EXPECT_FALSE(phase.TakesClients());
+  EXPECT_FALSE(lifecycle.AcceptsClients());
   EXPECT_EQ(api.Handle("GET", "/api/ready").status, 200U);
   EXPECT_EQ(api.Handle("PUT", "/api/rejoin").status, 200U);
-  EXPECT_TRUE(phase.TakesClients());
-  phase.Stop([] {});
+  EXPECT_TRUE(lifecycle.AcceptsClients());
+  lifecycle.Stop([] {});
   EXPECT_EQ(api.Handle("PUT", "/api/rejoin").status, 409U);
   EXPECT_EQ(api.Handle("PUT", "/api/evacuate").status, 409U);
   EXPECT_EQ(api.Handle("GET", "/api/ready").status, 503U);
 }
 
 TEST_F(ApiTest, UnknownPathsAndWrongMethodsChangeNothing) {
-  phase.Started();
+  lifecycle.MarkReady();
   EXPECT_EQ(api.Handle("GET", "/api/evacuate").status, 405U);
   EXPECT_EQ(api.Handle("GET", "/api/evacuate").allow, "PUT");
   EXPECT_EQ(api.Handle("PUT", "/api/ready").status, 405U);
   EXPECT_EQ(api.Handle("PUT", "/api/evacuate/").status, 404U);
   EXPECT_EQ(api.Handle("GET", "").status, 404U);
   EXPECT_EQ(api.Handle("GET", "/api/ready?verbose").status, 200U);
-  EXPECT_TRUE(phase.TakesClients());
+  EXPECT_TRUE(lifecycle.AcceptsClients());
 }
 
-TEST_F(ApiTest, EveryClassIsThereFromTheStart) {
-  const auto figures = Figures();
+TEST_F(ApiTest, ReportsEveryClassFromTheStart) {
+  const auto metrics = Metrics();
   for (const RequestClass& c : request_manager.settings().classes)
-    EXPECT_EQ(figures.at("responses").at(c.name), nlohmann::json({{"ok", 0}, {"shed", 0}, {"errors", 0}}));
-  EXPECT_EQ(figures.at("active"), 0);
-  EXPECT_EQ(figures.at("tries"), 0);
-  EXPECT_EQ(figures.at("pool_size"), 0);
-  EXPECT_EQ(figures.at("pool_ejected"), 0);
+    EXPECT_EQ(metrics.at("responses").at(c.name), nlohmann::json({{"ok", 0}, {"shed", 0}, {"errors", 0}}));
+  EXPECT_EQ(metrics.at("active"), 0);
+  EXPECT_EQ(metrics.at("tries"), 0);
+  EXPECT_EQ(metrics.at("pool_size"), 0);
+  EXPECT_EQ(metrics.at("pool_ejected"), 0);
 }
 
-TEST_F(ApiTest, CountsEndsByTheStatusThatTheClientSaw) {
+TEST_F(ApiTest, CountsRequestsByTheirResponseStatus) {
   EXPECT_EQ(stats::ResultForStatus(200), stats::RequestResult::kOk);
   EXPECT_EQ(stats::ResultForStatus(429), stats::RequestResult::kShed);
   EXPECT_EQ(stats::ResultForStatus(503), stats::RequestResult::kShed);
@@ -83,24 +83,24 @@
   EXPECT_EQ(stats::ResultForStatus(400), stats::RequestResult::kError);
   stats::ActiveRequestGuard first(counters, 0);
   stats::ActiveRequestGuard second(counters, 1);
-  EXPECT_EQ(Figures().at("active"), 2);
+  EXPECT_EQ(Metrics().at("active"), 2);
   first.Finish(stats::RequestResult::kShed);
-  first.Finish(stats::RequestResult::kOk);  // one end a request
+  first.Finish(stats::RequestResult::kOk);  // only the first result counts
   second.Drop();
-  const auto figures = Figures();
-  EXPECT_EQ(figures.at("active"), 0);
-  EXPECT_EQ(figures.at("responses").at(request_manager.settings().classes[0].name),
+  const auto metrics = Metrics();
+  EXPECT_EQ(metrics.at("active"), 0);
+  EXPECT_EQ(metrics.at("responses").at(request_manager.settings().classes[0].name),
             nlohmann::json({{"ok", 0}, {"shed", 1}, {"errors", 0}}));
 }
 
-TEST_F(ApiTest, ShowsTheListAndWhatTheModuleAvoids) {
+TEST_F(ApiTest, ReportsListedAndEjectedServers) {
   request_manager.OnServers({ListUpdate::Kind::kFull, 1, MakeServers(5)});
-  EXPECT_EQ(Figures().at("pool_size"), 5);
-  BalancerSnapshot beliefs;
-  beliefs.servers.resize(3);
-  beliefs.servers[1].ejected_for = 1;
+  EXPECT_EQ(Metrics().at("pool_size"), 5);
+  BalancerSnapshot snapshot;
+  snapshot.servers.resize(3);
+  snapshot.servers[1].ejected_for = 1;
   EXPECT_EQ(
-      nlohmann::json::parse(FiguresText(counters, request_manager.settings(), beliefs)).at("pool_ejected"),
+      nlohmann::json::parse(MetricsJson(counters, request_manager.settings(), snapshot)).at("pool_ejected"),
       1);
 }
 
--- a/tests/ops/lifecycle_test.cpp
+++ b/tests/ops/lifecycle_test.cpp
@@ -1,4 +1,4 @@
-// The sidecar's phase, in virtual time.
+// Tests the lifecycle of the sidecar in virtual time.
 #include "ops/lifecycle.hpp"
 
 #include <gtest/gtest.h>
@@ -12,9 +12,9 @@
 
 using namespace core::testing;       // NOLINT(google-build-using-namespace)
 using namespace merlinrun::testing;  // NOLINT(google-build-using-namespace)
-using State = Phase::State;
+using State = Lifecycle::State;
 
-class ScriptedFront : public core::ProtocolListener {
+class FakeListener : public core::ProtocolListener {
  public:
   void SetDraining(bool on) override {
     steps += on ? "drain " : "back ";
@@ -32,20 +32,20 @@
     steps += "resume ";
     accepting = true;
   }
-  void CloseIdle(Micros rested) override {
-    if (rested == 0) steps += "idle ";
-    rests.push_back(rested);
+  void CloseIdle(Micros min_idle) override {
+    if (min_idle == 0) steps += "idle ";
+    idle_limits.push_back(min_idle);
   }
   std::size_t sessions() const override { return open; }
 
   std::string steps;
-  std::vector<Micros> rests;
+  std::vector<Micros> idle_limits;
   std::size_t open = 0;
   bool draining = false;
   bool accepting = true;
 };
 
-Settings LateCounts() {  // so that the module waits past the aim
+Settings SettingsWithLateWorth() {  // makes the balancer wait past the target latency
   Settings settings = MakeSettings();
   for (RequestClass& c : settings.classes) c.late_value = 0.5;
   return settings;
@@ -54,131 +54,131 @@
 struct Fixture {
   Fixture()
       : request_manager(
-            loop, LateCounts(), 7, [] {}, [](std::string_view) {}),
-        phase(loop, request_manager) {
+            loop, SettingsWithLateWorth(), 7, [] {}, [](std::string_view) {}),
+        lifecycle(loop, request_manager) {
     request_manager.OnServers({ListUpdate::Kind::kFull, 1, MakeServers(4)});
-    phase.Add(front);
-    phase.Add(other);
+    lifecycle.Add(listener);
+    lifecycle.Add(other);
   }
-  void Take(const std::string& id) {
-    core::IncomingRequest arrival;
-    arrival.id = id;
-    arrival.request = std::make_unique<Note>(id);
-    arrival.response_sink = ledger.NewResponseSink(id);
-    arrival.egress = &egress;
-    request_manager.Submit(std::move(arrival));
+  void Submit(const std::string& id) {
+    core::IncomingRequest incoming;
+    incoming.id = id;
+    incoming.request = std::make_unique<TextMessage>(id);
+    incoming.response_sink = responses.NewResponseSink(id);
+    incoming.egress = &egress;
+    request_manager.Submit(std::move(incoming));
   }
   void Stop() {
-    phase.Stop([this] { ++finished; });
+    lifecycle.Stop([this] { ++finished; });
   }
 
   VirtualLoop loop;
-  Ledger ledger;
-  HeldEgress egress;
-  ScriptedFront front;
-  ScriptedFront other;
+  ResponseLog responses;
+  FakeEgress egress;
+  FakeListener listener;
+  FakeListener other;
   core::RequestManager request_manager;
-  Phase phase;
+  Lifecycle lifecycle;
   int finished = 0;
 };
 
-class PhaseTest : public ::testing::Test, protected Fixture {};
+class LifecycleTest : public ::testing::Test, protected Fixture {};
 
-TEST_F(PhaseTest, TakesNobodyBeforeItCanServe) {
-  EXPECT_FALSE(phase.TakesClients());
-  EXPECT_FALSE(phase.CanServe());
-  phase.Started();
-  EXPECT_TRUE(phase.TakesClients());
-  EXPECT_TRUE(phase.CanServe());
+TEST_F(LifecycleTest, AcceptsNoClientsBeforeItIsReady) {
+  EXPECT_FALSE(lifecycle.AcceptsClients());
+  EXPECT_FALSE(lifecycle.CanServe());
+  lifecycle.MarkReady();
+  EXPECT_TRUE(lifecycle.AcceptsClients());
+  EXPECT_TRUE(lifecycle.CanServe());
 }
 
-TEST_F(PhaseTest, EvacuatedItSaysNoToClientsAndEndsWhatRestsTheLongestFirst) {
-  phase.Started();
-  EXPECT_TRUE(phase.Evacuate());
-  EXPECT_FALSE(phase.TakesClients());
-  EXPECT_TRUE(phase.CanServe());
-  EXPECT_TRUE(front.draining && other.draining);
-  loop.Run(Phase::kEvacuated);
-  EXPECT_TRUE(std::is_sorted(front.rests.rbegin(), front.rests.rend()));
-  EXPECT_EQ(front.rests.front(), Phase::kEvacuated);
-  EXPECT_LE(front.rests.back(), 200 * kMs);
-  EXPECT_TRUE(front.accepting);
+TEST_F(LifecycleTest, EvacuationClosesTheLongestIdleConnectionsFirst) {
+  lifecycle.MarkReady();
+  EXPECT_TRUE(lifecycle.Evacuate());
+  EXPECT_FALSE(lifecycle.AcceptsClients());
+  EXPECT_TRUE(lifecycle.CanServe());
+  EXPECT_TRUE(listener.draining && other.draining);
+  loop.Run(Lifecycle::kEvacuationTime);
+  EXPECT_TRUE(std::is_sorted(listener.idle_limits.rbegin(), listener.idle_limits.rend()));
+  EXPECT_EQ(listener.idle_limits.front(), Lifecycle::kEvacuationTime);
+  EXPECT_LE(listener.idle_limits.back(), 200 * kMs);
+  EXPECT_TRUE(listener.accepting);
 }
 
-TEST_F(PhaseTest, RejoinsAtOnceAlsoAmidADrain) {
-  phase.Started();
-  phase.Evacuate();
+TEST_F(LifecycleTest, RejoinsImmediatelyAlsoWhileDraining) {
+  lifecycle.MarkReady();
+  lifecycle.Evacuate();
   loop.Run(300 * kMs);
-  EXPECT_TRUE(phase.Rejoin());
-  EXPECT_TRUE(phase.TakesClients());
-  EXPECT_FALSE(front.draining);
-  const auto looks = front.rests.size();
+  EXPECT_TRUE(lifecycle.Rejoin());
+  EXPECT_TRUE(lifecycle.AcceptsClients());
+  EXPECT_FALSE(listener.draining);
+  const auto checks = listener.idle_limits.size();
   loop.Run(10 * kSec);
-  EXPECT_EQ(front.rests.size(), looks) << "it went on closing connections after its return";
+  EXPECT_EQ(listener.idle_limits.size(), checks) << "connections are still closed after Rejoin";
 }
 
-TEST_F(PhaseTest, ASecondCallOfAKindChangesNothing) {
-  phase.Started();
-  EXPECT_TRUE(phase.Rejoin());
-  EXPECT_EQ(front.steps, "");
-  phase.Evacuate();
+TEST_F(LifecycleTest, RepeatedCallsChangeNothing) {
+  lifecycle.MarkReady();
+  EXPECT_TRUE(lifecycle.Rejoin());
+  EXPECT_EQ(listener.steps, "");
+  lifecycle.Evacuate();
   loop.Run(1 * kSec);
-  phase.Evacuate();
-  EXPECT_EQ(front.steps, "drain ");
+  lifecycle.Evacuate();
+  EXPECT_EQ(listener.steps, "drain ");
   loop.Run(1 * kSec);
-  EXPECT_LE(front.rests.back(), 200 * kMs) << "the second call began the drain anew";
+  EXPECT_LE(listener.idle_limits.back(), 200 * kMs) << "the second call restarted the drain";
 }
 
-TEST_F(PhaseTest, EvacuatedBeforeItCouldServeItStaysSoUntilItRejoins) {
-  phase.Evacuate();
-  phase.Started();
-  EXPECT_FALSE(phase.TakesClients());
-  phase.Rejoin();
-  EXPECT_TRUE(phase.TakesClients());
+TEST_F(LifecycleTest, EvacuatedBeforeReadyStaysEvacuatedUntilRejoin) {
+  lifecycle.Evacuate();
+  lifecycle.MarkReady();
+  EXPECT_FALSE(lifecycle.AcceptsClients());
+  lifecycle.Rejoin();
+  EXPECT_TRUE(lifecycle.AcceptsClients());
 }
 
-TEST_F(PhaseTest, StoppingOutranksBothCalls) {
-  phase.Started();
-  phase.Evacuate();
+TEST_F(LifecycleTest, StoppingTakesPrecedence) {
+  lifecycle.MarkReady();
+  lifecycle.Evacuate();
   Stop();
-  EXPECT_FALSE(phase.Rejoin());
-  EXPECT_FALSE(phase.Evacuate());
-  EXPECT_FALSE(phase.CanServe());
+  EXPECT_FALSE(lifecycle.Rejoin());
+  EXPECT_FALSE(lifecycle.Evacuate());
+  EXPECT_FALSE(lifecycle.CanServe());
   loop.Run(10 * kSec);
   EXPECT_EQ(finished, 1);
 }
 
-TEST_F(PhaseTest, StoppingTakesEveryFrontThroughTheStepsAndEndsOnce) {
+TEST_F(LifecycleTest, StoppingTakesEveryListenerThroughTheStepsAndFinishesOnce) {
   Stop();
   Stop();
-  EXPECT_EQ(front.steps, "drain ");
+  EXPECT_EQ(listener.steps, "drain ");
   loop.Run(500 * kMs);
-  EXPECT_EQ(front.steps, "drain ");
+  EXPECT_EQ(listener.steps, "drain ");
   loop.Run(100 * kMs);
-  EXPECT_EQ(front.steps, "drain stop ");
+  EXPECT_EQ(listener.steps, "drain stop ");
   EXPECT_EQ(finished, 0);
   loop.Run(200 * kMs);
-  EXPECT_EQ(front.steps, "drain stop idle ");
-  EXPECT_EQ(other.steps, front.steps);
+  EXPECT_EQ(listener.steps, "drain stop idle ");
+  EXPECT_EQ(other.steps, listener.steps);
   EXPECT_EQ(finished, 1);
   loop.Run(10 * kSec);
   EXPECT_EQ(finished, 1);
 }
 
-TEST_F(PhaseTest, AnswersWhatWouldOutlastTheKill) {
+TEST_F(LifecycleTest, AnswersAllRequestsBeforeTheKill) {
   Stop();
   loop.Run(400 * kMs);
-  Take("r1");  // has 5 s by its class, and the end is in 2.8 s
+  Submit("r1");  // its deadline is in 5 s, that of the shutdown in 2.8 s
   loop.Run(2700 * kMs);
-  EXPECT_TRUE(ledger.For("r1").empty());
+  EXPECT_TRUE(responses.For("r1").empty());
   loop.Run(200 * kMs);
-  EXPECT_EQ(ledger.For("r1").size(), 1U);
+  EXPECT_EQ(responses.For("r1").size(), 1U);
   EXPECT_EQ(finished, 1);
 }
 
-TEST_F(PhaseTest, WaitsForTheAnswersToBeReadButNotForEver) {
-  Take("r1");
-  front.open = 1;
+TEST_F(LifecycleTest, WaitsALimitedTimeForResponsesToBeRead) {
+  Submit("r1");
+  listener.open = 1;
   Stop();
   loop.Run(1 * kSec);
   egress.Resolve(0, Result::kSuccess, "ok");
@@ -188,38 +188,37 @@
   EXPECT_EQ(finished, 1);
 }
 
-// Whatever is called in whatever order: the phase is what the last call that counts asked for, and the fronts
-// have been told so.
-RC_GTEST_PROP(PhaseProperty, FollowsTheLastCallThatCounts, (const std::vector<std::uint8_t>& calls)) {
+// After any sequence of calls the state follows from the last effective call, also in the listeners.
+RC_GTEST_PROP(LifecycleProperty, FollowsTheLastEffectiveCall, (const std::vector<std::uint8_t>& calls)) {
   Fixture f;
   bool started = false;
-  bool away = false;
+  bool evacuated = false;
   bool stopping = false;
   for (const std::uint8_t call : calls) {
     switch (call % 5) {
       case 0:
-        f.phase.Started();
+        f.lifecycle.MarkReady();
         started = true;
         break;
       case 1:
-        RC_ASSERT(f.phase.Evacuate() == !stopping);
-        away = true;
+        RC_ASSERT(f.lifecycle.Evacuate() == !stopping);
+        evacuated = true;
         break;
       case 2:
-        RC_ASSERT(f.phase.Rejoin() == !stopping);
-        away = false;
+        RC_ASSERT(f.lifecycle.Rejoin() == !stopping);
+        evacuated = false;
         break;
       case 3:
         f.loop.Run((call / 5) * 40 * kMs);
         break;
       default:
-        if (call % 2 == 0) break;  // so that not every row ends at once
+        if (call % 2 == 0) break;  // stops less often than the other calls
         f.Stop();
         stopping = true;
     }
-    RC_ASSERT(f.phase.TakesClients() == (started && !away && !stopping));
-    RC_ASSERT(f.phase.CanServe() == (!stopping && (started || away)));
-    RC_ASSERT(f.front.draining == (stopping || away));
+    RC_ASSERT(f.lifecycle.AcceptsClients() == (started && !evacuated && !stopping));
+    RC_ASSERT(f.lifecycle.CanServe() == (!stopping && (started || evacuated)));
+    RC_ASSERT(f.listener.draining == (stopping || evacuated));
   }
   f.loop.Run(10 * kSec);
   RC_ASSERT(f.finished == (stopping ? 1 : 0));
--- a/tests/ops/listener_test.cpp
+++ b/tests/ops/listener_test.cpp
@@ -1,4 +1,4 @@
-// Callers of the second address that do not behave, and those that share it with them.
+// Tests the operators' listener with clients that send invalid requests or nothing.
 #include "ops/listener.hpp"
 
 #include <gtest/gtest.h>
@@ -18,26 +18,26 @@
   ListenerTest()
       : request_manager(
             loop, merlinrun::testing::MakeSettings(), 7, [] {}, [](std::string_view) {}),
-        phase(loop, request_manager),
-        api(phase, request_manager, counters) {
-    phase.Started();
+        lifecycle(loop, request_manager),
+        api(lifecycle, request_manager, counters) {
+    lifecycle.MarkReady();
   }
   void Start() { listener = std::make_unique<Listener>(io, Loopback(), limits, api); }
-  std::shared_ptr<Peer> Call(const std::string& text) {
-    auto caller = Connect(io, listener->address());
-    if (!text.empty()) caller->Write(text);
-    return caller;
+  std::shared_ptr<Peer> Send(const std::string& text) {
+    auto connection = Connect(io, listener->address());
+    if (!text.empty()) connection->Write(text);
+    return connection;
   }
-  // The status of the one answer; empty if the connection ended without one.
-  std::string Status(Peer& caller) {
-    EXPECT_TRUE(RunUntil(io, [&] { return caller.ended; }));
-    EXPECT_LE(caller.requests(), 1);
-    return caller.requests() > 0 ? caller.received.substr(9, 3) : "";
+  // The status of the only response; empty if the connection ended without one.
+  std::string Status(Peer& connection) {
+    EXPECT_TRUE(RunUntil(io, [&] { return connection.ended; }));
+    EXPECT_LE(connection.requests(), 1);
+    return connection.requests() > 0 ? connection.received.substr(9, 3) : "";
   }
 
   core::testing::VirtualLoop loop;
   core::RequestManager request_manager;
-  Phase phase;
+  Lifecycle lifecycle;
   stats::Counters counters;
   Api api;
   asio::io_context io;
@@ -45,64 +45,64 @@
   std::unique_ptr<Listener> listener;
 };
 
-constexpr const char* kReadyCall = "GET /api/ready HTTP/1.1\r\nHost: ops\r\n\r\n";
+constexpr const char* kReadyRequest = "GET /api/ready HTTP/1.1\r\nHost: ops\r\n\r\n";
 
-TEST_F(ListenerTest, AnswersOneCallAndCloses) {
+TEST_F(ListenerTest, AnswersOneRequestAndCloses) {
   Start();
-  auto caller = Call(std::string(kReadyCall) + kReadyCall);
-  EXPECT_EQ(Status(*caller), "200");
-  EXPECT_NE(caller->received.find("Connection: close"), std::string::npos);
-  caller->Close();
-  EXPECT_TRUE(RunUntil(io, [&] { return listener->callers() == 0; }));
+  auto connection = Send(std::string(kReadyRequest) + kReadyRequest);
+  EXPECT_EQ(Status(*connection), "200");
+  EXPECT_NE(connection->received.find("Connection: close"), std::string::npos);
+  connection->Close();
+  EXPECT_TRUE(RunUntil(io, [&] { return listener->connections() == 0; }));
 }
 
-TEST_F(ListenerTest, TakesACallInPiecesAndABodyThatItHasNoUseFor) {
+TEST_F(ListenerTest, ReadsARequestInPiecesAndIgnoresItsBody) {
   Start();
-  auto caller = Call("");
+  auto connection = Send("");
   for (const char c : std::string("PUT /api/evacuate HTTP/1.1\r\nContent-Length: 4\r\n\r\nbody")) {
-    caller->Write(std::string(1, c));
+    connection->Write(std::string(1, c));
     RunFor(io, 1ms);
   }
-  EXPECT_EQ(Status(*caller), "200");
-  EXPECT_FALSE(phase.TakesClients());
+  EXPECT_EQ(Status(*connection), "200");
+  EXPECT_FALSE(lifecycle.AcceptsClients());
 }
 
-TEST_F(ListenerTest, TellsWhatIsWrongWithACall) {
+TEST_F(ListenerTest, RejectsInvalidRequests) {
   Start();
-  EXPECT_EQ(Status(*Call("GET /nothing HTTP/1.1\r\n\r\n")), "404");
-  auto wrong_method = Call("DELETE /api/rejoin HTTP/1.1\r\n\r\n");
+  EXPECT_EQ(Status(*Send("GET /nothing HTTP/1.1\r\n\r\n")), "404");
+  auto wrong_method = Send("DELETE /api/rejoin HTTP/1.1\r\n\r\n");
   EXPECT_EQ(Status(*wrong_method), "405");
   EXPECT_NE(wrong_method->received.find("Allow: PUT"), std::string::npos);
-  EXPECT_EQ(Status(*Call("nonsense\r\n\r\n")), "400");
-  EXPECT_EQ(Status(*Call("GET /api/ready HTTP/1.1\r\nX: " + std::string(9000, 'x') + "\r\n\r\n")), "431");
-  EXPECT_EQ(Status(*Call("PUT /api/evacuate HTTP/1.1\r\nContent-Length: 999999\r\n\r\n")), "413");
-  EXPECT_TRUE(phase.TakesClients());
+  EXPECT_EQ(Status(*Send("nonsense\r\n\r\n")), "400");
+  EXPECT_EQ(Status(*Send("GET /api/ready HTTP/1.1\r\nX: " + std::string(9000, 'x') + "\r\n\r\n")), "431");
+  EXPECT_EQ(Status(*Send("PUT /api/evacuate HTTP/1.1\r\nContent-Length: 999999\r\n\r\n")), "413");
+  EXPECT_TRUE(lifecycle.AcceptsClients());
 }
 
-TEST_F(ListenerTest, CallersThatSayNothingGoInTime) {
-  limits.call = 50'000;
+TEST_F(ListenerTest, SilentConnectionsTimeOut) {
+  limits.io_timeout = 50'000;
   Start();
-  auto silent = Call("");
-  auto half = Call("GET /api/re");
+  auto silent = Send("");
+  auto half = Send("GET /api/re");
   EXPECT_EQ(Status(*silent), "");
   EXPECT_EQ(Status(*half), "");
-  EXPECT_EQ(listener->callers(), 0U);
+  EXPECT_EQ(listener->connections(), 0U);
 }
 
-// A hundred callers say nothing or half a call, in two goes, and stay; one that asks is answered all the
-// same, and never more than the bound are held.
-TEST_F(ListenerTest, SilentCallersKeepNobodyOut) {
-  limits.call = 60'000'000;
+// A hundred clients send nothing or half a request and stay connected; another one is still served, and the
+// connection limit holds.
+TEST_F(ListenerTest, SilentConnectionsDoNotBlockOthers) {
+  limits.io_timeout = 60'000'000;
   Start();
   std::vector<std::shared_ptr<Peer>> silent;
   for (int go = 0; go < 2; ++go) {
-    for (int i = 0; i < 50; ++i) silent.push_back(Call(i % 2 == 0 ? "" : "GET /api/re"));
-    EXPECT_EQ(Status(*Call(kReadyCall)), "200");
-    EXPECT_LE(listener->callers(), limits.callers);
+    for (int i = 0; i < 50; ++i) silent.push_back(Send(i % 2 == 0 ? "" : "GET /api/re"));
+    EXPECT_EQ(Status(*Send(kReadyRequest)), "200");
+    EXPECT_LE(listener->connections(), limits.max_connections);
   }
 }
 
-TEST_F(ListenerTest, AnAddressThatIsTakenIsAnError) {
+TEST_F(ListenerTest, AnAddressInUseIsAnError) {
   Start();
   EXPECT_THROW(Listener(io, listener->address(), limits, api), boost::system::system_error);
 }
--- a/tests/record/recorder_test.cpp
+++ b/tests/record/recorder_test.cpp
@@ -1,4 +1,4 @@
-// Recordings: what is written is read back, damage is told, and a disk that is full or slow delays nobody.
+// Tests recordings: round trip, damaged files, and that full or slow disks delay no requests.
 #include "record/recorder.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
 
 Header ExampleHeader() { return {7, 1'700'000'000'000'000, {"sim-lookup", "number-port"}}; }
 
-std::vector<Record> Some(std::size_t count) {
+std::vector<Record> RandomRecords(std::size_t count) {
   std::mt19937_64 random(5);
   std::vector<Record> out;
   for (std::size_t i = 0; i < count; ++i) {
@@ -39,12 +39,12 @@
   return out;
 }
 
-std::string FileOf(const std::vector<Record>& records, std::size_t a_block) {
+std::string EncodeRecording(const std::vector<Record>& records, std::size_t records_per_block) {
   std::string out = EncodeHeader(ExampleHeader());
   BlockWriter block;
   for (const Record& record : records) {
     block.Add(record);
-    if (block.count() == a_block) out += block.Take(2);
+    if (block.count() == records_per_block) out += block.Take(2);
   }
   if (block.count() > 0) out += block.Take(0);
   return out;
@@ -56,9 +56,9 @@
   return error == nullptr ? "" : *error;
 }
 
-TEST(FormatTest, WhatIsWrittenIsReadBack) {
-  const auto records = Some(1'000);
-  const std::string bytes = FileOf(records, 300);
+TEST(FormatTest, RoundTrip) {
+  const auto records = RandomRecords(1'000);
+  const std::string bytes = EncodeRecording(records, 300);
   const auto read = ParseRecording(bytes);
   ASSERT_TRUE(std::holds_alternative<Recording>(read)) << std::get<std::string>(read);
   const auto& recording = std::get<Recording>(read);
@@ -81,18 +81,17 @@
   EXPECT_LT(bytes.size(), 32 * records.size());
 }
 
-TEST(FormatTest, AForeignFileIsRefusedInOneLine) {
+TEST(FormatTest, ForeignFilesAreRejected) {
   EXPECT_EQ(ErrorOf(""), "no recording of this project");
   EXPECT_EQ(ErrorOf("PK\3\4 something else"), "no recording of this project");
-  std::string next = FileOf(Some(3), 3);
+  std::string next = EncodeRecording(RandomRecords(3), 3);
   next[8] = 2;
   EXPECT_EQ(ErrorOf(next), "a recording of version 2, and this program reads 1");
 }
 
-// Cut off anywhere but where a block ends, or changed anywhere: it is told, and nothing is read that is not
-// there.
-TEST(FormatTest, ATruncatedOrDamagedFileIsRefused) {
-  const std::string whole = FileOf(Some(20), 10);
+// A file truncated anywhere but at the end of a block, or changed anywhere, is rejected.
+TEST(FormatTest, TruncatedAndDamagedFilesAreRejected) {
+  const std::string whole = EncodeRecording(RandomRecords(20), 10);
   int good = 0;
   for (std::size_t size = 0; size < whole.size(); ++size)
     good += ErrorOf(whole.substr(0, size)).empty() ? 1 : 0;
@@ -112,7 +111,7 @@
   EXPECT_NE(one("+16045550123"), Hasher("fedcba9876543210")("+16045550123"));
 }
 
-TEST(RecordingSettingsTest, EachSlipIsToldInOneLine) {
+TEST(RecordingSettingsTest, ErrorsAreReportedInOneLine) {
   const auto error = [](const std::string& text) {
     const auto read = ParseRecordingSettings(text, "r.toml");
     const auto* const wrong = std::get_if<std::string>(&read);
@@ -138,7 +137,7 @@
   const std::string path_;
 };
 
-TEST_F(RecorderTest, WritesAWholeFileThatItsUserAloneCanRead) {
+TEST_F(RecorderTest, WritesACompleteFileReadableOnlyByItsUser) {
   {
     Recorder recorder(OpenFile(path_, 1 << 20), ExampleHeader(), kSalt, 1'000);
     for (int i = 0; i < 500; ++i) {
@@ -157,24 +156,24 @@
   EXPECT_EQ(status.st_mode & 0777, 0600U);
 }
 
-TEST_F(RecorderTest, NeverGrowsBeyondItsBoundAndTellsWhatWasLost) {
-  constexpr std::uint64_t kMost = 100'000;
+TEST_F(RecorderTest, RespectsTheSizeLimitAndReportsLostRecords) {
+  constexpr std::uint64_t kMaxSize = 100'000;
   constexpr int kRecords = 20'000;
   {
-    Recorder recorder(OpenFile(path_, kMost), ExampleHeader(), kSalt, 0);
+    Recorder recorder(OpenFile(path_, kMaxSize), ExampleHeader(), kSalt, 0);
     for (int i = 0; i < kRecords; ++i) recorder.Add(i, Record(), std::to_string(i), "");
   }
   struct stat status {};
   ASSERT_EQ(::stat(path_.c_str(), &status), 0);
-  EXPECT_LE(static_cast<std::uint64_t>(status.st_size), kMost);
+  EXPECT_LE(static_cast<std::uint64_t>(status.st_size), kMaxSize);
   const auto read = Read();
   ASSERT_TRUE(std::holds_alternative<Recording>(read)) << std::get<std::string>(read);
   EXPECT_GT(std::get<Recording>(read).records.size(), 1'000U);
   EXPECT_EQ(std::get<Recording>(read).records.size() + std::get<Recording>(read).lost_records, 1U * kRecords);
 }
 
-// /dev/full takes no byte: what a disk that is full says, at the first write already.
-TEST_F(RecorderTest, ADiskThatIsFullAtTheStartIsToldInOneLine) {
+// /dev/full fails every write, like a full disk.
+TEST_F(RecorderTest, AFullDiskAtTheStartIsReported) {
   try {
     Recorder recorder(OpenFile("/dev/full", 1 << 20), ExampleHeader(), kSalt, 0);
     FAIL();
@@ -184,8 +183,8 @@
   EXPECT_THROW(OpenFile("/nonexistent/folder/file", 1 << 20), std::runtime_error);
 }
 
-// A disk whose writes do not end until it is let go.
-class Stuck : public Disk {
+// A file whose writes block until `go` is set.
+class BlockingFile : public RecordingFile {
  public:
   struct State {
     std::mutex mutex;
@@ -193,7 +192,7 @@
     bool go = false;
     int written = 0;
   };
-  explicit Stuck(std::shared_ptr<State> state) : state_(std::move(state)) {}
+  explicit BlockingFile(std::shared_ptr<State> state) : state_(std::move(state)) {}
   bool Append(std::string_view) override {
     std::unique_lock<std::mutex> lock(state_->mutex);
     if (state_->written++ > 0) state_->changed.wait(lock, [this] { return state_->go; });
@@ -204,14 +203,14 @@
   const std::shared_ptr<State> state_;
 };
 
-TEST_F(RecorderTest, ASlowDiskDelaysNobodyAndWhatDoesNotFitInMemoryIsCounted) {
-  const auto state = std::make_shared<Stuck::State>();
+TEST_F(RecorderTest, ASlowDiskDoesNotBlockAndDroppedRecordsAreCounted) {
+  const auto state = std::make_shared<BlockingFile::State>();
   constexpr std::uint64_t kRecords = 100'000;
   std::uint64_t lost = 0;
   {
-    Recorder recorder(std::make_unique<Stuck>(state), ExampleHeader(), kSalt, 0);
+    Recorder recorder(std::make_unique<BlockingFile>(state), ExampleHeader(), kSalt, 0);
     for (std::uint64_t i = 0; i < kRecords; ++i) recorder.Add(0, Record(), std::to_string(i), "");
-    lost = recorder.lost();  // all were taken while not one block was written
+    lost = recorder.lost();  // all were added while no block was written
     EXPECT_EQ(recorder.recorded(), 0U);
   }
   EXPECT_GT(lost, kRecords / 4);
--- a/tests/rig/fixture.hpp
+++ b/tests/rig/fixture.hpp
@@ -132,8 +132,8 @@
     std::ofstream(path, std::ios::trunc) << file;
     net::Config config = net::ParseConfig(world->Config().dump(), "", "");
     config.listen = Loopback();
-    config.diameter = path;
-    config.record = record;
+    config.diameter_file = path;
+    config.recording_file = record;
     sidecar = std::make_unique<net::Sidecar>(world->io, std::move(config));
     sidecar->Start();
   }
--- a/tests/stats/interval_stats_test.cpp
+++ b/tests/stats/interval_stats_test.cpp
@@ -1,4 +1,4 @@
-// What is counted, and the line that tells it.
+// Tests the statistics per interval and the trace line.
 #include "stats/interval_stats.hpp"
 
 #include <gtest/gtest.h>
@@ -16,63 +16,63 @@
 using merlinrun::testing::kMs;
 using merlinrun::testing::MakeSettings;
 
-CompletedRequest Over(CompletedRequest::Disposition end, Micros took, std::size_t attempts,
-                      std::optional<Cause> why = {}) {
-  CompletedRequest ended;
-  ended.disposition = end;
-  ended.duration = took;
-  ended.attempts = attempts;
-  ended.end_cause = why;
-  return ended;
+CompletedRequest Completed(CompletedRequest::Disposition disposition, Micros duration, std::size_t attempts,
+                           std::optional<Cause> why = {}) {
+  CompletedRequest completed;
+  completed.disposition = disposition;
+  completed.duration = duration;
+  completed.attempts = attempts;
+  completed.end_cause = why;
+  return completed;
 }
 
-TEST(Account, CountsEachEndOnceAndIsTakenOutWhole) {
-  Account account(MakeSettings());
-  account.Add(Over(CompletedRequest::Disposition::kServed, 1000 * kMs, 1));
-  account.Add(Over(CompletedRequest::Disposition::kServed, 1001 * kMs, 2));
-  account.Add(Over(CompletedRequest::Disposition::kClientGone, 0, 1));
-  account.Add(Over(CompletedRequest::Disposition::kRefused, 0, 0, Cause::kConcurrencyLimit));
-  account.Add(Over(CompletedRequest::Disposition::kFailed, 0, 1, Cause::kReset));
-  account.Add(Over(CompletedRequest::Disposition::kFailed, 0, 1));
-  CompletedRequest foreign;
-  foreign.request_class = 99;
-  account.Add(foreign);
-  const Stretch stretch = account.Take();
-  const ClassAccount& c = stretch.classes.at(0);
+TEST(IntervalCollector, CountsEachRequestOnceAndTakeResets) {
+  IntervalCollector collector(MakeSettings());
+  collector.Add(Completed(CompletedRequest::Disposition::kServed, 1000 * kMs, 1));
+  collector.Add(Completed(CompletedRequest::Disposition::kServed, 1001 * kMs, 2));
+  collector.Add(Completed(CompletedRequest::Disposition::kClientGone, 0, 1));
+  collector.Add(Completed(CompletedRequest::Disposition::kRefused, 0, 0, Cause::kConcurrencyLimit));
+  collector.Add(Completed(CompletedRequest::Disposition::kFailed, 0, 1, Cause::kReset));
+  collector.Add(Completed(CompletedRequest::Disposition::kFailed, 0, 1));
+  CompletedRequest unknown_class;
+  unknown_class.request_class = 99;
+  collector.Add(unknown_class);
+  const IntervalStats interval_stats = collector.Take();
+  const ClassStats& c = interval_stats.classes.at(0);
   EXPECT_EQ(c.served, 1);
   EXPECT_EQ(c.late, 1);
-  EXPECT_EQ(c.left, 1);
-  EXPECT_EQ(c.untried, 1);
-  EXPECT_EQ(c.tries, 6);
+  EXPECT_EQ(c.client_gone, 1);
+  EXPECT_EQ(c.without_attempt, 1);
+  EXPECT_EQ(c.attempt_count, 6);
   EXPECT_EQ(c.refused[static_cast<std::size_t>(Cause::kConcurrencyLimit)], 1);
   EXPECT_EQ(c.failed[static_cast<std::size_t>(Cause::kReset)], 1);
-  EXPECT_EQ(c.out_of_time, 1);
-  EXPECT_EQ(account.Take().classes.at(0).tries, 0);
+  EXPECT_EQ(c.deadline_exceeded, 1);
+  EXPECT_EQ(collector.Take().classes.at(0).attempt_count, 0);
 }
 
-TEST(Account, HoldsABoundedNumberOfServers) {
-  Account account(MakeSettings());
-  for (int i = 0; i < 1000; ++i) account.Add({"s" + std::to_string(i), Result::kSuccess, 2 * kMs, 0});
-  const Stretch stretch = account.Take();
-  EXPECT_EQ(stretch.servers.size(), kServers + 1);
-  const auto others = stretch.servers.find(kOtherServers);
-  ASSERT_NE(others, stretch.servers.end());
-  EXPECT_EQ(others->second.results[0], 1000 - static_cast<std::int64_t>(kServers));
+TEST(IntervalCollector, BoundsTheNumberOfServers) {
+  IntervalCollector collector(MakeSettings());
+  for (int i = 0; i < 1000; ++i) collector.Add({"s" + std::to_string(i), Result::kSuccess, 2 * kMs, 0});
+  const IntervalStats interval_stats = collector.Take();
+  EXPECT_EQ(interval_stats.servers.size(), kMaxServers + 1);
+  const auto others = interval_stats.servers.find(kOtherServers);
+  ASSERT_NE(others, interval_stats.servers.end());
+  EXPECT_EQ(others->second.results[0], 1000 - static_cast<std::int64_t>(kMaxServers));
 }
 
-TEST(TraceLine, LaysCausesBesideServers) {
-  Account account(MakeSettings());
-  account.Add(Over(CompletedRequest::Disposition::kRefused, 0, 0, Cause::kEjected));
-  account.Add({"s1", Result::kTimeout, 70 * kMs, 0});
-  BalancerSnapshot beliefs;
-  beliefs.pools[0].servers = 1;
+TEST(TraceLine, ReportsCausesAndServers) {
+  IntervalCollector collector(MakeSettings());
+  collector.Add(Completed(CompletedRequest::Disposition::kRefused, 0, 0, Cause::kEjected));
+  collector.Add({"s1", Result::kTimeout, 70 * kMs, 0});
+  BalancerSnapshot snapshot;
+  snapshot.pools[0].servers = 1;
   BalancerSnapshot::Server server;
   server.id = "s1";
   server.in_window = true;
   server.ejected_for = 250 * kMs;
-  beliefs.servers.push_back(server);
+  snapshot.servers.push_back(server);
   const auto line =
-      nlohmann::json::parse(TraceLine(5, MakeSettings(), account.Take(), beliefs, {1, 2, 3}, true));
+      nlohmann::json::parse(TraceLine(5, MakeSettings(), collector.Take(), snapshot, {1, 2, 3}, true));
   EXPECT_EQ(line["at"], 5);
   EXPECT_EQ(line["connections"], 3);
   EXPECT_EQ(line["classes"]["c"]["untried"].is_number(), true);
@@ -81,7 +81,7 @@
   EXPECT_EQ(line["servers"]["s1"]["longest_ms"], 70);
 }
 
-TEST(TraceSettings, SayWhereTheyAreWrong) {
+TEST(TraceSettings, ErrorsNameTheirPosition) {
   const auto wrong = [](const char* text) {
     const auto read = ParseTraceSettings(text, "t.toml");
     const auto* const error = std::get_if<std::string>(&read);
