--- a/rig/clients.cpp
+++ b/rig/clients.cpp
@@ -155,8 +155,8 @@
     events.on_frame = [this, alive](std::string_view frame) {
       if (*alive) OnFrame(frame);
     };
-    events.on_broken = [](const diameter::BadMessage&) {};
-    events.on_end = [this, alive] {
+    events.on_framing_error = [](const diameter::MalformedMessage&) {};
+    events.on_closed = [this, alive] {
       if (*alive) up_ = false;
     };
     connection_->Start(std::move(events));
@@ -186,7 +186,7 @@
   if (message->header.command != diameter::kCapabilitiesExchange || up_) return;
   up_ = true;
   for (auto& [hop, asked] : under_way_) {  // what had no answer when it died
-    asked.message.header.flags |= diameter::kResendBit;
+    asked.message.header.flags |= diameter::kRetransmitBit;
     ledger_.AskedAgain(asked.id);
     Send(asked.message);
   }
@@ -226,7 +226,7 @@
   last_answer_ = answer;
   const auto it = under_way_.find(answer.header.hop_by_hop);
   if (it == under_way_.end()) return ledger_.Answered("?", Ledger::Outcome::kFailed, "", loop_.Now());
-  const auto code = diameter::ResultOf(answer);
+  const auto code = diameter::ResultCodeOf(answer);
   const auto outcome =
       code == diameter::ResultCode::kSuccess ? Ledger::Outcome::kServed
       : code == diameter::ResultCode::kTooBusy || code == diameter::ResultCode::kUnableToDeliver
--- a/rig/server.cpp
+++ b/rig/server.cpp
@@ -138,8 +138,8 @@
   void Start(bool introduces) {
     diameter::Connection::Events events;
     events.on_frame = [self = shared_from_this()](std::string_view frame) { self->OnFrame(frame); };
-    events.on_broken = [self = shared_from_this()](const diameter::BadMessage&) { self->End(); };
-    events.on_end = [self = shared_from_this()] { self->End(); };
+    events.on_framing_error = [self = shared_from_this()](const diameter::MalformedMessage&) { self->End(); };
+    events.on_closed = [self = shared_from_this()] { self->End(); };
     connection_->Start(std::move(events));
     if (introduces) Send(diameter::MakeCer(owner_.identity_));
   }
@@ -172,8 +172,8 @@
     }
   }
   void OnRequest(const diameter::Message& request) {
-    const diameter::CommandMap* const map = owner_.application_.FindCommand(request.header.command);
-    const auto text = [&](const diameter::AvpAt& at) {
+    const diameter::CommandMapping* const map = owner_.application_.FindCommand(request.header.command);
+    const auto text = [&](const diameter::AvpId& at) {
       const auto avp = diameter::Find(request.avps, at.code, at.vendor);
       return avp ? std::string(avp->data) : std::string();
     };
--- a/src/diameter/application.cpp
+++ b/src/diameter/application.cpp
@@ -20,36 +20,37 @@
   });
 }
 
-std::optional<Avp> At(const Message& request, const AvpAt& at) {
+std::optional<Avp> At(const Message& request, const AvpId& at) {
   return at ? Find(request.avps, at.code, at.vendor) : std::nullopt;
 }
 
-Fault Invalid(const Avp& avp, const char* text) {
+MessageError Invalid(const Avp& avp, const char* text) {
   return {ResultCode::kInvalidAvpValue, AvpWriter().Copy(avp).Take(), text};
 }
 
 // That the request carries a key if its class is keyed, and none else: guards against a client that believes
 // its request safe to repeat where servers do not look at its key.
-std::optional<Fault> CheckKey(const CommandMap& map, RetrySafety repeat, const Message& request) {
+std::optional<MessageError> CheckKey(const CommandMapping& map, RetrySafety repeat, const Message& request) {
   const auto key = At(request, map.idempotency);
   if (repeat != RetrySafety::kDeduplicated) {
     if (!key) return std::nullopt;
-    return Fault{ResultCode::kAvpNotAllowed, AvpWriter().Copy(*key).Take(),
-                 "a key that the class has no use for"};
+    return MessageError{ResultCode::kAvpNotAllowed, AvpWriter().Copy(*key).Take(),
+                        "a key that the class has no use for"};
   }
   if (!key)
-    return Fault{ResultCode::kMissingAvp,
-                 AvpWriter().Add(map.idempotency.code, "", kMandatoryBit, map.idempotency.vendor).Take(),
-                 "the class needs a key"};
+    return MessageError{
+        ResultCode::kMissingAvp,
+        AvpWriter().Add(map.idempotency.code, "", kMandatoryBit, map.idempotency.vendor).Take(),
+        "the class needs a key"};
   if (!IsName(key->data, kMostKey)) return Invalid(*key, "the key is no name");
   return std::nullopt;
 }
 
 }  // namespace
 
-const CommandMap* Application::FindCommand(std::uint32_t code) const {
-  const auto it =
-      std::find_if(commands.begin(), commands.end(), [&](const CommandMap& map) { return map.code == code; });
+const CommandMapping* Application::FindCommand(std::uint32_t code) const {
+  const auto it = std::find_if(commands.begin(), commands.end(),
+                               [&](const CommandMapping& map) { return map.code == code; });
   return it == commands.end() ? nullptr : &*it;
 }
 
@@ -60,16 +61,16 @@
   return out;
 }
 
-std::variant<Reading, Fault> ReadRequest(const Application& application, const Settings& settings,
-                                         const Message& request) {
+std::variant<RequestInfo, MessageError> ReadRequest(const Application& application, const Settings& settings,
+                                                    const Message& request) {
   if (request.header.application != application.id)
-    return Fault{ResultCode::kApplicationUnsupported, {}, "an application that is not served here"};
-  const CommandMap* const map = application.FindCommand(request.header.command);
-  if (map == nullptr) return Fault{ResultCode::kCommandUnsupported, {}, "an unknown command"};
+    return MessageError{ResultCode::kApplicationUnsupported, {}, "an application that is not served here"};
+  const CommandMapping* const map = application.FindCommand(request.header.command);
+  if (map == nullptr) return MessageError{ResultCode::kCommandUnsupported, {}, "an unknown command"};
   const CommandRule& rule = *application.dictionary.FindCommand(map->code, application.id);
   if (auto fault = Check(request, application.dictionary, rule, Reader::kRelay)) return *fault;
 
-  Reading out;
+  RequestInfo out;
   const auto class_name = At(request, map->class_name);
   out.request_class = core::ClassIndex(settings, class_name ? class_name->data : map->fixed_class);
   if (out.request_class < 0) return Invalid(*class_name, "an unknown class");
--- a/src/diameter/application.hpp
+++ b/src/diameter/application.hpp
@@ -12,32 +12,32 @@
 #include <vector>
 
 #include "diameter/dictionary.hpp"
+#include "diameter/duplicate_cache.hpp"
 #include "diameter/messages.hpp"
-#include "diameter/recall.hpp"
 #include "merlinrun/balancer.hpp"
 
 namespace merlinrun::diameter {
 
 // Where an AVP of interest stands; a code of 0: the command has none.
-struct AvpAt {
+struct AvpId {
   std::uint32_t code = 0;
   std::uint32_t vendor = 0;
   explicit operator bool() const { return code != 0; }
 };
 
 // How the requests of one command are read.
-struct CommandMap {
+struct CommandMapping {
   std::uint32_t code = 0;
   std::string fixed_class;  // the class of all of them; empty: `class_name` says it
-  AvpAt class_name;
-  AvpAt tenant;
-  AvpAt object;       // what it concerns, as HTTP's `obj`
-  AvpAt idempotency;  // what servers drop repeats by, as HTTP's Idempotency-Key
-  AvpAt deadline;     // milliseconds that the client waits, from when it sent the request (Unsigned32)
-  AvpAt id;           // the request's id over HTTP too, as HTTP's Req-Id; see docs/design/diameter.md
+  AvpId class_name;
+  AvpId tenant;
+  AvpId object;       // what it concerns, as HTTP's `obj`
+  AvpId idempotency;  // what servers drop repeats by, as HTTP's Idempotency-Key
+  AvpId deadline;     // milliseconds that the client waits, from when it sent the request (Unsigned32)
+  AvpId id;           // the request's id over HTTP too, as HTTP's Req-Id; see docs/design/diameter.md
 };
 
-struct ClientRule {
+struct AllowedClient {
   std::string host;  // its Origin-Host
   bool tls = false;  // it may come over TLS alone, with a certificate of that name
 };
@@ -55,19 +55,19 @@
   std::string tls_listen;  // the same with TLS; empty: none
   TlsFiles tls;
   std::vector<std::string> realms;  // that requests may be for
-  std::vector<ClientRule> clients;
+  std::vector<AllowedClient> clients;
   std::string server_host;   // the Origin-Host of a server; {id} stands for its instance id
   bool servers_tls = false;  // servers are dialled with TLS
   Micros watchdog = 30'000'000;
   Micros reconnect = 30'000'000;
-  std::size_t most_message = 65'536;  // bytes
-  std::size_t most_requests = 1'024;  // under way for one client
-  Recall::Limits recall;
+  std::size_t max_message_bytes = 65'536;    // bytes
+  std::size_t max_pending_requests = 1'024;  // under way for one client
+  DuplicateCache::Limits recall;
   std::uint32_t id = 0;  // Auth-Application-Id
   Dictionary dictionary = Dictionary::Base();
-  std::vector<CommandMap> commands;
+  std::vector<CommandMapping> commands;
 
-  const CommandMap* FindCommand(std::uint32_t code) const;
+  const CommandMapping* FindCommand(std::uint32_t code) const;
   // The Origin-Host of the server that discovery lists under this id.
   std::string ServerHost(std::string_view server) const;
 };
@@ -78,7 +78,7 @@
                                                         const Settings& settings, std::string_view name);
 
 // A request as its AVPs say it.
-struct Reading {
+struct RequestInfo {
   int request_class = -1;
   int tenant = -1;
   std::optional<Micros> deadline;
@@ -87,8 +87,8 @@
 };
 
 // Checks a request of this application (command, AVPs, class, key as the class needs it) and reads it.
-std::variant<Reading, Fault> ReadRequest(const Application& application, const Settings& settings,
-                                         const Message& request);
+std::variant<RequestInfo, MessageError> ReadRequest(const Application& application, const Settings& settings,
+                                                    const Message& request);
 
 }  // namespace merlinrun::diameter
 
--- a/src/diameter/application_file.cpp
+++ b/src/diameter/application_file.cpp
@@ -148,7 +148,7 @@
     client.Allow({"host", "tls"});
     const std::string host = client.Identity("host");
     const bool known = std::any_of(out.clients.begin(), out.clients.end(),
-                                   [&](const ClientRule& rule) { return SameName(rule.host, host); });
+                                   [&](const AllowedClient& rule) { return SameName(rule.host, host); });
     if (known) client.Reject("host", "'" + host + "' stands there twice");
     const bool tls = client.Flag("tls", !out.tls_listen.empty());
     if (tls && out.tls_listen.empty()) client.Reject("tls", "there is no tls_listen");
@@ -175,8 +175,8 @@
   // RFC 3539, section 3.4.1: no less than six seconds.
   out.watchdog = limits.Number("watchdog_s", 6, 600, out.watchdog / kSecond) * kSecond;
   out.reconnect = limits.Number("reconnect_s", 1, 600, out.reconnect / kSecond) * kSecond;
-  out.most_message = static_cast<std::size_t>(limits.Number("message_bytes", 1024, 1 << 20, 65'536));
-  out.most_requests = static_cast<std::size_t>(limits.Number("requests_per_client", 1, 65'536, 1'024));
+  out.max_message_bytes = static_cast<std::size_t>(limits.Number("message_bytes", 1024, 1 << 20, 65'536));
+  out.max_pending_requests = static_cast<std::size_t>(limits.Number("requests_per_client", 1, 65'536, 1'024));
   // RFC 6733, section 3: ids stay unique for four minutes at least.
   out.recall.keep = limits.Number("remember_s", 240, 86'400, out.recall.keep / kSecond) * kSecond;
   out.recall.entries = static_cast<std::size_t>(limits.Number("remember_requests", 1, 1 << 24, 65'536));
@@ -247,7 +247,7 @@
       section_.Reject("class", "'" + map_.fixed_class + "' is no class of the settings");
   }
 
-  AvpAt Named(std::string_view key, std::initializer_list<Format> formats, std::size_t least) {
+  AvpId Named(std::string_view key, std::initializer_list<Format> formats, std::size_t least) {
     if (!section_.Has(key)) return {};
     const std::string name = section_.Text(key);
     const AvpRule* const rule = out_.dictionary.FindAvp(name);
@@ -261,7 +261,7 @@
   const Section& section_;
   const Settings& settings_;
   Application& out_;
-  CommandMap map_;
+  CommandMapping map_;
   CommandRule rule_;
 };
 
@@ -269,7 +269,7 @@
 void CheckKeys(const Section& root, const Settings& settings, const Application& out) {
   const auto keyed = [](const RequestClass& c) { return c.retry_safety == RetrySafety::kDeduplicated; };
   for (std::size_t i = 0; i < out.commands.size(); ++i) {
-    const CommandMap& map = out.commands[i];
+    const CommandMapping& map = out.commands[i];
     if (map.idempotency) continue;
     const bool needs =
         map.fixed_class.empty()
--- a/src/diameter/codec.cpp
+++ b/src/diameter/codec.cpp
@@ -54,7 +54,7 @@
   failed[5] = 0;
   failed[6] = 0;
   failed[7] = static_cast<char>(least);
-  fault_ = Fault{ResultCode::kInvalidAvpLength, std::move(failed), "an AVP's length is wrong"};
+  fault_ = MessageError{ResultCode::kInvalidAvpLength, std::move(failed), "an AVP's length is wrong"};
   rest_ = {};
   return std::nullopt;
 }
@@ -149,9 +149,9 @@
   return out;
 }
 
-std::variant<Message, BadMessage> Decode(std::string_view frame) {
+std::variant<Message, MalformedMessage> Decode(std::string_view frame) {
   const Header header = ReadHeader(frame);
-  const auto bad = [&](Fault fault) { return BadMessage{header, std::move(fault)}; };
+  const auto bad = [&](MessageError fault) { return MalformedMessage{header, std::move(fault)}; };
   if (frame.size() < kHeaderSize || ReadU24(frame, 1) != frame.size() || frame.size() % 4 != 0)
     return bad({ResultCode::kInvalidMessageLength, {}, "the message's length is wrong"});
   if (Byte(frame, 0) != kVersion)
@@ -159,7 +159,7 @@
   if ((header.flags & kReservedBits) != 0)
     return bad({ResultCode::kInvalidBitInHeader, {}, "a reserved bit is set"});
   // Section 3: E never in a request, T never in an answer.
-  const std::uint8_t wrong = header.request() ? kErrorBit : kResendBit;
+  const std::uint8_t wrong = header.request() ? kErrorBit : kRetransmitBit;
   if ((header.flags & wrong) != 0)
     return bad({ResultCode::kInvalidHeaderBits, {}, "bits of the header that do not go together"});
   AvpReader reader(frame.substr(kHeaderSize));
@@ -189,10 +189,11 @@
   if (broken_ || rest.size() < kHeaderSize) return std::nullopt;
   const std::size_t length = ReadU24(rest, 1);
   if (Byte(rest, 0) != kVersion)
-    broken_ =
-        BadMessage{ReadHeader(rest), {ResultCode::kUnsupportedVersion, {}, "not version 1 of Diameter"}};
+    broken_ = MalformedMessage{ReadHeader(rest),
+                               {ResultCode::kUnsupportedVersion, {}, "not version 1 of Diameter"}};
   else if (length < kHeaderSize || length % 4 != 0 || length > most_)
-    broken_ = BadMessage{ReadHeader(rest),
+    broken_ =
+        MalformedMessage{ReadHeader(rest),
                          {ResultCode::kInvalidMessageLength, {}, "a message's length is wrong or too large"}};
   if (broken_ || rest.size() < length) return std::nullopt;
   taken_ += length;
--- a/src/diameter/codec.hpp
+++ b/src/diameter/codec.hpp
@@ -15,7 +15,7 @@
 
 inline constexpr std::size_t kHeaderSize = 20;
 // The largest that the 24-bit length can say. What is accepted is less, see Framer.
-inline constexpr std::size_t kMostLength = (std::size_t{1} << 24) - 1;
+inline constexpr std::size_t kMaxMessageLength = (std::size_t{1} << 24) - 1;
 
 // Result-Codes (RFC 6733, section 7.1) that this program gives or understands.
 enum class ResultCode : std::uint32_t {
@@ -56,7 +56,7 @@
 inline constexpr std::uint8_t kRequestBit = 0x80;
 inline constexpr std::uint8_t kProxiableBit = 0x40;
 inline constexpr std::uint8_t kErrorBit = 0x20;
-inline constexpr std::uint8_t kResendBit = 0x10;  // T: potentially retransmitted
+inline constexpr std::uint8_t kRetransmitBit = 0x10;  // T: potentially retransmitted
 inline constexpr std::uint8_t kReservedBits = 0x0f;
 
 struct Header {
@@ -80,7 +80,7 @@
 
 // What is wrong with a message: the Result-Code of its answer, and the Failed-AVP's content where there is
 // one (whole AVPs, padded).
-struct Fault {
+struct MessageError {
   ResultCode code = ResultCode::kNone;
   std::string failed_avp;
   const char* text = "";
@@ -107,12 +107,12 @@
   explicit AvpReader(std::string_view bytes) : rest_(bytes) {}
   // The next one; none at the end, or if its length lies (then `fault` says so).
   std::optional<Avp> Next();
-  const std::optional<Fault>& fault() const { return fault_; }
+  const std::optional<MessageError>& fault() const { return fault_; }
 
  private:
   std::optional<Avp> Fail(std::size_t least);
   std::string_view rest_;
-  std::optional<Fault> fault_;
+  std::optional<MessageError> fault_;
 };
 
 // Writes AVPs one after the other, each padded to four bytes. An AVP of more data than the 24-bit length can
@@ -148,13 +148,13 @@
 std::string Encode(const Header& header, std::string_view avps);
 
 // A message that could not be read. `header` is what could be made out of its header: enough to answer.
-struct BadMessage {
+struct MalformedMessage {
   Header header;
-  Fault fault;
+  MessageError fault;
 };
 
 // Reads one frame as Framer gives it.
-std::variant<Message, BadMessage> Decode(std::string_view frame);
+std::variant<Message, MalformedMessage> Decode(std::string_view frame);
 
 // Cuts a stream of bytes into frames.
 class Framer {
@@ -166,7 +166,7 @@
   std::optional<std::string_view> Next();
   // Why the stream can't be followed any further: another version, or a length that is too small, too large
   // or no multiple of four. Nothing behind it can be trusted; the connection is to be closed.
-  const std::optional<BadMessage>& broken() const { return broken_; }
+  const std::optional<MalformedMessage>& broken() const { return broken_; }
   // Bytes that wait for the rest of their message.
   std::size_t held() const { return buffer_.size() - taken_; }
 
@@ -175,7 +175,7 @@
   std::size_t most_;
   std::string buffer_;
   std::size_t taken_ = 0;
-  std::optional<BadMessage> broken_;
+  std::optional<MalformedMessage> broken_;
 };
 
 }  // namespace merlinrun::diameter
--- a/src/diameter/dictionary.cpp
+++ b/src/diameter/dictionary.cpp
@@ -132,20 +132,25 @@
   return writer.Take();
 }
 
-std::optional<Fault> CheckAvp(const Avp& avp, const Dictionary& dictionary, Reader reader, int depth);
+std::optional<MessageError> CheckAvp(const Avp& avp, const Dictionary& dictionary, Reader reader, int depth);
 
-std::optional<Fault> CheckGroup(const Avp& group, const Dictionary& dictionary, Reader reader, int depth) {
-  if (depth >= kMostDepth)
-    return Fault{ResultCode::kInvalidAvpValue, Padded(group.whole), "groups within groups without end"};
+std::optional<MessageError> CheckGroup(const Avp& group, const Dictionary& dictionary, Reader reader,
+                                       int depth) {
+  if (depth >= kMaxGroupDepth)
+    return MessageError{ResultCode::kInvalidAvpValue, Padded(group.whole),
+                        "groups within groups without end"};
   AvpReader inner(group.data);
   while (const auto avp = inner.Next())
     if (auto fault = CheckAvp(*avp, dictionary, reader, depth + 1)) return fault;
-  if (inner.fault()) return Fault{ResultCode::kInvalidAvpLength, Padded(group.whole), inner.fault()->text};
+  if (inner.fault())
+    return MessageError{ResultCode::kInvalidAvpLength, Padded(group.whole), inner.fault()->text};
   return std::nullopt;
 }
 
-std::optional<Fault> CheckAvp(const Avp& avp, const Dictionary& dictionary, Reader reader, int depth) {
-  const auto wrong = [&](ResultCode code, const char* text) { return Fault{code, Padded(avp.whole), text}; };
+std::optional<MessageError> CheckAvp(const Avp& avp, const Dictionary& dictionary, Reader reader, int depth) {
+  const auto wrong = [&](ResultCode code, const char* text) {
+    return MessageError{code, Padded(avp.whole), text};
+  };
   const AvpRule* const rule = dictionary.FindAvp(avp.code, avp.vendor);
   const bool mandatory = (avp.flags & kMandatoryBit) != 0;
   if ((avp.flags & kVendorBit) != 0 && avp.vendor == 0)  // section 4.1.1: 0 is the IETF's, which has no V bit
@@ -164,7 +169,7 @@
     std::string data(avp.data);
     data.resize(LeastData(rule->format));
     failed.Add(avp.code, data, avp.flags, avp.vendor);
-    return Fault{ResultCode::kInvalidAvpLength, failed.Take(), "an AVP is too short for its format"};
+    return MessageError{ResultCode::kInvalidAvpLength, failed.Take(), "an AVP is too short for its format"};
   }
   if (rule->format == Format::kGrouped) return CheckGroup(avp, dictionary, reader, depth);
   if (!Fits(rule->format, avp.data))
@@ -265,10 +270,10 @@
   return it == command_at_.end() ? nullptr : &commands_[it->second];
 }
 
-std::optional<Fault> Check(const Message& message, const Dictionary& dictionary, const CommandRule& rule,
-                           Reader reader) {
+std::optional<MessageError> Check(const Message& message, const Dictionary& dictionary,
+                                  const CommandRule& rule, Reader reader) {
   if (((message.header.flags & kProxiableBit) != 0) != rule.proxiable)
-    return Fault{ResultCode::kInvalidHeaderBits, {}, "the P bit does not fit the command"};
+    return MessageError{ResultCode::kInvalidHeaderBits, {}, "the P bit does not fit the command"};
   const std::vector<Slot>& slots = message.header.request() ? rule.request : rule.answer;
   std::vector<std::size_t> seen(slots.size(), 0);
   AvpReader avps(message.avps);
@@ -276,13 +281,14 @@
     if (auto fault = CheckAvp(*avp, dictionary, reader, 0)) return fault;
     for (std::size_t i = 0; i < slots.size(); ++i)
       if (avp->Is(slots[i].code, slots[i].vendor) && ++seen[i] > slots[i].most && slots[i].most > 0)
-        return Fault{ResultCode::kAvpOccursTooManyTimes, Padded(avp->whole), "an AVP stands there too often"};
+        return MessageError{ResultCode::kAvpOccursTooManyTimes, Padded(avp->whole),
+                            "an AVP stands there too often"};
   }
   for (std::size_t i = 0; i < slots.size(); ++i)
     if (seen[i] < slots[i].least)
-      return Fault{ResultCode::kMissingAvp,
-                   Example(slots[i], dictionary.FindAvp(slots[i].code, slots[i].vendor)),
-                   "an AVP is missing"};
+      return MessageError{ResultCode::kMissingAvp,
+                          Example(slots[i], dictionary.FindAvp(slots[i].code, slots[i].vendor)),
+                          "an AVP is missing"};
   return std::nullopt;
 }
 
--- a/src/diameter/dictionary.hpp
+++ b/src/diameter/dictionary.hpp
@@ -133,9 +133,9 @@
 
 // What is wrong with a message of a known command; none if nothing is. Looks at bits, values, groups down to
 // kMostDepth, and how often each AVP of the command stands in it.
-inline constexpr int kMostDepth = 8;
-std::optional<Fault> Check(const Message& message, const Dictionary& dictionary, const CommandRule& rule,
-                           Reader reader);
+inline constexpr int kMaxGroupDepth = 8;
+std::optional<MessageError> Check(const Message& message, const Dictionary& dictionary,
+                                  const CommandRule& rule, Reader reader);
 
 }  // namespace merlinrun::diameter
 
--- a/src/diameter/recall.cpp
+++ b/src/diameter/duplicate_cache.cpp
@@ -1,4 +1,4 @@
-#include "diameter/recall.hpp"
+#include "diameter/duplicate_cache.hpp"
 
 #include <utility>
 
@@ -32,17 +32,17 @@
   return digest.value();
 }
 
-std::size_t Recall::Hash::operator()(const RequestKey& key) const {
+std::size_t DuplicateCache::Hash::operator()(const RequestKey& key) const {
   return std::hash<std::string>()(key.host) ^ key.end_to_end * 0x9e3779b97f4a7c15ULL;
 }
 
-void Recall::DropAnswer(Entry& entry) {
+void DuplicateCache::DropAnswer(Entry& entry) {
   if (!std::exchange(entry.has_answer, false)) return;
   bytes_ -= entry.answer.avps.size();
   entry.answer = {};
 }
 
-void Recall::Expire(Micros now) {
+void DuplicateCache::Expire(Micros now) {
   while (!kept_.empty()) {
     const auto it = entries_.find(kept_.front());
     if (it->second.until > now) return;
@@ -53,8 +53,8 @@
   }
 }
 
-Recall::Found Recall::Look(Micros now, const RequestKey& key, std::uint64_t digest, Waiter waiter,
-                           const std::function<bool(std::uint64_t)>& alive) {
+DuplicateCache::Found DuplicateCache::Look(Micros now, const RequestKey& key, std::uint64_t digest,
+                                           Waiter waiter, const std::function<bool(std::uint64_t)>& alive) {
   Expire(now);
   const auto it = entries_.find(key);
   if (it == entries_.end()) return Found::kNew;
@@ -69,13 +69,13 @@
   return Found::kPending;
 }
 
-std::optional<Message> Recall::Answer(const RequestKey& key) const {
+std::optional<Message> DuplicateCache::Answer(const RequestKey& key) const {
   const auto it = entries_.find(key);
   if (it == entries_.end() || !it->second.has_answer) return std::nullopt;
   return it->second.answer;
 }
 
-bool Recall::Begin(Micros now, const RequestKey& key, std::uint64_t digest, Waiter waiter) {
+bool DuplicateCache::Begin(Micros now, const RequestKey& key, std::uint64_t digest, Waiter waiter) {
   Expire(now);
   if (entries_.size() >= limits_.entries) return false;
   Entry entry;
@@ -84,8 +84,8 @@
   return entries_.emplace(key, std::move(entry)).second;
 }
 
-std::vector<Recall::Waiter> Recall::Finish(Micros now, const RequestKey& key, const Message& answer,
-                                           bool keep) {
+std::vector<DuplicateCache::Waiter> DuplicateCache::Finish(Micros now, const RequestKey& key,
+                                                           const Message& answer, bool keep) {
   const auto it = entries_.find(key);
   if (it == entries_.end() || it->second.over) return {};
   Entry& entry = it->second;
--- a/src/diameter/recall.hpp
+++ b/src/diameter/duplicate_cache.hpp
@@ -5,8 +5,8 @@
 // Bounds: never more than `Limits::entries`, nor more than `Limits::bytes` of answers. With no room for an
 // entry a new request is not begun; with no room for an answer the oldest answers go and their entries stay:
 // their requests are known to be over, and what is sent again is told that much.
-#ifndef MERLINRUN_DIAMETER_RECALL_HPP_
-#define MERLINRUN_DIAMETER_RECALL_HPP_
+#ifndef MERLINRUN_DIAMETER_DUPLICATE_CACHE_HPP_
+#define MERLINRUN_DIAMETER_DUPLICATE_CACHE_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -32,7 +32,7 @@
 // change on the way (Route-Record, Proxy-Info).
 std::uint64_t DigestOf(const Message& request);
 
-class Recall {
+class DuplicateCache {
  public:
   // Where an answer is owed: a message of a peer's that names the request.
   struct Waiter {
@@ -55,7 +55,7 @@
     kOther,     // the id is that of another request
   };
 
-  explicit Recall(Limits limits) : limits_(limits) {}
+  explicit DuplicateCache(Limits limits) : limits_(limits) {}
 
   // What is known of a request that has come. With kPending the waiter has been taken. Where there is no room
   // for it, those go whose connection is not `alive` any more.
@@ -98,4 +98,4 @@
 
 }  // namespace merlinrun::diameter
 
-#endif  // MERLINRUN_DIAMETER_RECALL_HPP_
+#endif  // MERLINRUN_DIAMETER_DUPLICATE_CACHE_HPP_
--- a/src/diameter/io/connection.cpp
+++ b/src/diameter/io/connection.cpp
@@ -23,7 +23,7 @@
     socket_.set_option(Tcp::no_delay(true), ignored);
     socket_.non_blocking(true, ignored);
   }
-  bool MayBe(const std::string&) const override { return true; }
+  bool MatchesHost(const std::string&) const override { return true; }
   bool tls() const override { return false; }
 
  private:
@@ -63,7 +63,7 @@
 }
 
 Connection::Connection(const boost::asio::any_io_executor& executor, Limits limits)
-    : limits_(limits), framer_(limits.most_message), guard_(executor) {}
+    : limits_(limits), framer_(limits.max_message_bytes), guard_(executor) {}
 
 void Connection::Start(Events events) {
   events_ = std::make_shared<const Events>(std::move(events));
@@ -101,7 +101,7 @@
   delivering_ = false;
   if (framer_.broken() && !closing_ && !closed_) {
     const auto events = events_;
-    events->on_broken(*framer_.broken());
+    events->on_framing_error(*framer_.broken());
   }
 }
 
@@ -152,7 +152,7 @@
   guard_.cancel();
   Abort(/*reset=*/false);
   const auto events = std::exchange(events_, nullptr);
-  if (!closing_ && events != nullptr) events->on_end();
+  if (!closing_ && events != nullptr) events->on_closed();
 }
 
 void Connection::Reset() {
--- a/src/diameter/io/connection.hpp
+++ b/src/diameter/io/connection.hpp
@@ -24,7 +24,7 @@
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   struct Limits {
-    std::size_t most_message = 65'536;
+    std::size_t max_message_bytes = 65'536;
     // Bytes that wait to be written before the peer is not read from any more, and before it is ended.
     std::size_t pause = std::size_t{256} << 10;
     std::size_t most_queued = std::size_t{4} << 20;
@@ -33,8 +33,9 @@
   };
   struct Events {
     std::function<void(std::string_view frame)> on_frame;
-    std::function<void(const BadMessage&)> on_broken;  // nothing more is read; it is to be closed
-    std::function<void()> on_end;                      // once; not after Close
+    std::function<void(const MalformedMessage&)>
+        on_framing_error;             // nothing more is read; it is to be closed
+    std::function<void()> on_closed;  // once; not after Close
   };
 
   // A connection whose socket is connected.
@@ -59,7 +60,7 @@
   bool closed() const { return closed_; }
   std::size_t queued() const { return pending_.size() + writing_.size(); }
   // The name that the peer's certificate was checked against must be among these; without TLS any name is.
-  virtual bool MayBe(const std::string& host) const = 0;
+  virtual bool MatchesHost(const std::string& host) const = 0;
   virtual bool tls() const = 0;
 
  protected:
--- a/src/diameter/io/front.hpp
+++ b/src/diameter/io/downstream.hpp
@@ -1,8 +1,8 @@
 // Diameter towards the clients: listens, exchanges capabilities, lets in who is listed, and hands requests to
 // the core. What is sent again gets the outcome of the first, see Recall; so a client that leaves does not
 // end its request, which goes on until it has its outcome.
-#ifndef MERLINRUN_DIAMETER_IO_FRONT_HPP_
-#define MERLINRUN_DIAMETER_IO_FRONT_HPP_
+#ifndef MERLINRUN_DIAMETER_IO_DOWNSTREAM_HPP_
+#define MERLINRUN_DIAMETER_IO_DOWNSTREAM_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -18,15 +18,15 @@
 #include "core/protocol_listener.hpp"
 #include "core/request_manager.hpp"
 #include "diameter/application.hpp"
-#include "diameter/io/peer_host.hpp"
+#include "diameter/duplicate_cache.hpp"
+#include "diameter/io/peer_session.hpp"
 #include "diameter/io/upstream.hpp"
-#include "diameter/recall.hpp"
 #include "net/memory_budget.hpp"
 #include "stats/counters.hpp"
 
 namespace merlinrun::diameter {
 
-class Front : public core::ProtocolListener {
+class Downstream : public core::ProtocolListener {
  public:
   struct Limits {
     // Connections that have not said who they are; one more makes the oldest of them go.
@@ -43,12 +43,13 @@
 
   // Throws boost::system::system_error if an address cannot be listened on. All that it is given must outlive
   // it.
-  Front(boost::asio::io_context& io, core::Loop& loop, const std::vector<Listener>& listeners, Limits limits,
-        const Application& application, const Identity& self, net::MemoryBudget& budget,
-        stats::Counters& counters, core::RequestManager& exchanges, Upstream& upstream, std::uint64_t seed);
-  ~Front() override;
-  Front(const Front&) = delete;
-  Front& operator=(const Front&) = delete;
+  Downstream(boost::asio::io_context& io, core::Loop& loop, const std::vector<Listener>& listeners,
+             Limits limits, const Application& application, const Identity& self, net::MemoryBudget& budget,
+             stats::Counters& counters, core::RequestManager& exchanges, Upstream& upstream,
+             std::uint64_t seed);
+  ~Downstream() override;
+  Downstream(const Downstream&) = delete;
+  Downstream& operator=(const Downstream&) = delete;
 
   // While it drains, clients that have nothing under way are told that it is busy (RFC 6733, 5.4.3).
   void SetDraining(bool draining) override;
@@ -60,7 +61,7 @@
   std::size_t sessions() const override;
 
   Tcp::endpoint address(std::size_t listener = 0) const;
-  std::size_t remembered() const { return recall_.entries(); }
+  std::size_t cached_requests() const { return duplicates_.entries(); }
 
  private:
   struct Stranger;
@@ -71,11 +72,12 @@
   void Accept(Port& port);
   void Greet(const ConnectionPtr& connection);
   void OnIntroduction(std::uint64_t stranger, std::string_view frame);
-  void TurnAway(std::uint64_t stranger, const Header& header, std::string_view avps, const Fault& fault);
+  void TurnAway(std::uint64_t stranger, const Header& header, std::string_view avps,
+                const MessageError& fault);
   void OnRequest(Client& client, Message request);
   // Looks whether the request has been here before; true if it has been dealt with by that.
   bool Recalled(Client& client, const Message& request, const RequestKey& key, std::uint64_t digest,
-                const Recall::Waiter& waiter);
+                const DuplicateCache::Waiter& waiter);
   // Answers by this node's own words.
   void Say(Client& client, const Message& request, ResultCode code, const char* text);
   void Finish(const RequestKey& key, const Message& answer, const std::string& proxy_info, bool keep);
@@ -90,7 +92,7 @@
   stats::Counters& counters_;
   core::RequestManager& exchanges_;
   Upstream& upstream_;
-  Recall recall_;
+  DuplicateCache duplicates_;
   std::uint64_t seed_;
   std::uint64_t last_connection_ = 0;
   std::list<std::unique_ptr<Port>> ports_;
@@ -103,4 +105,4 @@
 
 }  // namespace merlinrun::diameter
 
-#endif  // MERLINRUN_DIAMETER_IO_FRONT_HPP_
+#endif  // MERLINRUN_DIAMETER_IO_DOWNSTREAM_HPP_
--- a/src/diameter/io/messages.hpp
+++ b/src/diameter/io/messages.hpp
@@ -13,12 +13,12 @@
 namespace merlinrun::diameter {
 
 // Diameter's number among the fronts (ServerInfo::fronts); HTTP's is 0.
-inline constexpr int kDiameterFront = 1;
+inline constexpr int kDiameterProtocol = 1;
 
 struct RequestMessage : core::Message {
   diameter::Message message;
   std::string from;  // the peer that it came from
-  AvpAt deadline;    // the AVP to be told how much time is left
+  AvpId deadline;    // the AVP to be told how much time is left
   net::MemoryReservation charge;
 };
 
--- a/src/diameter/io/no_tls.cpp
+++ b/src/diameter/io/no_tls.cpp
@@ -12,6 +12,6 @@
 }
 Tls::~Tls() = default;
 Upstream::Connector Tls::Connector() const { return {}; }
-Front::Wrap Tls::Wrap() const { return {}; }
+Downstream::Wrap Tls::Wrap() const { return {}; }
 
 }  // namespace merlinrun::diameter
--- a/src/diameter/io/node.cpp
+++ b/src/diameter/io/node.cpp
@@ -45,7 +45,7 @@
 
 Connection::Limits ConnectionLimits(const Application& application) {
   Connection::Limits limits;
-  limits.most_message = application.most_message;
+  limits.max_message_bytes = application.max_message_bytes;
   return limits;
 }
 
@@ -64,7 +64,7 @@
   };
 }
 
-Front::Wrap PlainWrap(Connection::Limits limits) {
+Downstream::Wrap PlainWrap(Connection::Limits limits) {
   return [limits](Tcp::socket socket, const std::function<void(ConnectionPtr)>& done) {
     done(Connection::Plain(std::move(socket), limits));
   };
@@ -99,21 +99,21 @@
 Node::~Node() = default;
 
 void Node::Listen(net::MemoryBudget& budget, stats::Counters& counters, core::RequestManager& exchanges) {
-  Front::Limits limits;
+  Downstream::Limits limits;
   limits.connection = ConnectionLimits(application_);
-  front_ = std::make_unique<Front>(io_, loop_, listeners_, limits, application_, identity_, budget, counters,
-                                   exchanges, *upstream_, seed_);
+  downstream_ = std::make_unique<Downstream>(io_, loop_, listeners_, limits, application_, identity_, budget,
+                                             counters, exchanges, *upstream_, seed_);
   upstream_->CountIn(counters);
 }
 
 void Node::Apply(bool whole, const std::vector<ServerAddress>& servers) { upstream_->Apply(whole, servers); }
 
-unsigned Node::Fronts(const std::string& server) const {
-  return upstream_->Usable(server) ? 1U << kDiameterFront : 0U;
+unsigned Node::ProtocolBits(const std::string& server) const {
+  return upstream_->Usable(server) ? 1U << kDiameterProtocol : 0U;
 }
 
-std::size_t Node::Sockets(const Application& application) {
-  return application.clients.size() + Front::Limits{}.strangers + kOtherSockets;
+std::size_t Node::MaxSockets(const Application& application) {
+  return application.clients.size() + Downstream::Limits{}.strangers + kOtherSockets;
 }
 
 }  // namespace merlinrun::diameter
--- a/src/diameter/io/node.hpp
+++ b/src/diameter/io/node.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "diameter/io/front.hpp"
+#include "diameter/io/downstream.hpp"
 #include "diameter/io/upstream.hpp"
 
 namespace merlinrun::diameter {
@@ -34,13 +34,13 @@
 
   void Apply(bool whole, const std::vector<ServerAddress>& servers);
   // The bit for ServerInfo::fronts if the server can be reached over Diameter, else 0.
-  unsigned Fronts(const std::string& server) const;
+  unsigned ProtocolBits(const std::string& server) const;
 
   // Descriptors that it may hold beside its connections to servers.
-  static std::size_t Sockets(const Application& application);
-  std::size_t sockets() const { return Sockets(application_); }
+  static std::size_t MaxSockets(const Application& application);
+  std::size_t max_sockets() const { return MaxSockets(application_); }
 
-  Front& front() { return *front_; }
+  Downstream& downstream() { return *downstream_; }
   Upstream& upstream() { return *upstream_; }
 
  private:
@@ -49,9 +49,9 @@
   const Application application_;
   const Identity identity_;
   const std::uint64_t seed_;
-  std::vector<Front::Listener> listeners_;
+  std::vector<Downstream::Listener> listeners_;
   std::unique_ptr<Upstream> upstream_;
-  std::unique_ptr<Front> front_;
+  std::unique_ptr<Downstream> downstream_;
 };
 
 }  // namespace merlinrun::diameter
--- a/src/diameter/io/peer_host.cpp
+++ b/src/diameter/io/peer_session.cpp
@@ -1,4 +1,4 @@
-#include "diameter/io/peer_host.hpp"
+#include "diameter/io/peer_session.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -6,28 +6,28 @@
 
 namespace merlinrun::diameter {
 
-PeerHost::PeerHost(core::Loop& loop, const Identity& self, const Dictionary& dictionary,
-                   Peer::Settings settings, Dialer dialer, Events events)
+PeerSession::PeerSession(core::Loop& loop, const Identity& self, const Dictionary& dictionary,
+                         Peer::Settings settings, Dialer dialer, Events events)
     : loop_(loop),
       dialer_(std::move(dialer)),
       events_(std::move(events)),
       peer_(self, dictionary, std::move(settings), *this),
       timer_(loop.NewTimer()) {}
 
-PeerHost::~PeerHost() {
+PeerSession::~PeerSession() {
   *alive_ = false;
   if (give_up_dial_) give_up_dial_();
   for (const ConnectionPtr& connection : connections_)
     if (connection != nullptr) connection->Close();
 }
 
-const ConnectionPtr& PeerHost::open() const {
+const ConnectionPtr& PeerSession::open() const {
   static const ConnectionPtr none;
   if (!peer_.Connected()) return none;
   return connections_[peer_.side() == Side::kInitiator ? 0 : 1];
 }
 
-void PeerHost::Changed() {
+void PeerSession::Changed() {
   // The timer is set anew only when it is due earlier: each message moves the watchdog's end a little, and a
   // timer that comes too early sets itself again.
   const Micros due = peer_.due();
@@ -42,12 +42,12 @@
   events_.on_change();
 }
 
-void PeerHost::Start() {
+void PeerSession::Start() {
   peer_.Start(loop_.Now());
   Changed();
 }
 
-void PeerHost::Dial() {
+void PeerSession::Dial() {
   give_up_dial_ = dialer_([this, alive = alive_](ConnectionPtr connection) {
     if (!*alive) {
       if (connection != nullptr) connection->Close();
@@ -65,17 +65,17 @@
   });
 }
 
-void PeerHost::Listen(Side side) {
+void PeerSession::Listen(Side side) {
   Connection::Events events;
   events.on_frame = [this, side, alive = alive_](std::string_view frame) {
     if (*alive) OnFrame(side, frame);
   };
-  events.on_broken = [this, side, alive = alive_](const BadMessage& bad) {
+  events.on_framing_error = [this, side, alive = alive_](const MalformedMessage& bad) {
     if (!*alive) return;
     peer_.OnBad(loop_.Now(), side, bad, /*fatal=*/true);
     if (*alive) Changed();
   };
-  events.on_end = [this, side, alive = alive_] {
+  events.on_closed = [this, side, alive = alive_] {
     if (!*alive) return;
     At(side) = nullptr;
     peer_.OnClosed(loop_.Now(), side);
@@ -84,19 +84,20 @@
   At(side)->Start(std::move(events));
 }
 
-void PeerHost::OnFrame(Side side, std::string_view frame) {
+void PeerSession::OnFrame(Side side, std::string_view frame) {
   const auto alive = alive_;
   auto decoded = Decode(frame);
-  if (const auto* bad = std::get_if<BadMessage>(&decoded)) {
+  if (const auto* bad = std::get_if<MalformedMessage>(&decoded)) {
     peer_.OnBad(loop_.Now(), side, *bad, /*fatal=*/false);
-    events_.on_bad(*bad);
+    events_.on_malformed(*bad);
   } else if (auto message = peer_.OnMessage(loop_.Now(), side, std::move(std::get<Message>(decoded)))) {
     events_.on_message(std::move(*message));
   }
   if (*alive) Changed();
 }
 
-Peer::Verdict PeerHost::Adopt(const ConnectionPtr& connection, const Message& cer, const Remote& remote) {
+Peer::Verdict PeerSession::Adopt(const ConnectionPtr& connection, const Message& cer,
+                                 const PeerCapabilities& remote) {
   replaced_ = std::exchange(At(Side::kResponder), connection);
   adopting_ = true;
   const Peer::Verdict verdict = peer_.OnIncoming(loop_.Now(), cer, remote);
@@ -111,28 +112,28 @@
   return verdict;
 }
 
-void PeerHost::Stop(DisconnectCause cause) {
+void PeerSession::Stop(DisconnectCause cause) {
   if (!peer_.Open()) return;
   peer_.Stop(loop_.Now(), cause);
   Changed();
 }
 
-void PeerHost::Drained() {
+void PeerSession::Drained() {
   if (peer_.state() != Peer::State::kDraining) return;
   peer_.Drained(loop_.Now());
   Changed();
 }
 
-std::optional<std::uint64_t> PeerHost::Send(const Message& message) {
+std::optional<std::uint64_t> PeerSession::Send(const Message& message) {
   if (!peer_.Send(message)) return std::nullopt;
   return last_end_;
 }
 
-void PeerHost::Write(Side side, std::string bytes) {
+void PeerSession::Write(Side side, std::string bytes) {
   if (const ConnectionPtr& connection = At(side); connection != nullptr) last_end_ = connection->Write(bytes);
 }
 
-void PeerHost::Close(Side side) {
+void PeerSession::Close(Side side) {
   if (side == Side::kInitiator && give_up_dial_) std::exchange(give_up_dial_, nullptr)();
   // While one is adopted, what is closed on its side is the one before it.
   ConnectionPtr& at = adopting_ && side == Side::kResponder ? replaced_ : At(side);
--- a/src/diameter/io/peer_host.hpp
+++ b/src/diameter/io/peer_session.hpp
@@ -1,6 +1,6 @@
 // A peer machine with its connections and its timer: carries out what the machine decides.
-#ifndef MERLINRUN_DIAMETER_IO_PEER_HOST_HPP_
-#define MERLINRUN_DIAMETER_IO_PEER_HOST_HPP_
+#ifndef MERLINRUN_DIAMETER_IO_PEER_SESSION_HPP_
+#define MERLINRUN_DIAMETER_IO_PEER_SESSION_HPP_
 
 #include <array>
 #include <cstdint>
@@ -19,25 +19,25 @@
 // function that it gives back does nothing; calling it gives up.
 using Dialer = std::function<std::function<void()>(std::function<void(ConnectionPtr)> done)>;
 
-class PeerHost : private PeerSink {
+class PeerSession : private PeerSink {
  public:
   struct Events {
     std::function<void(Message)> on_message;  // the application's
     // A message that could not be read came; it has been answered if it was a request.
-    std::function<void(const BadMessage&)> on_bad;
+    std::function<void(const MalformedMessage&)> on_malformed;
     // Something about the machine may have changed. Called from the loop, and from inside the calls below.
     std::function<void()> on_change;
   };
 
-  PeerHost(core::Loop& loop, const Identity& self, const Dictionary& dictionary, Peer::Settings settings,
-           Dialer dialer, Events events);
-  ~PeerHost() override;
-  PeerHost(const PeerHost&) = delete;
-  PeerHost& operator=(const PeerHost&) = delete;
+  PeerSession(core::Loop& loop, const Identity& self, const Dictionary& dictionary, Peer::Settings settings,
+              Dialer dialer, Events events);
+  ~PeerSession() override;
+  PeerSession(const PeerSession&) = delete;
+  PeerSession& operator=(const PeerSession&) = delete;
 
   void Start();
   // A peer that has connected and said who it is. If it is not rejected the connection is this one's now.
-  Peer::Verdict Adopt(const ConnectionPtr& connection, const Message& cer, const Remote& remote);
+  Peer::Verdict Adopt(const ConnectionPtr& connection, const Message& cer, const PeerCapabilities& remote);
   void Stop(DisconnectCause cause);
   void Drained();
   // Where the message ends on the open connection; none if there is no open one.
@@ -74,4 +74,4 @@
 
 }  // namespace merlinrun::diameter
 
-#endif  // MERLINRUN_DIAMETER_IO_PEER_HOST_HPP_
+#endif  // MERLINRUN_DIAMETER_IO_PEER_SESSION_HPP_
--- a/src/diameter/io/tls.cpp
+++ b/src/diameter/io/tls.cpp
@@ -30,7 +30,7 @@
 
   // Section 5.2 of RFC 6125 by OpenSSL: names of the certificate, without its common name where there are
   // any.
-  bool MayBe(const std::string& host) const override {
+  bool MatchesHost(const std::string& host) const override {
     X509* const certificate = SSL_get_peer_certificate(stream_->native_handle());
     if (certificate == nullptr) return false;
     const bool is = X509_check_host(certificate, host.data(), host.size(),
@@ -136,7 +136,7 @@
       handshake->Run(Stream::client, [state, handshake, host, done](bool good) {
         if (!good) return done(nullptr);
         const auto connection = std::make_shared<TlsConnection>(std::move(handshake->stream), state->limits);
-        const bool is = connection->MayBe(host);
+        const bool is = connection->MatchesHost(host);
         if (!is) connection->Reset();
         done(is ? connection : nullptr);
       });
@@ -145,7 +145,7 @@
   };
 }
 
-Front::Wrap Tls::Wrap() const {
+Downstream::Wrap Tls::Wrap() const {
   return [state = state_](Tcp::socket socket, std::function<void(ConnectionPtr)> done) {
     // The one that has taken longest makes room: guards against many that connect and shake no hands.
     if (state->handshakes.size() >= kMostHandshakes) {
--- a/src/diameter/io/tls.hpp
+++ b/src/diameter/io/tls.hpp
@@ -8,7 +8,7 @@
 #include <memory>
 
 #include "diameter/application.hpp"
-#include "diameter/io/front.hpp"
+#include "diameter/io/downstream.hpp"
 #include "diameter/io/upstream.hpp"
 
 namespace merlinrun::diameter {
@@ -27,7 +27,7 @@
   Upstream::Connector Connector() const;
   // Shakes hands with who has connected. So many at once, and each for so long: a client that connects and
   // says nothing, or shakes hands without end, holds nobody up.
-  Front::Wrap Wrap() const;
+  Downstream::Wrap Wrap() const;
 
  private:
   struct State;
--- a/src/diameter/io/upstream.cpp
+++ b/src/diameter/io/upstream.cpp
@@ -15,7 +15,7 @@
 // 7.1.3); the other protocol errors and those by which it says that it could not do its work prove nothing.
 // Any other answer is the server's word on the request, good or bad, and goes to the client as it is.
 Result ResultOfAttempt(const Message& answer) {
-  const ResultCode code = ResultOf(answer);
+  const ResultCode code = ResultCodeOf(answer);
   switch (code) {
     case ResultCode::kUnableToDeliver:
     case ResultCode::kTooBusy:
@@ -44,7 +44,7 @@
 struct Upstream::Server {
   ServerInfo info;
   Tcp::endpoint address;
-  std::unique_ptr<PeerHost> host;
+  std::unique_ptr<PeerSession> host;
   std::unique_ptr<core::Timer> redial;
   std::vector<AttemptId> waiting;
   std::unordered_map<std::uint32_t, AttemptId> out;  // by hop-by-hop id
@@ -73,13 +73,13 @@
   settings.watchdog = application_.watchdog;
   settings.connect = limits_.connect;
   settings.seed = random_();
-  PeerHost::Events events;
+  PeerSession::Events events;
   events.on_message = [this, &server](Message message) { OnMessage(server, std::move(message)); };
-  events.on_bad = [this, &server](const BadMessage& bad) { OnBad(server, bad); };
+  events.on_malformed = [this, &server](const MalformedMessage& bad) { OnBad(server, bad); };
   events.on_change = [this, &server] { OnChange(server); };
   const std::string name = settings.host;
   server.redial = loop_.NewTimer();
-  server.host = std::make_unique<PeerHost>(
+  server.host = std::make_unique<PeerSession>(
       loop_, self_, application_.dictionary, std::move(settings),
       [this, &server, name](auto done) { return connector_(server.address, name, std::move(done)); },
       std::move(events));
@@ -223,7 +223,7 @@
   Resolve(*attempt, result, std::move(message));
 }
 
-void Upstream::OnBad(Server& server, const BadMessage& bad) {
+void Upstream::OnBad(Server& server, const MalformedMessage& bad) {
   if (bad.header.request()) return;
   if (const auto attempt = Match(server, bad.header.hop_by_hop))
     Resolve(*attempt, Result::kReset, std::nullopt);
@@ -277,7 +277,7 @@
 }
 
 std::optional<Peer::Verdict> Upstream::Adopt(const ConnectionPtr& connection, const Message& cer,
-                                             const Remote& remote) {
+                                             const PeerCapabilities& remote) {
   for (const auto& [id, server] : servers_)
     if (SameName(application_.ServerHost(id), remote.host))
       return server->host->Adopt(connection, cer, remote);
--- a/src/diameter/io/upstream.hpp
+++ b/src/diameter/io/upstream.hpp
@@ -14,7 +14,7 @@
 
 #include "core/request_manager.hpp"
 #include "diameter/application.hpp"
-#include "diameter/io/peer_host.hpp"
+#include "diameter/io/peer_session.hpp"
 #include "stats/counters.hpp"
 
 namespace merlinrun::diameter {
@@ -56,7 +56,7 @@
 
   // A server that has connected by itself; none if no server goes by that name.
   std::optional<Peer::Verdict> Adopt(const ConnectionPtr& connection, const Message& cer,
-                                     const Remote& remote);
+                                     const PeerCapabilities& remote);
 
   // Whether requests may be sent to it: it is listed with an address, and not down, suspect or on probation.
   bool Usable(const std::string& server) const;
@@ -68,7 +68,7 @@
 
   void Begin(Server& server);
   void OnMessage(Server& server, Message message);
-  void OnBad(Server& server, const BadMessage& bad);
+  void OnBad(Server& server, const MalformedMessage& bad);
   void OnChange(Server& server);
   void Start(Server& server, AttemptId attempt);
   void Resolve(AttemptId attempt, Result result, std::optional<Message> answer);
--- a/src/diameter/messages.cpp
+++ b/src/diameter/messages.cpp
@@ -120,7 +120,8 @@
   return {AnswerHeader(cer.header, false), out.Take()};
 }
 
-Message MakeError(const Identity& self, const Header& header, std::string_view avps, const Fault& fault) {
+Message MakeError(const Identity& self, const Header& header, std::string_view avps,
+                  const MessageError& fault) {
   AvpWriter out;
   // Section 8.8: Session-Id stands first. What follows an AVP that lies about its length is not read.
   if (const auto session = Find(avps, avp::kSessionId)) out.Copy(*session);
@@ -134,31 +135,32 @@
   return {AnswerHeader(header, IsProtocolError(fault.code)), out.Take()};
 }
 
-Message MakeError(const Identity& self, const Message& request, const Fault& fault) {
+Message MakeError(const Identity& self, const Message& request, const MessageError& fault) {
   return MakeError(self, request.header, request.avps, fault);
 }
 
-std::variant<Remote, Fault> ReadCapabilities(const Identity& self, const Dictionary& dictionary,
-                                             const Message& message) {
+std::variant<PeerCapabilities, MessageError> ReadCapabilities(const Identity& self,
+                                                              const Dictionary& dictionary,
+                                                              const Message& message) {
   const CommandRule* const rule = dictionary.FindCommand(kCapabilitiesExchange, 0);
   if (auto fault = Check(message, dictionary, *rule, Reader::kEndpoint)) return *fault;
-  Remote remote;
+  PeerCapabilities remote;
   remote.host = std::string(Find(message.avps, avp::kOriginHost)->data);
   remote.realm = std::string(Find(message.avps, avp::kOriginRealm)->data);
   if (const auto state = Find(message.avps, avp::kOriginStateId)) remote.state_id = *ToU32(state->data);
   TakeApplications(message.avps, remote.applications);
   if (remote.host == self.host)
-    return Fault{ResultCode::kUnknownPeer, {}, "a peer that goes by this node's name"};
+    return MessageError{ResultCode::kUnknownPeer, {}, "a peer that goes by this node's name"};
   if (!InCommon(self.applications, remote.applications))
-    return Fault{ResultCode::kNoCommonApplication, {}, "no application in common"};
+    return MessageError{ResultCode::kNoCommonApplication, {}, "no application in common"};
   if (!TakesNoInbandSecurity(message.avps))
-    return Fault{ResultCode::kNoCommonSecurity,
-                 {},
-                 "TLS within a connection is not offered; it has a port of its own"};
+    return MessageError{ResultCode::kNoCommonSecurity,
+                        {},
+                        "TLS within a connection is not offered; it has a port of its own"};
   return remote;
 }
 
-ResultCode ResultOf(const Message& answer) {
+ResultCode ResultCodeOf(const Message& answer) {
   const auto code = Find(answer.avps, avp::kResultCode);
   const auto value = code ? ToU32(code->data) : std::nullopt;
   return static_cast<ResultCode>(value.value_or(0));
--- a/src/diameter/messages.hpp
+++ b/src/diameter/messages.hpp
@@ -30,7 +30,7 @@
 };
 
 // A peer, as it told in its CER or CEA.
-struct Remote {
+struct PeerCapabilities {
   std::string host;
   std::string realm;
   std::uint32_t state_id = 0;  // 0 = not told
@@ -54,17 +54,19 @@
 
 // An answer of this node's own that says what is wrong: E bit for protocol errors, Failed-AVP and
 // Error-Message where there are any; Session-Id and Proxy-Info as they came (sections 6.2 and 7.2).
-Message MakeError(const Identity& self, const Header& header, std::string_view avps, const Fault& fault);
-Message MakeError(const Identity& self, const Message& request, const Fault& fault);
+Message MakeError(const Identity& self, const Header& header, std::string_view avps,
+                  const MessageError& fault);
+Message MakeError(const Identity& self, const Message& request, const MessageError& fault);
 
 // What a CER or CEA says of its sender; what is wrong with it, or that the two have no application in common
 // (5010), no security that both know (5017), or are the same node. Whether the peer is welcome is its
 // caller's to say.
-std::variant<Remote, Fault> ReadCapabilities(const Identity& self, const Dictionary& dictionary,
-                                             const Message& message);
+std::variant<PeerCapabilities, MessageError> ReadCapabilities(const Identity& self,
+                                                              const Dictionary& dictionary,
+                                                              const Message& message);
 
 // The Result-Code of an answer; kNone if it has none that can be read. Unknown codes come as they are.
-ResultCode ResultOf(const Message& answer);
+ResultCode ResultCodeOf(const Message& answer);
 
 }  // namespace merlinrun::diameter
 
--- a/src/diameter/peer.cpp
+++ b/src/diameter/peer.cpp
@@ -87,7 +87,7 @@
   GoOpen(now, Side::kResponder);
 }
 
-Peer::Verdict Peer::OnIncoming(Micros now, const Message& cer, const Remote& remote) {
+Peer::Verdict Peer::OnIncoming(Micros now, const Message& cer, const PeerCapabilities& remote) {
   const auto take = [&] {
     cer_ = cer;
     remote_ = remote;
@@ -130,8 +130,8 @@
   const bool answers = !cea.header.request() && cea.header.command == kCapabilitiesExchange &&
                        cea.header.hop_by_hop == cer_id_;
   auto read = ReadCapabilities(self_, dictionary_, cea);
-  const Remote* const remote = std::get_if<Remote>(&read);
-  const bool good = answers && remote != nullptr && ResultOf(cea) == ResultCode::kSuccess &&
+  const PeerCapabilities* const remote = std::get_if<PeerCapabilities>(&read);
+  const bool good = answers && remote != nullptr && ResultCodeOf(cea) == ResultCode::kSuccess &&
                     (settings_.host.empty() || SameName(remote->host, settings_.host));
   if (good) {
     if (state_ == State::kWaitReturns) sink_.Close(Side::kResponder);
@@ -233,7 +233,7 @@
     default: {
       // CER once more (section 5.3 knows no second exchange): the answer is the same as long as the peer is.
       const auto read = ReadCapabilities(self_, dictionary_, message);
-      const Remote* const remote = std::get_if<Remote>(&read);
+      const PeerCapabilities* const remote = std::get_if<PeerCapabilities>(&read);
       if (remote != nullptr && SameName(remote->host, remote_.host))
         answer(MakeCea(self_, message));
       else
@@ -243,7 +243,7 @@
   }
 }
 
-void Peer::OnBad(Micros now, Side side, const BadMessage& bad, bool fatal) {
+void Peer::OnBad(Micros now, Side side, const MalformedMessage& bad, bool fatal) {
   const bool open = Connected() && side == side_;
   if (open && bad.header.request()) WriteMessage(side, MakeError(self_, bad.header, {}, bad.fault));
   if (!fatal && open) return;
--- a/src/diameter/peer.hpp
+++ b/src/diameter/peer.hpp
@@ -67,13 +67,13 @@
   void OnDialed(Micros now);
   void OnDialFailed(Micros now);
   // The peer has connected and said who it is; `cer` has been read by ReadCapabilities as `remote`.
-  Verdict OnIncoming(Micros now, const Message& cer, const Remote& remote);
+  Verdict OnIncoming(Micros now, const Message& cer, const PeerCapabilities& remote);
   // A connection ended of itself.
   void OnClosed(Micros now, Side side);
   // A message came. The base protocol's are dealt with; the others are handed back for the application.
   std::optional<Message> OnMessage(Micros now, Side side, Message message);
   // A message that can't be read; `fatal` if what follows it can't either. A request is answered.
-  void OnBad(Micros now, Side side, const BadMessage& bad, bool fatal);
+  void OnBad(Micros now, Side side, const MalformedMessage& bad, bool fatal);
   void OnTimer(Micros now);
   // When OnTimer is due; 0 = never.
   Micros due() const;
@@ -100,7 +100,7 @@
   // Open connections that it has had so far: what was sent on an earlier one than the last gets no answer.
   std::uint64_t lives() const { return lives_; }
   // What the peer said of itself when it was last opened.
-  const Remote& remote() const { return remote_; }
+  const PeerCapabilities& remote() const { return remote_; }
 
  private:
   void Await(Micros now, Micros time);
@@ -123,7 +123,7 @@
   Watchdog watchdog_;
   State state_ = State::kClosed;
   Side side_ = Side::kInitiator;  // of the open connection
-  Remote remote_;
+  PeerCapabilities remote_;
   Message cer_;  // the peer's, while its CEA is owed; or its DPR while the DPA is
   std::uint32_t hop_by_hop_;
   std::uint32_t end_to_end_;
--- a/src/diameter/relay.cpp
+++ b/src/diameter/relay.cpp
@@ -4,19 +4,19 @@
 
 namespace merlinrun::diameter {
 
-std::optional<Fault> CheckRoute(const Identity& self, const std::vector<std::string>& realms,
-                                const Message& request) {
+std::optional<MessageError> CheckRoute(const Identity& self, const std::vector<std::string>& realms,
+                                       const Message& request) {
   AvpReader reader(request.avps);
   while (const auto avp = reader.Next()) {
     const auto whole = [&] { return AvpWriter().Copy(*avp).Take(); };
     if (avp->Is(avp::kRouteRecord) && SameName(avp->data, self.host))
-      return Fault{ResultCode::kLoopDetected, {}, "it has passed here already"};
+      return MessageError{ResultCode::kLoopDetected, {}, "it has passed here already"};
     if (avp->Is(avp::kDestinationRealm) &&
         std::none_of(realms.begin(), realms.end(),
                      [&](const std::string& realm) { return SameName(realm, avp->data); }))
-      return Fault{ResultCode::kRealmNotServed, whole(), "this realm is not served"};
+      return MessageError{ResultCode::kRealmNotServed, whole(), "this realm is not served"};
     if (avp->Is(avp::kDestinationHost) && !SameName(avp->data, self.host))
-      return Fault{ResultCode::kUnableToDeliver, whole(), "no host can be asked for by name"};
+      return MessageError{ResultCode::kUnableToDeliver, whole(), "no host can be asked for by name"};
   }
   return std::nullopt;
 }
@@ -25,7 +25,7 @@
   Message out;
   out.header = request.header;
   out.header.hop_by_hop = onward.hop_by_hop;
-  if (onward.resend) out.header.flags |= kResendBit;
+  if (onward.resend) out.header.flags |= kRetransmitBit;
   AvpWriter avps;
   AvpReader reader(request.avps);
   while (const auto avp = reader.Next()) {
--- a/src/diameter/relay.hpp
+++ b/src/diameter/relay.hpp
@@ -15,8 +15,8 @@
 // Why a request can't be passed on from here: this node is in its Route-Record already (3005), its realm is
 // not served (3003), or it asks for one host that is not this one, where the choice of the server is not its
 // sender's (3002). The realms and hosts are compared without case.
-std::optional<Fault> CheckRoute(const Identity& self, const std::vector<std::string>& realms,
-                                const Message& request);
+std::optional<MessageError> CheckRoute(const Identity& self, const std::vector<std::string>& realms,
+                                       const Message& request);
 
 // How a request goes on to a server.
 struct Onward {
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -77,7 +77,7 @@
                                          config.wire.settings, config.name);
   if (const auto* error = std::get_if<std::string>(&read)) throw ConfigError(*error);
   auto application = std::get<diameter::Application>(std::move(read));
-  if (2 * diameter::Node::Sockets(application) > ClientDescriptors(config))
+  if (2 * diameter::Node::MaxSockets(application) > ClientDescriptors(config))
     throw ConfigError(config.diameter_file + ": more clients than limits.sockets leaves descriptors for");
   return application;
 }
@@ -204,7 +204,7 @@
 }
 
 std::size_t Sidecar::MaxHttpSessions(const Config& config) const {
-  return ClientDescriptors(config) - (diameter_ == nullptr ? 0 : diameter_->sockets());
+  return ClientDescriptors(config) - (diameter_ == nullptr ? 0 : diameter_->max_sockets());
 }
 
 void Sidecar::Start() {
@@ -227,7 +227,7 @@
   }
   if (diameter_ != nullptr) {
     diameter_->Listen(budget_, counters_, *request_manager_);
-    lifecycle_->Add(diameter_->front());
+    lifecycle_->Add(diameter_->downstream());
   }
   if (inherited) BeginTakeover(std::move(*inherited));
   OnList(ListUpdate::Kind::kStale, config_.last_known_endpoints);
@@ -349,7 +349,7 @@
   servers.reserve(list.endpoints.size());
   for (const Endpoint& endpoint : list.endpoints) {
     servers.push_back(endpoint.info);
-    if (diameter_ != nullptr) servers.back().protocols |= diameter_->Fronts(endpoint.info.id);
+    if (diameter_ != nullptr) servers.back().protocols |= diameter_->ProtocolBits(endpoint.info.id);
   }
   request_manager_->OnServers({kind, list.generation, servers});
   if (!upstream_.has_servers()) return;
@@ -374,7 +374,7 @@
   const auto it = diameter_servers_.find(server);
   if (it == diameter_servers_.end()) return;
   ServerInfo info = it->second;
-  info.protocols |= diameter_->Fronts(server);
+  info.protocols |= diameter_->ProtocolBits(server);
   request_manager_->OnServers({ListUpdate::Kind::kDelta, generation_, {&info, 1}});
 }
 
--- a/tests/diameter/application_test.cpp
+++ b/tests/diameter/application_test.cpp
@@ -109,7 +109,7 @@
   }
   ResultCode Code(const Message& request) const {
     const auto read = ReadRequest(application, settings, request);
-    const auto* fault = std::get_if<Fault>(&read);
+    const auto* fault = std::get_if<MessageError>(&read);
     return fault == nullptr ? ResultCode::kSuccess : fault->code;
   }
   const Settings settings = FourClasses();
@@ -122,8 +122,8 @@
                                   avps.Add(3, "6041234567", 0, 32473).Add(4, "k1", 0, 32473);
                                   avps.AddU32(5, 1500, 0, 32473).Add(7, "r-1", 0, 32473);
                                 }));
-  ASSERT_TRUE(std::holds_alternative<Reading>(read)) << std::get<Fault>(read).text;
-  const Reading& reading = std::get<Reading>(read);
+  ASSERT_TRUE(std::holds_alternative<RequestInfo>(read)) << std::get<MessageError>(read).text;
+  const RequestInfo& reading = std::get<RequestInfo>(read);
   EXPECT_EQ(reading.request_class, 1);
   EXPECT_EQ(reading.tenant, 0);
   EXPECT_EQ(reading.object, "6041234567");
--- a/tests/diameter/codec_test.cpp
+++ b/tests/diameter/codec_test.cpp
@@ -18,7 +18,7 @@
         Header header{0, command & 0xffffff, app, h, e};
         if (request) header.flags |= kRequestBit;
         if (proxiable) header.flags |= kProxiableBit;
-        if (last) header.flags |= request ? kResendBit : kErrorBit;
+        if (last) header.flags |= request ? kRetransmitBit : kErrorBit;
         return header;
       },
       rc::gen::arbitrary<bool>(), rc::gen::arbitrary<bool>(), rc::gen::arbitrary<bool>(),
@@ -74,7 +74,7 @@
   std::string stream;
   std::vector<std::string> sent;
   for (const auto& list : avps) stream += sent.emplace_back(Encode(SomeHeader(), Written(list)));
-  Framer framer(kMostLength);
+  Framer framer(kMaxMessageLength);
   std::vector<std::string> got;
   for (std::size_t at = 0; at < stream.size();) {
     const auto size = *rc::gen::inRange<std::size_t>(1, 40);
@@ -93,7 +93,7 @@
       rc::gen::pair(rc::gen::inRange<std::size_t>(0, 200), rc::gen::arbitrary<std::uint8_t>()));
   for (const auto& [at, value] : flips) bytes[at % bytes.size()] = static_cast<char>(value);
   const auto decoded = Decode(bytes);
-  if (const auto* bad = std::get_if<BadMessage>(&decoded))
+  if (const auto* bad = std::get_if<MalformedMessage>(&decoded))
     RC_ASSERT(bad->fault.code != ResultCode::kNone);
   else
     RC_ASSERT(Encode(std::get<Message>(decoded).header, std::get<Message>(decoded).avps) == bytes);
@@ -101,7 +101,7 @@
 
 ResultCode CodeOf(const std::string& frame) {
   const auto decoded = Decode(frame);
-  const auto* bad = std::get_if<BadMessage>(&decoded);
+  const auto* bad = std::get_if<MalformedMessage>(&decoded);
   return bad == nullptr ? ResultCode::kNone : bad->fault.code;
 }
 
@@ -128,7 +128,7 @@
   std::string frame = Encode(SomeHeader(), Written({{264, 10415, true, "a.example"}}));
   frame[27] = 9;  // less than a vendor's AVP has before its data
   const auto decoded = Decode(frame);
-  const Fault& fault = std::get<BadMessage>(decoded).fault;
+  const MessageError& fault = std::get<MalformedMessage>(decoded).fault;
   AvpReader reader(fault.failed_avp);
   const auto failed = reader.Next();
   ASSERT_TRUE(failed.has_value());
--- a/tests/diameter/dictionary_test.cpp
+++ b/tests/diameter/dictionary_test.cpp
@@ -27,7 +27,7 @@
 
 class CerTest : public ::testing::Test {
  protected:
-  std::optional<Fault> Judge(const std::string& avps, Reader reader = Reader::kEndpoint) {
+  std::optional<MessageError> Judge(const std::string& avps, Reader reader = Reader::kEndpoint) {
     Message cer = MakeCer(self);
     cer.avps = avps;
     return Check(cer, base, *base.FindCommand(kCapabilitiesExchange, 0), reader);
@@ -99,29 +99,29 @@
   const Dictionary base = Dictionary::Base();
   Identity other = Self("b.example");
   const auto read = [&](const Identity& from) { return ReadCapabilities(Self(), base, MakeCer(from)); };
-  EXPECT_EQ(std::get<Remote>(read(other)).host, "b.example");
+  EXPECT_EQ(std::get<PeerCapabilities>(read(other)).host, "b.example");
   other.applications = {4};
-  EXPECT_EQ(std::get<Fault>(read(other)).code, ResultCode::kNoCommonApplication);
+  EXPECT_EQ(std::get<MessageError>(read(other)).code, ResultCode::kNoCommonApplication);
   other.applications = {kRelayApplication};
-  EXPECT_EQ(std::get<Remote>(read(other)).host, "b.example");
-  EXPECT_EQ(std::get<Fault>(read(Self())).code, ResultCode::kUnknownPeer);
+  EXPECT_EQ(std::get<PeerCapabilities>(read(other)).host, "b.example");
+  EXPECT_EQ(std::get<MessageError>(read(Self())).code, ResultCode::kUnknownPeer);
   Message cer = MakeCer(Self("b.example"));
   cer.avps += AvpWriter().AddU32(avp::kInbandSecurityId, 1).Take();
-  EXPECT_EQ(std::get<Fault>(ReadCapabilities(Self(), base, cer)).code, ResultCode::kNoCommonSecurity);
+  EXPECT_EQ(std::get<MessageError>(ReadCapabilities(Self(), base, cer)).code, ResultCode::kNoCommonSecurity);
 }
 
 TEST(ErrorAnswerTest, HasWhatTheRfcAsksOfIt) {
   AvpWriter avps;
   const std::string proxy = AvpWriter().Add(avp::kProxyHost, "p.example").Add(avp::kProxyState, "x").Take();
   avps.Add(avp::kSessionId, "s;1").Add(avp::kProxyInfo, proxy).Add(1, "user");
-  const Message request{{kRequestBit | kProxiableBit | kResendBit, 272, 4, 7, 8}, avps.Take()};
+  const Message request{{kRequestBit | kProxiableBit | kRetransmitBit, 272, 4, 7, 8}, avps.Take()};
   const Message busy = MakeError(Self(), request, {ResultCode::kTooBusy, {}, "busy"});
   EXPECT_EQ(busy.header.flags, kProxiableBit | kErrorBit);
   EXPECT_EQ(busy.header.hop_by_hop, 7U);
   EXPECT_EQ(busy.header.end_to_end, 8U);
   EXPECT_EQ(Find(busy.avps, avp::kSessionId)->data, "s;1");
   EXPECT_EQ(Find(busy.avps, avp::kProxyInfo)->data, proxy);
-  EXPECT_EQ(ResultOf(busy), ResultCode::kTooBusy);
+  EXPECT_EQ(ResultCodeOf(busy), ResultCode::kTooBusy);
   const Message failed = MakeError(Self(), request, {ResultCode::kUnableToComply, {}, ""});
   EXPECT_EQ(failed.header.flags, kProxiableBit);
   EXPECT_FALSE(Find(failed.avps, avp::kErrorMessage).has_value());
--- a/tests/diameter/recall_test.cpp
+++ b/tests/diameter/duplicate_cache_test.cpp
@@ -1,5 +1,5 @@
 // What is remembered of requests: one outcome, whatever is sent again and whenever, within bounds.
-#include "diameter/recall.hpp"
+#include "diameter/duplicate_cache.hpp"
 
 #include <gtest/gtest.h>
 
@@ -12,8 +12,8 @@
 constexpr Micros kSec = 1'000'000;
 const RequestKey kKey{"a.example", 7};
 
-Recall::Limits Small() {
-  Recall::Limits limits;
+DuplicateCache::Limits Small() {
+  DuplicateCache::Limits limits;
   limits.entries = 3;
   limits.bytes = 100;
   limits.keep = 240 * kSec;
@@ -25,21 +25,22 @@
 
 class RecallTest : public ::testing::Test {
  protected:
-  Recall::Found Look(Micros now, const RequestKey& key, std::uint64_t digest = 1, std::uint64_t from = 1) {
+  DuplicateCache::Found Look(Micros now, const RequestKey& key, std::uint64_t digest = 1,
+                             std::uint64_t from = 1) {
     return recall.Look(now, key, digest, {from, 5, ""}, [this](std::uint64_t c) { return c != dead; });
   }
   bool Begin(Micros now, const RequestKey& key) { return recall.Begin(now, key, 1, {1, 4, ""}); }
 
-  Recall recall{Small()};
+  DuplicateCache recall{Small()};
   std::uint64_t dead = 0;
 };
 
 TEST_F(RecallTest, WhoSendsAgainWaitsWithTheFirstAndThenHasTheSameAnswer) {
-  EXPECT_EQ(Look(0, kKey), Recall::Found::kNew);
+  EXPECT_EQ(Look(0, kKey), DuplicateCache::Found::kNew);
   ASSERT_TRUE(Begin(0, kKey));
-  EXPECT_EQ(Look(1, kKey), Recall::Found::kPending);
+  EXPECT_EQ(Look(1, kKey), DuplicateCache::Found::kPending);
   EXPECT_EQ(recall.Finish(2, kKey, Answer("ok"), true).size(), 2U);
-  EXPECT_EQ(Look(3, kKey), Recall::Found::kAnswered);
+  EXPECT_EQ(Look(3, kKey), DuplicateCache::Found::kAnswered);
   EXPECT_EQ(recall.Answer(kKey), Answer("ok"));
   EXPECT_TRUE(recall.Finish(4, kKey, Answer("other"), true).empty());
   EXPECT_EQ(recall.Answer(kKey), Answer("ok"));
@@ -47,16 +48,16 @@
 
 TEST_F(RecallTest, AnotherRequestUnderTheSameIdIsToldApart) {
   ASSERT_TRUE(Begin(0, kKey));
-  EXPECT_EQ(Look(1, kKey, 2), Recall::Found::kOther);
+  EXPECT_EQ(Look(1, kKey, 2), DuplicateCache::Found::kOther);
   recall.Finish(2, kKey, Answer("ok"), true);
-  EXPECT_EQ(Look(3, kKey, 2), Recall::Found::kOther);
+  EXPECT_EQ(Look(3, kKey, 2), DuplicateCache::Found::kOther);
 }
 
 TEST_F(RecallTest, RemembersForItsTimeAndNoLonger) {
   Begin(0, kKey);
   recall.Finish(kSec, kKey, Answer("ok"), true);
-  EXPECT_EQ(Look(240 * kSec, kKey), Recall::Found::kAnswered);
-  EXPECT_EQ(Look(241 * kSec, kKey), Recall::Found::kNew);
+  EXPECT_EQ(Look(240 * kSec, kKey), DuplicateCache::Found::kAnswered);
+  EXPECT_EQ(Look(241 * kSec, kKey), DuplicateCache::Found::kNew);
   EXPECT_EQ(recall.entries(), 0U);
   EXPECT_EQ(recall.bytes(), 0U);
 }
@@ -64,7 +65,7 @@
 TEST_F(RecallTest, WhatNeedNotBeKeptIsForgotten) {
   Begin(0, kKey);
   EXPECT_EQ(recall.Finish(1, kKey, Answer("refused"), false).size(), 1U);
-  EXPECT_EQ(Look(2, kKey), Recall::Found::kNew);
+  EXPECT_EQ(Look(2, kKey), DuplicateCache::Found::kNew);
 }
 
 // Full: never a silent second run. What is new is not begun, what is known stays known.
@@ -74,7 +75,8 @@
     recall.Finish(0, {"a.example", i}, Answer("ok"), true);
   }
   EXPECT_FALSE(Begin(1, {"a.example", 4}));
-  for (std::uint32_t i = 1; i <= 3; ++i) EXPECT_EQ(Look(1, {"a.example", i}), Recall::Found::kAnswered);
+  for (std::uint32_t i = 1; i <= 3; ++i)
+    EXPECT_EQ(Look(1, {"a.example", i}), DuplicateCache::Found::kAnswered);
   EXPECT_TRUE(Begin(241 * kSec, {"a.example", 4}));
 }
 
@@ -84,11 +86,11 @@
     recall.Finish(i, {"a.example", i}, Answer(std::string(30, 'x')), true);
     EXPECT_LE(recall.bytes(), 100U);
   }
-  EXPECT_EQ(Look(9, {"a.example", 1}), Recall::Found::kAnswered);
+  EXPECT_EQ(Look(9, {"a.example", 1}), DuplicateCache::Found::kAnswered);
   EXPECT_FALSE(recall.Answer({"a.example", 1}).has_value());
   EXPECT_TRUE(recall.Answer({"a.example", 3}).has_value());
   // The bookkeeping holds as they go.
-  EXPECT_EQ(Look(300 * kSec, {"a.example", 3}), Recall::Found::kNew);
+  EXPECT_EQ(Look(300 * kSec, {"a.example", 3}), DuplicateCache::Found::kNew);
   EXPECT_EQ(recall.bytes(), 0U);
   Begin(301 * kSec, kKey);
   recall.Finish(301 * kSec, kKey, Answer("ok"), true);
@@ -97,10 +99,10 @@
 
 TEST_F(RecallTest, SoManyMayWaitAndTheDeadMakeRoom) {
   Begin(0, kKey);
-  EXPECT_EQ(Look(1, kKey, 1, 2), Recall::Found::kPending);
-  EXPECT_EQ(Look(2, kKey, 1, 3), Recall::Found::kCrowded);
+  EXPECT_EQ(Look(1, kKey, 1, 2), DuplicateCache::Found::kPending);
+  EXPECT_EQ(Look(2, kKey, 1, 3), DuplicateCache::Found::kCrowded);
   dead = 1;
-  EXPECT_EQ(Look(3, kKey, 1, 3), Recall::Found::kPending);
+  EXPECT_EQ(Look(3, kKey, 1, 3), DuplicateCache::Found::kPending);
   EXPECT_EQ(recall.Finish(4, kKey, Answer("ok"), true).size(), 2U);
 }
 
@@ -118,7 +120,7 @@
   EXPECT_EQ(DigestOf(Request()), DigestOf(Request(way)));
   EXPECT_NE(DigestOf(Request()), DigestOf(Request(AvpWriter().Add(1, "x").Take())));
   Message again = Request();
-  again.header.flags |= kResendBit;
+  again.header.flags |= kRetransmitBit;
   again.header.hop_by_hop = 99;
   EXPECT_EQ(DigestOf(Request()), DigestOf(again));
 }
@@ -130,12 +132,12 @@
   const Message sent = Forward(Request(budget.bytes()), onward);
   EXPECT_EQ(sent.header.hop_by_hop, 100U);
   EXPECT_EQ(sent.header.end_to_end, 6U);
-  EXPECT_EQ(sent.header.flags, kRequestBit | kProxiableBit | kResendBit);
+  EXPECT_EQ(sent.header.flags, kRequestBit | kProxiableBit | kRetransmitBit);
   EXPECT_EQ(Find(sent.avps, 77777, 999)->data, "unknown");
   EXPECT_EQ(ToU32(Find(sent.avps, 5, 32473)->data), 250U);
   EXPECT_EQ(Find(sent.avps, avp::kRouteRecord)->data, "c.example");
   onward.resend = false;
-  EXPECT_EQ(Forward(Request(), onward).header.flags & kResendBit, 0);
+  EXPECT_EQ(Forward(Request(), onward).header.flags & kRetransmitBit, 0);
 }
 
 TEST(RelayTest, TellsLoopsForeignRealmsAndHostsAskedForByName) {
--- a/tests/diameter/peer_test.cpp
+++ b/tests/diameter/peer_test.cpp
@@ -71,7 +71,7 @@
 
 Message AppRequest() { return {{kRequestBit | kProxiableBit, 8388000, kApplication, 1, 2}, {}}; }
 
-Remote RemoteOf(const Identity& other) {
+PeerCapabilities RemoteOf(const Identity& other) {
   return {other.host, other.realm, other.state_id, other.applications};
 }
 
@@ -87,7 +87,7 @@
   dwr.header.hop_by_hop = 99;
   EXPECT_FALSE(a.Receive(1, dwr).has_value());
   const Message dwa = a.Take(Side::kInitiator);
-  EXPECT_EQ(ResultOf(dwa), ResultCode::kSuccess);
+  EXPECT_EQ(ResultCodeOf(dwa), ResultCode::kSuccess);
   EXPECT_EQ(dwa.header.hop_by_hop, 99U);
   EXPECT_TRUE(a.Receive(2, AppRequest()).has_value());
 }
@@ -166,7 +166,7 @@
   EXPECT_EQ(a.peer->OnIncoming(0, MakeCer(b), RemoteOf(b)), Peer::Verdict::kRejected);
   a.peer->OnDialFailed(1);
   EXPECT_EQ(a.peer->state(), Peer::State::kROpen);
-  EXPECT_EQ(ResultOf(a.Take(Side::kResponder)), ResultCode::kSuccess);
+  EXPECT_EQ(ResultCodeOf(a.Take(Side::kResponder)), ResultCode::kSuccess);
   Node later("a.example");
   later.peer->Start(0);
   later.peer->OnDialed(0);
@@ -204,7 +204,7 @@
   answer.header.flags = kProxiableBit;
   EXPECT_TRUE(a.Receive(2, answer).has_value());  // what was out is still answered
   EXPECT_FALSE(a.Receive(3, AppRequest()).has_value());
-  EXPECT_EQ(ResultOf(a.Take(Side::kInitiator)), ResultCode::kUnableToDeliver);
+  EXPECT_EQ(ResultCodeOf(a.Take(Side::kInitiator)), ResultCode::kUnableToDeliver);
   a.peer->Drained(4);
   const Message dpa = a.Take(Side::kInitiator);
   EXPECT_EQ(dpa.header.command, kDisconnectPeer);
@@ -234,7 +234,7 @@
   EXPECT_EQ(ToU32(Find(dpr.avps, avp::kDisconnectCause)->data), 1U);
   // The two DPRs cross: both are answered.
   a.Receive(2, MakeDpr(b, DisconnectCause::kBusy));
-  EXPECT_EQ(ResultOf(a.Take(Side::kInitiator)), ResultCode::kSuccess);
+  EXPECT_EQ(ResultCodeOf(a.Take(Side::kInitiator)), ResultCode::kSuccess);
   a.Receive(3, MakeAnswer(b, dpr, ResultCode::kSuccess));
   EXPECT_EQ(a.closed, std::vector{Side::kInitiator});
   EXPECT_EQ(a.peer->state(), Peer::State::kClosed);
@@ -248,21 +248,21 @@
   unknown.header.application = 0;
   unknown.header.command = 999;
   a.Receive(1, unknown);
-  EXPECT_EQ(ResultOf(a.Take(Side::kInitiator)), ResultCode::kCommandUnsupported);
+  EXPECT_EQ(ResultCodeOf(a.Take(Side::kInitiator)), ResultCode::kCommandUnsupported);
   Message dwr = MakeDwr(b);
   dwr.avps.clear();
   a.Receive(1, dwr);
-  EXPECT_EQ(ResultOf(a.Take(Side::kInitiator)), ResultCode::kMissingAvp);
+  EXPECT_EQ(ResultCodeOf(a.Take(Side::kInitiator)), ResultCode::kMissingAvp);
   a.Receive(1, MakeCer(b));  // twice
-  EXPECT_EQ(ResultOf(a.Take(Side::kInitiator)), ResultCode::kSuccess);
+  EXPECT_EQ(ResultCodeOf(a.Take(Side::kInitiator)), ResultCode::kSuccess);
   a.Receive(1, MakeCer(Named("c.example")));
-  EXPECT_EQ(ResultOf(a.Take(Side::kInitiator)), ResultCode::kUnknownPeer);
+  EXPECT_EQ(ResultCodeOf(a.Take(Side::kInitiator)), ResultCode::kUnknownPeer);
   EXPECT_TRUE(a.peer->usable());
   a.peer->OnBad(1, Side::kInitiator, {AppRequest().header, {ResultCode::kInvalidAvpLength, {}, ""}}, false);
-  EXPECT_EQ(ResultOf(a.Take(Side::kInitiator)), ResultCode::kInvalidAvpLength);
+  EXPECT_EQ(ResultCodeOf(a.Take(Side::kInitiator)), ResultCode::kInvalidAvpLength);
   EXPECT_TRUE(a.peer->usable());
   a.peer->OnBad(1, Side::kInitiator, {AppRequest().header, {ResultCode::kUnsupportedVersion, {}, ""}}, true);
-  EXPECT_EQ(ResultOf(a.Take(Side::kInitiator)), ResultCode::kUnsupportedVersion);
+  EXPECT_EQ(ResultCodeOf(a.Take(Side::kInitiator)), ResultCode::kUnsupportedVersion);
   EXPECT_EQ(a.closed, std::vector{Side::kInitiator});
   EXPECT_EQ(a.peer->state(), Peer::State::kClosed);
 }
--- a/tests/fuzz/diameter_fuzz.cpp
+++ b/tests/fuzz/diameter_fuzz.cpp
@@ -59,7 +59,7 @@
 
 void Receive(Peer& peer, Sink& sink, merlinrun::Micros now, Side side, std::string_view frame) {
   auto decoded = Decode(frame);
-  if (const auto* bad = std::get_if<BadMessage>(&decoded)) return peer.OnBad(now, side, *bad, false);
+  if (const auto* bad = std::get_if<MalformedMessage>(&decoded)) return peer.OnBad(now, side, *bad, false);
   Message& message = std::get<Message>(decoded);
   Demand(Encode(message.header, message.avps) == frame, "what is read is written the same");
   const bool owed = message.header.request() && peer.Open() &&
@@ -99,7 +99,7 @@
       case 2: {
         const Message cer = MakeCer(other);
         const auto read = ReadCapabilities(self, base, cer);
-        peer.OnIncoming(now, cer, std::get<Remote>(read));
+        peer.OnIncoming(now, cer, std::get<PeerCapabilities>(read));
         break;
       }
       case 3:
--- a/tests/rig/client_fault_test.cpp
+++ b/tests/rig/client_fault_test.cpp
@@ -15,7 +15,7 @@
     RawPeer peer(*world, Port(), "backoffice-1.franchise.example");
     peer.Write(bytes);
     EXPECT_TRUE(peer.Ends());
-    return peer.received.empty() ? ResultCode::kNone : diameter::ResultOf(peer.received[0]);
+    return peer.received.empty() ? ResultCode::kNone : diameter::ResultCodeOf(peer.received[0]);
   }
   ResultCode Greeting(const Message& message) {
     return Greeting(diameter::Encode(message.header, message.avps));
@@ -114,7 +114,7 @@
   ASSERT_TRUE(world->RunUntil([&] { return peer->received.size() == 5'001; }));
   EXPECT_EQ(Arrived(), 0U);
   EXPECT_EQ(sidecar->active_requests(), 0U);
-  EXPECT_EQ(sidecar->diameter()->front().remembered(), 0U);
+  EXPECT_EQ(sidecar->diameter()->downstream().cached_requests(), 0U);
   peer->looked_at = peer->received.size();
   EXPECT_EQ(peer->Ask(peer->Request("number-port", 1)), ResultCode::kSuccess);
 }
--- a/tests/rig/fixture.hpp
+++ b/tests/rig/fixture.hpp
@@ -58,8 +58,8 @@
     events.on_frame = [this](std::string_view frame) {
       received.push_back(std::get<Message>(diameter::Decode(frame)));
     };
-    events.on_broken = [this](const diameter::BadMessage&) { broken = true; };
-    events.on_end = [this] { ended = true; };
+    events.on_framing_error = [this](const diameter::MalformedMessage&) { broken = true; };
+    events.on_closed = [this] { ended = true; };
     connection_->Start(std::move(events));
   }
   void Write(const std::string& bytes) { connection_->Write(bytes); }
@@ -68,7 +68,7 @@
   // Says who it is; true if it was let in.
   bool Introduce() {
     Send(diameter::MakeCer(identity));
-    return Next() && diameter::ResultOf(Last()) == ResultCode::kSuccess;
+    return Next() && diameter::ResultCodeOf(Last()) == ResultCode::kSuccess;
   }
   // Waits for one more message than were looked at before.
   bool Next() {
@@ -79,7 +79,7 @@
     return world_.RunUntil([&] { return ended; }, std::chrono::seconds(20));
   }
   const Message& Last() const { return received.at(looked_at - 1); }
-  ResultCode Code() const { return diameter::ResultOf(Last()); }
+  ResultCode Code() const { return diameter::ResultCodeOf(Last()); }
   // What it is told in answer to a message.
   ResultCode Ask(const Message& message) {
     Send(message);
@@ -91,7 +91,7 @@
     Message request;
     request.header = {diameter::kRequestBit | diameter::kProxiableBit, kCommand, world_.application.id,
                       ++last_hop_, end_to_end};
-    if (resend) request.header.flags |= diameter::kResendBit;
+    if (resend) request.header.flags |= diameter::kRetransmitBit;
     AvpWriter avps;
     avps.Add(diameter::avp::kSessionId, identity.host + ";" + std::to_string(end_to_end));
     avps.Add(diameter::avp::kOriginHost, identity.host).Add(diameter::avp::kOriginRealm, identity.realm);
@@ -140,7 +140,7 @@
   ~RigTest() override {
     if (!path.empty()) std::remove(path.c_str());
   }
-  Tcp::endpoint Port() { return sidecar->diameter()->front().address(); }
+  Tcp::endpoint Port() { return sidecar->diameter()->downstream().address(); }
   std::unique_ptr<RawPeer> Raw(int number = 1, std::uint32_t state_id = 1) {
     auto peer = std::make_unique<RawPeer>(
         *world, Port(), "backoffice-" + std::to_string(number) + ".franchise.example", state_id);
--- a/tests/rig/mixed_test.cpp
+++ b/tests/rig/mixed_test.cpp
@@ -15,7 +15,7 @@
   const auto client = Client(none, 1);
   client->Ask(Class("number-port"));
   ASSERT_TRUE(world->RunUntil([&] { return client->answers() == 1; }));
-  EXPECT_EQ(diameter::ResultOf(client->last()), ResultCode::kSuccess);
+  EXPECT_EQ(diameter::ResultCodeOf(client->last()), ResultCode::kSuccess);
   EXPECT_EQ(Broken() + Owed(), "");
   EXPECT_EQ(world->ledger.Rows()["number-port"].served, 1U);
   EXPECT_EQ(sidecar->active_requests(), 0U);
--- a/tests/rig/resend_test.cpp
+++ b/tests/rig/resend_test.cpp
@@ -96,7 +96,7 @@
   Script({});
   EXPECT_EQ(peer->Ask(peer->Request("number-port", 7, "", true)), ResultCode::kUnableToComply);  // marked
   Message again = peer->Request("number-port", 7, "", true);
-  again.header.flags &= static_cast<std::uint8_t>(~diameter::kResendBit);
+  again.header.flags &= static_cast<std::uint8_t>(~diameter::kRetransmitBit);
   EXPECT_EQ(peer->Ask(again), ResultCode::kSuccess);
 }
 
@@ -112,7 +112,7 @@
   EXPECT_EQ(Ran("number-port"), 2U);
   EXPECT_EQ(peer->Ask(peer->Request("number-port", 1, "", true)), ResultCode::kSuccess);
   EXPECT_EQ(Ran("number-port"), 2U);
-  EXPECT_EQ(sidecar->diameter()->front().remembered(), 2U);
+  EXPECT_EQ(sidecar->diameter()->downstream().cached_requests(), 2U);
 }
 
 // What the sidecar promises of one request that comes over both: while it is under way under the id that the
--- a/tests/rig/tls_test.cpp
+++ b/tests/rig/tls_test.cpp
@@ -32,10 +32,11 @@
     const diameter::Tls tls(world->io, files, {});
     bool done = false;
     diameter::ConnectionPtr got;
-    tls.Connector()(sidecar->diameter()->front().address(1), to, [&](diameter::ConnectionPtr connection) {
-      done = true;
-      got = std::move(connection);
-    });
+    tls.Connector()(sidecar->diameter()->downstream().address(1), to,
+                    [&](diameter::ConnectionPtr connection) {
+                      done = true;
+                      got = std::move(connection);
+                    });
     EXPECT_TRUE(world->RunUntil([&] { return done; }));
     return got;
   }
@@ -44,7 +45,7 @@
     RawPeer peer(*world, connection, host);
     peer.Send(diameter::MakeCer(peer.identity));
     world->RunUntil([&] { return peer.ended || !peer.received.empty(); });
-    return peer.received.empty() ? ResultCode::kNone : diameter::ResultOf(peer.received[0]);
+    return peer.received.empty() ? ResultCode::kNone : diameter::ResultCodeOf(peer.received[0]);
   }
   Certificates certificates;
 };
@@ -89,7 +90,7 @@
   std::vector<std::unique_ptr<Tcp::socket>> silent;
   for (int i = 0; i < 100; ++i) {
     silent.push_back(std::make_unique<Tcp::socket>(world->io));
-    silent.back()->connect(sidecar->diameter()->front().address(1));
+    silent.back()->connect(sidecar->diameter()->downstream().address(1));
   }
   RawPeer peer(*world, Dial(certificates.Make(kHost)), kHost);
   EXPECT_TRUE(peer.Introduce());
