--- a/examples/main.cpp
+++ b/examples/main.cpp
@@ -1,5 +1,4 @@
-// The whole of it in one file: settings, events in, actions out. Plays a sidecar with four servers, the
-// first of which turns every request away.
+// A complete example: settings, events and actions. One of four servers refuses every request.
 #include <cstdio>
 #include <map>
 #include <merlinrun/balancer.hpp>
@@ -9,7 +8,7 @@
 
 namespace {
 
-// A real caller sends here; this one notes what it is asked to do.
+// A real caller performs the actions; this one records them.
 class Sink : public merlinrun::ActionSink {
  public:
   void Send(std::string_view request, const std::string& server, merlinrun::Micros) override {
@@ -47,7 +46,7 @@
 
   Sink sink;
   std::string error;
-  Micros now = 1'000'000;  // any monotonic count of microseconds
+  Micros now = 1'000'000;  // any monotonic clock in microseconds
   const auto balancer = Balancer::Create(settings, /*seed=*/1, now, sink, error);
   if (balancer == nullptr) {
     std::fprintf(stderr, "settings: %s\n", error.c_str());
--- a/include/merlinrun/balancer.hpp
+++ b/include/merlinrun/balancer.hpp
@@ -34,7 +34,7 @@
 enum class RetrySafety {
   kSafe,          // idempotent
   kDeduplicated,  // servers drop duplicates, within DedupScope and dedup_window
-  kNever,
+  kNever
 };
 
 // The servers that recognize a duplicate of a deduplicated request.
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -1,5 +1,5 @@
-// The module's outside: checks the settings and hands each event to the decisions in src/policy/. It takes no
-// decision. Why those are as they are: docs/design.md.
+// Implementation of the public interface: validates settings and passes events to src/policy. See
+// docs/design.md.
 #include "merlinrun/balancer.hpp"
 
 #include <utility>
@@ -12,9 +12,9 @@
  public:
   using Requests::Requests;
 
-  void OnZoneOverrides(std::span<const ZoneOverride> orders) {
-    c_.zones.OnOrders(c_.now, orders);
-    c_.ExpireCapacity();
+  void OnZoneOverrides(std::span<const ZoneOverride> overrides) {
+    c_.zones.OnOverrides(c_.now, overrides);
+    c_.InvalidateCapacity();
   }
   std::uint64_t zones_epoch() const { return c_.zones.epoch(); }
   std::vector<BalancerSnapshot::Zone> TakeZoneSnapshots(Micros now) const {
@@ -27,10 +27,15 @@
     out.zones_epoch = c_.zones.epoch();
     for (const auto& [id, server] : servers_.all()) {
       if (!server.listed) continue;
-      BalancerSnapshot::Server to{id,          server.info.state, false,         server.out,
-                                  server.slow, server.failing,    server.strikes};
-      to.ejected_for = std::max<Micros>(server.away_until - now, 0);
-      to.capacity_share = cold_start_.Warmth(server);
+      BalancerSnapshot::Server to{id,
+                                  server.info.state,
+                                  false,
+                                  server.in_flight,
+                                  server.latency_ratio,
+                                  server.error_rate,
+                                  server.consecutive_failures};
+      to.ejected_for = std::max<Micros>(server.ejected_until - now, 0);
+      to.capacity_share = cold_start_.CapacityShare(server);
       const Pool& pool = c_.pools[server.pool];
       for (std::size_t i = 0; i < Width(pool, c_.set); ++i) to.in_window |= &pool.InWindow(i) == &server;
       out.servers.push_back(to);
@@ -86,7 +91,7 @@
   state_->OnUploadComplete(request, budget);
 }
 void Balancer::OnResponseStarted(Micros now, std::string_view, int) {
-  state_->Advance(now);  // the attempt is the client's now; its outcome still comes
+  state_->Advance(now);  // only the outcome matters
 }
 void Balancer::OnOutcome(Micros now, const Outcome& outcome) {
   state_->Advance(now);
@@ -102,13 +107,13 @@
 }
 void Balancer::OnProbeResult(Micros now, const ProbeResult&) { state_->Advance(now); }
 void Balancer::OnPeerMessage(Micros now, std::uint32_t, std::string_view) { state_->Advance(now); }
-void Balancer::OnZonePeerReport(Micros now, const ZonePeerReport& told) {
+void Balancer::OnZonePeerReport(Micros now, const ZonePeerReport& report) {
   state_->Advance(now);
-  state_->OnZonePeerReport(told);
+  state_->OnZonePeerReport(report);
 }
-void Balancer::OnZoneOverrides(Micros now, std::span<const ZoneOverride> orders) {
+void Balancer::OnZoneOverrides(Micros now, std::span<const ZoneOverride> overrides) {
   state_->Advance(now);
-  state_->OnZoneOverrides(orders);
+  state_->OnZoneOverrides(overrides);
 }
 std::vector<BalancerSnapshot::Zone> Balancer::TakeZoneSnapshots(Micros now) const {
   return state_->TakeZoneSnapshots(now);
--- a/src/base/backoff.hpp
+++ b/src/base/backoff.hpp
@@ -1,4 +1,4 @@
-// The wait that doubles: everywhere the same, with chance put to it by whoever waits.
+// Exponential backoff without jitter, which the callers add.
 #ifndef MERLINRUN_BASE_BACKOFF_HPP_
 #define MERLINRUN_BASE_BACKOFF_HPP_
 
@@ -8,9 +8,9 @@
 
 namespace merlinrun {
 
-// min(cap, base * 2^n), n from 0.
+// Returns min(cap, base * 2^n), n from 0.
 inline Micros ExponentialBackoff(Micros base, int n, Micros cap) {
-  return std::min(cap, base << std::min(n, 20));  // 20: far past any cap, short of overflow
+  return std::min(cap, base << std::min(n, 20));  // 20: above any cap, and without overflow
 }
 
 }  // namespace merlinrun
--- a/src/base/random.hpp
+++ b/src/base/random.hpp
@@ -1,4 +1,4 @@
-// Chance and hashes of the decision module: small, and the same on every machine.
+// Pseudo-random numbers and hashes that are identical on every machine.
 #ifndef MERLINRUN_BASE_RANDOM_HPP_
 #define MERLINRUN_BASE_RANDOM_HPP_
 
@@ -17,7 +17,7 @@
   return z ^ (z >> 31);
 }
 
-// FNV-1a, mixed: the same at every sidecar, as std::hash need not be. Never 0.
+// FNV-1a with a finalizer. Unlike std::hash it is the same at every sidecar. Never 0.
 inline std::uint64_t StableHash(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325ULL;
   for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
--- a/src/drill/host.cpp
+++ b/src/drill/host.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::string_view kPrefix = "sidecar/";
-constexpr std::int64_t kMostTimer = 71LL * 60 * 1'000'000;  // the wire's limit
+constexpr std::int64_t kMostTimer = 71LL * 60 * 1'000'000;  // limit of the protocol
 
 // Writes the actions of one instance as lines.
 class LineSink : public ActionSink {
@@ -69,7 +69,7 @@
     if (balancer_ == nullptr) sink_.Fatal("settings: " + error);
   }
 
-  // Runs an event in the decision code; what it throws is reported, not passed on.
+  // Delivers an event; an exception ends the instance with FATAL.
   template <typename Event>
   void Run(Event event) {
     if (balancer_ == nullptr) return;
--- a/src/drill/host.hpp
+++ b/src/drill/host.hpp
@@ -1,5 +1,4 @@
-// The instances of one process: takes the wire's lines, drives a Balancer for each sidecar, collects the
-// reply.
+// Runs a Balancer per sidecar from protocol lines, and collects the reply to each batch.
 #ifndef MERLINRUN_DRILL_HOST_HPP_
 #define MERLINRUN_DRILL_HOST_HPP_
 
@@ -20,10 +19,10 @@
  public:
   Host();
   ~Host();
-  // Takes one line, without its newline. True when the line ended a batch: reply() is then complete.
-  // Throws WireError, with the line number and the verb, if the line is malformed.
+  // Processes one line, without its newline. Returns true if the line ended a batch and reply() is complete.
+  // Throws WireError with the line number and the verb if the line is malformed.
   bool Line(std::string_view line);
-  // The reply to the batch; valid until the next call of Line.
+  // The reply to the last batch; valid until the next call of Line.
   const std::string& reply() const { return reply_; }
   bool in_batch() const { return in_batch_; }
 
@@ -31,7 +30,7 @@
   class Instance;
   static constexpr std::size_t kTables = 16;
 
-  struct Row {  // an entry as the wire gives it; zones and kinds become indices for each instance
+  struct Row {  // a server entry as received; each instance maps zone and machine type to indices
     ServerInfo info;
     std::string zone;
     std::string machine;
@@ -52,7 +51,7 @@
   std::array<std::vector<Row>, kTables> tables_;
   std::size_t table_ = 0;
   std::int64_t rows_due_ = 0;
-  std::unordered_map<std::int64_t, std::unique_ptr<Instance>> instances_;  // looked up, never walked
+  std::unordered_map<std::int64_t, std::unique_ptr<Instance>> instances_;  // lookup only, never iterated
 };
 
 }  // namespace merlinrun::drill
--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -1,5 +1,4 @@
-// Reads batches from standard input, writes one flushed reply for each to standard output.
-// Exit status: 0 at the end of input, 1 if the reply cannot be written, 2 on malformed input.
+// Reads batches from standard input and writes one flushed reply per batch to standard output.
 #include <unistd.h>
 
 #include <cerrno>
@@ -29,7 +28,7 @@
 int Serve() {
   merlinrun::drill::Host host;
   std::vector<char> chunk(kReadSize);
-  std::string partial;  // a line whose end has not been read yet
+  std::string partial;  // an incomplete line
   for (;;) {
     const ssize_t got = ::read(STDIN_FILENO, chunk.data(), chunk.size());
     if (got < 0 && errno == EINTR) continue;
@@ -48,7 +47,7 @@
     }
     partial.append(rest);
   }
-  if (!partial.empty()) host.Line(partial);  // its end was cut off, and it says what is wrong if it must
+  if (!partial.empty()) host.Line(partial);  // reports an error in the truncated last line
   if (host.in_batch() || !partial.empty()) {
     std::fprintf(stderr, "the input ends within a batch\n");
     return 2;
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -10,7 +10,7 @@
 namespace merlinrun::drill {
 namespace {
 
-constexpr std::int64_t kMostTime = std::int64_t{1} << 60;  // two of them can be added
+constexpr std::int64_t kMostTime = std::int64_t{1} << 60;  // the sum of two does not overflow
 
 [[noreturn]] void Bad(std::string_view what, std::string_view value, std::string_view why) {
   std::string text(what);
@@ -26,7 +26,7 @@
   return value;
 }
 
-// The value that a word stands for.
+// Maps a word to its value.
 template <typename T>
 T OneOf(std::string_view word, std::string_view what, std::string_view otherwise,
         std::initializer_list<std::pair<std::string_view, T>> choices) {
@@ -35,7 +35,7 @@
   Bad(what, word, otherwise);
 }
 
-// path=value pairs by path. Values are parsed as they are asked for, so unknown keys cost nothing.
+// Space-separated path=value pairs. Values are parsed on access; unknown keys are ignored.
 class Pairs {
  public:
   explicit Pairs(std::string_view text) {
@@ -66,7 +66,7 @@
     if (value > kMostTime || value < -kMostTime) Bad(path, text, "out of range");
     return value;
   }
-  // A whole number small enough to count things of this process with.
+  // A count from 0 to 10^9.
   int Small(const std::string& path, int otherwise) const {
     const std::int64_t value = Int(path, otherwise);
     if (value < 0 || value > 1'000'000'000) Bad(path, Text(path, ""), "out of range");
--- a/src/drill/wire.hpp
+++ b/src/drill/wire.hpp
@@ -1,4 +1,4 @@
-// The text wire of the bench: fields of a line, the settings, and the actions as lines. Takes no decisions.
+// Text protocol of the adapter: fields of a line and settings.
 #ifndef MERLINRUN_DRILL_WIRE_HPP_
 #define MERLINRUN_DRILL_WIRE_HPP_
 
@@ -12,33 +12,32 @@
 
 namespace merlinrun::drill {
 
-// What is wrong with a line; the host adds where it stands.
+// Describes a malformed line; Host adds the line number.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// The fields of one line, taken from left to right.
+// The space-separated fields of one line, read from left to right.
 class Fields {
  public:
   explicit Fields(std::string_view line) : rest_(line) {}
   std::string_view Word(const char* what);                    // never empty
-  std::optional<std::int64_t> OptionalInt(const char* what);  // `-` is absent
+  std::optional<std::int64_t> OptionalInt(const char* what);  // `-` = absent
   std::int64_t Int(const char* what);
   std::int64_t NonNegative(const char* what);
   std::uint64_t Unsigned(const char* what);
   double Number(const char* what);
   bool Bool(const char* what);
-  std::string_view Rest();  // all that is left
-  void End();               // nothing may be left
+  std::string_view Rest();  // the remaining text
+  void End();               // throws unless all fields were read
 
  private:
   std::string_view rest_;
   bool any_left_ = true;
 };
 
-// What the adapter needs of an instance's settings: the module's own, and the names that the wire uses for
-// indices.
+// Settings of an instance, and the names that the protocol uses for zone and machine type indices.
 struct WireSettings {
   Settings settings;
   std::vector<std::string> zones;
@@ -47,11 +46,11 @@
 
 WireSettings ParseSettings(std::string_view pairs);
 Result ParseResult(std::string_view word);
-LoadReport ParseLoad(std::string_view pairs);   // `-` is no report
-std::string ParseHex(std::string_view digits);  // `-` is empty
+LoadReport ParseLoad(std::string_view pairs);   // `-` = no report
+std::string ParseHex(std::string_view digits);  // `-` = empty
 ServerInfo::State ParseState(std::string_view word);
 
-// The index of a name in a list, or -1.
+// Returns the index of a name in a list, or -1.
 int IndexOf(const std::vector<std::string>& names, std::string_view name);
 
 }  // namespace merlinrun::drill
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -28,7 +28,7 @@
 #include "stats/counters.hpp"
 #include "stats/trace.hpp"
 #include "upstream.hpp"
-#include "zones/orders.hpp"
+#include "zones/overrides.hpp"
 
 namespace merlinrun::net {
 
--- a/src/policy/choice.cpp
+++ b/src/policy/choice.cpp
@@ -9,122 +9,124 @@
 namespace merlinrun {
 namespace {
 
-// The second server of a key has to be this many times less busy than the first to be given it.
-constexpr double kWarmGain = 1.6;
-// Draws from the window before it is searched from end to end: bounds the work of an ordinary choice.
+// The second server of a key is chosen if its load score is lower by this factor.
+constexpr double kAffinityFactor = 1.6;
+// Random draws before the whole window is searched.
 constexpr int kDraws = 8;
-// A gap of so many times what its attempts out explain comes once in fifty by chance.
-constexpr double kSilence = 4;
+// Multiple of the expected response time after which silence raises the load score.
+constexpr double kSilenceFactor = 4;
 
 }  // namespace
 
-// By own attempts out, in the time that it takes for each, and the busier the longer it has said nothing.
-// Guards against slow servers, and against ones that stall, hang or vanish.
-double Choice::Busy(const Server& server) const {
-  const double usual = c_.pools[server.pool].elapsed;  // time of an answer
-  const double silence = usual > 0 ? static_cast<double>(c_.now - server.heard_at) * server.out / usual : 0;
-  return (server.out / Size(server) + 1) * server.slow * std::max(1.0, silence / kSilence);
+// In-flight attempts weighted by the latency of the server, and raised the longer it has not responded.
+double ServerSelector::LoadScore(const Server& server) const {
+  const double usual = c_.pools[server.pool].usual_latency;
+  const double silence =
+      usual > 0 ? static_cast<double>(c_.now - server.responded_at) * server.in_flight / usual : 0;
+  return (server.in_flight / Weight(server) + 1) * server.latency_ratio *
+         std::max(1.0, silence / kSilenceFactor);
 }
 
-Server* Choice::Choose(const Held& held) {
-  const Pool& pool = c_.pools[c_.pools[held.pool].ring.empty() ? 1 - held.pool : held.pool];
+Server* ServerSelector::Select(const ActiveRequest& active) {
+  const Pool& pool = c_.pools[c_.pools[active.pool].ring.empty() ? 1 - active.pool : active.pool];
   const std::size_t width = Width(pool, c_.set);
   if (width == 0) return nullptr;
   Server* best = nullptr;
-  if (held.warm != 0) {
-    best = ChooseWarm(held, pool, width);
+  if (active.affinity_hash != 0) {
+    best = SelectByKey(active, pool, width);
   } else {
     int found = 0;
     for (int draw = 0; draw < kDraws && found < 2; ++draw) {
       Server& server = pool.InWindow(c_.random.Below(width));
-      if (!Usable(held, server) || !cold_start_.Accept(server)) continue;
+      if (!Usable(active, server) || !cold_start_.Accept(server)) continue;
       ++found;
-      if (best == nullptr || Busy(server) < Busy(*best)) best = &server;
+      if (best == nullptr || LoadScore(server) < LoadScore(*best)) best = &server;
     }
   }
   if (best != nullptr) return best;
-  bool none_warm = true;  // then nobody serves enough to earn credit, and chance by share has to do
-  for (std::size_t i = 0; i < width; ++i) none_warm = none_warm && cold_start_.Warmth(pool.InWindow(i)) < 1;
+  bool none_warm = true;  // then no server earns cold start credit, and servers are drawn by capacity share
+  for (std::size_t i = 0; i < width; ++i)
+    none_warm = none_warm && cold_start_.CapacityShare(pool.InWindow(i)) < 1;
   const std::size_t start = c_.random.Below(width);
   for (std::size_t i = 0; i < width; ++i) {
     Server& server = pool.InWindow((start + i) % width);
-    if (!MayUse(held, server)) continue;
-    if (cold_start_.Accept(server) || (none_warm && c_.random.Unit() < cold_start_.Warmth(server)))
+    if (!MayUse(active, server)) continue;
+    if (cold_start_.Accept(server) || (none_warm && c_.random.Unit() < cold_start_.CapacityShare(server)))
       return &server;
   }
-  return held.MayHaveRun() == nullptr ? nullptr : OutsideWindow(held);
+  return active.MayHaveRun() == nullptr ? nullptr : SelectOutsideWindow(active);
 }
 
-Cause Choice::WhyNone(const Held& held) const {
+Cause ServerSelector::CauseOfNone(const ActiveRequest& active) const {
   Cause why = Cause::kNoServer;
   for (const Pool& pool : c_.pools) {
     for (std::size_t i = 0; i < Width(pool, c_.set); ++i) {
       const Server& server = pool.InWindow(i);
-      if (!MayUse(held, server)) continue;
-      if (cold_start_.Warmth(server) < 1) return Cause::kColdStart;
-      if (health_.Away(server)) why = Cause::kEjected;
+      if (!MayUse(active, server)) continue;
+      if (cold_start_.CapacityShare(server) < 1) return Cause::kColdStart;
+      if (health_.IsEjected(server)) why = Cause::kEjected;
     }
   }
   return why;
 }
 
-bool Choice::Usable(const Held& held, const Server& server) {
-  return !health_.Away(server) && !health_.PassesOver(held, server) && MayUse(held, server);
+bool ServerSelector::Usable(const ActiveRequest& active, const Server& server) {
+  return !health_.IsEjected(server) && !health_.ShouldSkip(active, server) && MayUse(active, server);
 }
 
-// The same two choices, but the first two in the key's own order of servers, which all sidecars find alike
-// (highest random weight, Thaler and Ravishankar 1998).
-Server* Choice::ChooseWarm(const Held& held, const Pool& pool, std::size_t width) {
-  order_.clear();
+// The same two choices among the first servers in rendezvous hash order, which is the same at all sidecars.
+Server* ServerSelector::SelectByKey(const ActiveRequest& active, const Pool& pool, std::size_t width) {
+  ranking_.clear();
   for (std::size_t i = 0; i < width; ++i) {
     Server& server = pool.InWindow(i);
-    order_.emplace_back(Preference(held.warm, server), &server);
+    ranking_.emplace_back(HashScore(active.affinity_hash, server), &server);
   }
-  std::ranges::sort(order_, {}, [](const auto& place) { return place.first; });
+  std::ranges::sort(ranking_, {}, [](const auto& place) { return place.first; });
   Server* first = nullptr;
-  for (const auto& [unused, server] : order_) {
-    if (!Usable(held, *server)) continue;
+  for (const auto& [unused, server] : ranking_) {
+    if (!Usable(active, *server)) continue;
     if (first != nullptr)
-      return Busy(*server) * kWarmGain < Busy(*first) && cold_start_.Accept(*server) ? server : first;
+      return LoadScore(*server) * kAffinityFactor < LoadScore(*first) && cold_start_.Accept(*server) ? server
+                                                                                                     : first;
     if (cold_start_.Accept(*server)) first = server;
   }
   return first;
 }
 
-// The least is first: exponential with a rate of its weight, so that it has its share of the keys.
-double Choice::Preference(std::uint64_t key, const Server& server) const {
+// Exponentially distributed by weight, so that a server gets its share of the keys.
+double ServerSelector::HashScore(std::uint64_t key, const Server& server) const {
   const double unit = static_cast<double>((MixBits(key ^ server.hash) >> 11) + 1) * 0x1.0p-53;
-  return -std::log(unit) / Size(server);
+  return -std::log(unit) / Weight(server);
 }
 
-// What it can do next to others: the list's weight where that tells of size and not of load.
-double Choice::Size(const Server& server) const {
-  const bool told =
+// The list weight, where it reflects capacity and not current load.
+double ServerSelector::Weight(const Server& server) const {
+  const bool sized =
       c_.set.weights == Settings::Weights::kNominal || c_.set.weights == Settings::Weights::kRough;
-  return told && server.info.weight > 0 ? server.info.weight : 1;
+  return sized && server.info.weight > 0 ? server.info.weight : 1;
 }
 
-// The exception to the window: it may hold no other server that drops the repeat.
-Server* Choice::OutsideWindow(const Held& held) {
+// For a retry that only servers outside the window can deduplicate.
+Server* ServerSelector::SelectOutsideWindow(const ActiveRequest& active) {
   for (Pool& pool : c_.pools) {
     const std::size_t start = c_.random.Below(pool.ring.size());
     for (std::size_t i = 0; i < pool.ring.size(); ++i) {
       Server& server = *pool.ring[(start + i) % pool.ring.size()];
-      if (!health_.Away(server) && MayUse(held, server) && cold_start_.Accept(server)) return &server;
+      if (!health_.IsEjected(server) && MayUse(active, server) && cold_start_.Accept(server)) return &server;
     }
   }
   return nullptr;
 }
 
-// After a refusal another server is tried; after an attempt that may have run, only what drops the repeat.
-bool Choice::MayUse(const Held& held, const Server& server) const {
-  if ((server.info.protocols >> held.protocol & 1) == 0 || !c_.zones.MayTry(c_.now, server.info.zone))
+// A retry avoids the previous server, and stays in the dedup scope if an attempt may have been executed.
+bool ServerSelector::MayUse(const ActiveRequest& active, const Server& server) const {
+  if ((server.info.protocols >> active.protocol & 1) == 0 || !c_.zones.MaySend(c_.now, server.info.zone))
     return false;
-  if (!held.attempts.empty() && held.attempts.back().server == &server &&
+  if (!active.attempts.empty() && active.attempts.back().server == &server &&
       Width(c_.pools[server.pool], c_.set) > 1)
     return false;
-  const RequestClass& c = c_.ClassOf(held);
-  return MayRepeat(held, c, c_.now) && InGroup(held, c, server.info);
+  const RequestClass& c = c_.ClassOf(active);
+  return MayRetry(active, c, c_.now) && InDedupScope(active, c, server.info);
 }
 
 }  // namespace merlinrun
--- a/src/policy/choice.hpp
+++ b/src/policy/choice.hpp
@@ -1,4 +1,4 @@
-// Which server a request goes to.
+// Selects the server for an attempt.
 #ifndef MERLINRUN_POLICY_CHOICE_HPP_
 #define MERLINRUN_POLICY_CHOICE_HPP_
 
@@ -11,28 +11,28 @@
 
 namespace merlinrun {
 
-class Choice {
+class ServerSelector {
  public:
-  Choice(Common& common, Health& health, ColdStart& cold_start)
+  ServerSelector(PolicyContext& common, Health& health, ColdStart& cold_start)
       : c_(common), health_(health), cold_start_(cold_start) {}
-  // The less busy of two random window servers. Null if the window holds none that may be used.
-  Server* Choose(const Held& held);
-  // Why Choose found none: the nearest thing to a server that could have been used.
-  Cause WhyNone(const Held& held) const;
+  // Power of two choices within the window. Returns null if no server is usable.
+  Server* Select(const ActiveRequest& active);
+  // The reason why Select returned null.
+  Cause CauseOfNone(const ActiveRequest& active) const;
 
  private:
-  double Busy(const Server& server) const;
-  double Size(const Server& server) const;
-  double Preference(std::uint64_t key, const Server& server) const;
-  Server* ChooseWarm(const Held& held, const Pool& pool, std::size_t width);
-  Server* OutsideWindow(const Held& held);
-  bool Usable(const Held& held, const Server& server);
-  bool MayUse(const Held& held, const Server& server) const;
-
-  Common& c_;
+  double LoadScore(const Server& server) const;
+  double Weight(const Server& server) const;
+  double HashScore(std::uint64_t key, const Server& server) const;
+  Server* SelectByKey(const ActiveRequest& active, const Pool& pool, std::size_t width);
+  Server* SelectOutsideWindow(const ActiveRequest& active);
+  bool Usable(const ActiveRequest& active, const Server& server);
+  bool MayUse(const ActiveRequest& active, const Server& server) const;
+
+  PolicyContext& c_;
   Health& health_;
   ColdStart& cold_start_;
-  std::vector<std::pair<double, Server*>> order_;  // of the choice under way, kept for its memory
+  std::vector<std::pair<double, Server*>> ranking_;  // scratch buffer of SelectByKey
 };
 
 }  // namespace merlinrun
--- a/src/policy/cold_start.hpp
+++ b/src/policy/cold_start.hpp
@@ -1,4 +1,4 @@
-// How much a server that has just started is given.
+// Slow start: limits the load of servers that have just started.
 #ifndef MERLINRUN_POLICY_COLD_START_HPP_
 #define MERLINRUN_POLICY_COLD_START_HPP_
 
@@ -8,24 +8,23 @@
 
 class ColdStart {
  public:
-  explicit ColdStart(Common& common) : c_(common) {}
-  // The server is new here, or its process is: chance decides which sidecar starts it.
-  void Begin(Server& server) {
-    server.young_credit = c_.random.Unit();
-    server.served_then = served_;
+  explicit ColdStart(PolicyContext& common) : c_(common) {}
+  // Starts with random credit, so that the sidecars begin sending at different times.
+  void OnServerStarted(Server& server) {
+    server.cold_start_credit = c_.random.Unit();
+    server.served_at_refill = served_;
   }
-  // The share of its full capacity that a server certainly has: it grows from the cold share over the
-  // warm-up.
-  double Warmth(const Server& server) const;
-  // Whether a server may be sent one more, and takes it off its credit.
+  // Estimated share of full capacity; grows linearly over the warm-up.
+  double CapacityShare(const Server& server) const;
+  // Takes one attempt off the credit if there is enough.
   bool Accept(Server& server);
   void OnServed() { ++served_; }
-  // It answered in less than the usual time: it has room for another of each sidecar.
-  void OnQuick(Server& server) { server.young_credit = 1; }
+  // A fast response shows spare capacity.
+  void OnFastResponse(Server& server) { server.cold_start_credit = 1; }
 
  private:
-  Common& c_;
-  std::int64_t served_ = 0;  // attempts that succeeded
+  PolicyContext& c_;
+  std::int64_t served_ = 0;  // successful attempts
 };
 
 }  // namespace merlinrun
--- a/src/policy/concurrency.cpp
+++ b/src/policy/concurrency.cpp
@@ -6,84 +6,84 @@
 namespace merlinrun {
 namespace {
 
-// A sidecar that usually has so many attempts out has a limit. With fewer, chance is most of it.
+// Usual number of attempts in flight from which the limit applies; below, random variation dominates.
 constexpr double kLimitFrom = 8;
-// The limit goes no lower than for this share of what is usually out, so that a pause does not lower it.
-constexpr double kLeastOfUsual = 0.75;
-// Under this share of the usual servers a part is lost, as a zone of three is, and not in a release.
-constexpr double kWhole = 0.7;
-// Then less is let in from Tuning::loss_from on, to kLossSpan further on.
-constexpr double kLossSpan = 0.6;
-// And with less than this share of what is expected out, late answers are no reason to refuse.
-constexpr double kUnpressed = 0.8;
-// No less is expected to be out: a sidecar that asks every few seconds has none out as a rule.
-constexpr double kLeastExpected = 0.25;
-// An attempt that is out for so many usual times is no part of the crowd. By chance one of fifty is.
-constexpr double kLost = 4;
+// Lower bound of the limit, as a share of the usual attempts in flight.
+constexpr double kMinUsualShare = 0.75;
+// Below this share of the usual servers capacity counts as lost.
+constexpr double kIntactShare = 0.7;
+// Load shedding then starts at Tuning::capacity_loss_shed_start and is complete this much above.
+constexpr double kLossShedSpan = 0.6;
+// Below this share of the expected attempts in flight, latency causes no refusals.
+constexpr double kMinShareFactor = 0.8;
+// Lower bound of the expected attempts in flight, for sidecars that are mostly idle.
+constexpr double kMinExpected = 0.25;
+// Multiple of the usual duration after which an attempt counts as stuck and is left out.
+constexpr double kStuckAfter = 4;
 
 }  // namespace
 
-void Concurrency::OnSent(double admit) {
-  usual_.Sent(c_.now);
-  if (admit >= 1 && pool_.capacity.Share() >= kWhole) usual_.OnCalm(pool_.out - 1);
+void Concurrency::OnSent(double admitted) {
+  baseline_.OnSent(c_.now);
+  if (admitted >= 1 && pool_.capacity.Share() >= kIntactShare) baseline_.OnNormalArrival(pool_.in_flight - 1);
 }
 
-void Concurrency::OnAnswer(double admit) {
-  if (admit < 1 || pool_.ring.empty()) return;
-  usual_.OnAnswer(pool_.out, pool_.ring.size());
-  limited_ = usual_.learnt() && UsualOut() >= kLimitFrom;
+void Concurrency::OnResponse(double admitted) {
+  if (admitted < 1 || pool_.ring.empty()) return;
+  baseline_.OnResponse(pool_.in_flight, pool_.ring.size());
+  limited_ = baseline_.has_baseline() && Typical() >= kLimitFrom;
 }
 
-void Concurrency::LearnTime(const RequestClass& c, const Outcome& outcome, double admit) {
-  if (outcome.result == Result::kSuccess && outcome.elapsed < c.latency_target) usual_.OnGood(c_.now);
-  if (admit >= 1 && Room() >= 1) usual_.OnTime(outcome.elapsed);
+void Concurrency::LearnLatency(const RequestClass& c, const Outcome& outcome, double admitted) {
+  if (outcome.result == Result::kSuccess && outcome.elapsed < c.latency_target)
+    baseline_.OnServedInTime(c_.now);
+  if (admitted >= 1 && LimitShare() >= 1) baseline_.OnAttemptTime(outcome.elapsed);
 }
 
-void Concurrency::Reckon(const ColdStart& cold_start) {
-  if (!pool_.capacity.Due(c_.now)) return;
+void Concurrency::RefreshCapacity(const ColdStart& cold_start) {
+  if (!pool_.capacity.NeedsRefresh(c_.now)) return;
   double servers = 0;
   int reached = 0;
   for (const Server* server : pool_.ring) {
-    if (c_.zones.Left(server->info.zone)) continue;
-    servers += cold_start.Warmth(*server);
-    reached += server->out;
+    if (c_.zones.IsZoneEjected(server->info.zone)) continue;
+    servers += cold_start.CapacityShare(*server);
+    reached += server->in_flight;
   }
-  astray_ = pool_.out - reached;
-  pool_.capacity.Set(c_.now, servers);
+  unreachable_ = pool_.in_flight - reached;
+  pool_.capacity.Update(c_.now, servers);
 }
 
-// What is expected to be out is what is served in time, by the time that an attempt is usually out (Little).
-// It could harm where the work turns dearer for good; the usual time follows.
-double Concurrency::Room() const {
+// Little's law: the expected attempts in flight are the rate of timely responses times the attempt duration.
+double Concurrency::LimitShare() const {
   if (pool_.ring.empty()) return 1;
-  if (Lost()) {
+  if (CapacityLost()) {
     const double expected = Expected();
     const double from = std::max(c_.set.tuning.capacity_loss_shed_start, 1 + 1 / std::sqrt(expected));
-    return std::clamp(1 - (Reaching() / expected - from) / kLossSpan, kAdmitLeast, 1.0);
+    return std::clamp(1 - (Reachable() / expected - from) / kLossShedSpan, kMinAdmitted, 1.0);
   }
   if (!limited_) return 1;
-  const double expected = std::max(usual_.Rate(c_.now) * usual_.out_time(), kLeastOfUsual * UsualOut());
+  const double expected =
+      std::max(baseline_.Rate(c_.now) * baseline_.attempt_time(), kMinUsualShare * Typical());
   const Tuning& t = c_.set.tuning;
   const double from = std::max(t.in_flight_shed_start, 1 + 2 / std::sqrt(expected));
   const double full = from + t.in_flight_shed_full - t.in_flight_shed_start;
-  return std::clamp((full - Crowd() / expected) / (full - from), kAdmitLeast, 1.0);
+  return std::clamp((full - Recent() / expected) / (full - from), kMinAdmitted, 1.0);
 }
 
-double Concurrency::Unpressed() const {
-  return Lost() ? std::clamp(2 - Reaching() / (kUnpressed * Expected()), 0.0, 1.0) : 0;
+double Concurrency::MinShare() const {
+  return CapacityLost() ? std::clamp(2 - Reachable() / (kMinShareFactor * Expected()), 0.0, 1.0) : 0;
 }
 
-// A part of the fleet is lost, and it is known what is usually out.
-bool Concurrency::Lost() const {
-  return usual_.calm_learnt() && pool_.capacity.Share() < kWhole && !pool_.ring.empty();
+bool Concurrency::CapacityLost() const {
+  return baseline_.has_normal() && pool_.capacity.Share() < kIntactShare && !pool_.ring.empty();
 }
 
-// At the servers that are left. Guards against a lost zone's work that is pushed at once onto the others.
+// At the remaining servers.
 double Concurrency::Expected() const {
-  return std::max(usual_.calm_out() * pool_.capacity.Share(), kLeastExpected);
+  return std::max(baseline_.normal_in_flight() * pool_.capacity.Share(), kMinExpected);
 }
 
-// Own attempts out that may still wait for their turn: not those that are lost or stuck with their server.
-double Concurrency::Crowd() const { return usual_.Younger(kLost, c_.now); }
+// Without attempts that are lost or stuck at their server.
+double Concurrency::Recent() const { return baseline_.Younger(kStuckAfter, c_.now); }
 
 }  // namespace merlinrun
--- a/src/policy/concurrency.hpp
+++ b/src/policy/concurrency.hpp
@@ -1,47 +1,47 @@
-// The share of the arriving work that the attempts which are out leave room for: a concurrency limit for busy
-// sidecars, and for all of them while a part of the fleet is lost.
+// Concurrency limit: the share of the arriving work to admit, given the attempts in flight. It applies to
+// busy sidecars, and to all while part of the server capacity is lost.
 #ifndef MERLINRUN_POLICY_CONCURRENCY_HPP_
 #define MERLINRUN_POLICY_CONCURRENCY_HPP_
 
-#include "base/usual.hpp"
+#include "base/baseline.hpp"
 #include "policy/cold_start.hpp"
 #include "policy/records.hpp"
 
 namespace merlinrun {
 
-class Concurrency {  // of one pool
+class Concurrency {  // per pool
  public:
-  Concurrency(Common& common, std::size_t pool) : c_(common), pool_(common.pools[pool]) {}
-
-  // `admit`, here and below: the share that answers let in; what is usual is learnt while it is 1.
-  void OnSent(double admit);
-  void OnOver(Micros sent) { usual_.Over(sent, c_.now); }
-  void OnAnswer(double admit);
-  // What is served in time, and how long attempts are out while nothing presses.
-  void LearnTime(const RequestClass& c, const Outcome& outcome, double admit);
-  // Counts anew what can be reached, when that is due.
-  void Reckon(const ColdStart& cold_start);
-
-  // 0 to 1. Less than 1 tells of pressure whatever the cause: a burst, servers that go, slow down or choke.
-  double Room() const;
-  // What is let in whatever answers say: all with less out than is expected, none at twice that.
-  double Unpressed() const;
-  // It is known what is usually out, and that is enough for a limit.
+  Concurrency(PolicyContext& common, std::size_t pool) : c_(common), pool_(common.pools[pool]) {}
+
+  // `admitted`: the share admitted by latency. Baselines are learned while it is at least 1.
+  void OnSent(double admitted);
+  void OnAttemptEnded(Micros sent) { baseline_.OnEnded(sent, c_.now); }
+  void OnResponse(double admitted);
+  // Learns the rate of timely responses and the attempt duration.
+  void LearnLatency(const RequestClass& c, const Outcome& outcome, double admitted);
+  // Recomputes the reachable capacity if it is due.
+  void RefreshCapacity(const ColdStart& cold_start);
+
+  // From 0 to 1.
+  double LimitShare() const;
+  // Lower bound during a capacity loss, whatever the latency.
+  double MinShare() const;
+  // A baseline exists and is high enough for a limit.
   bool limited() const { return limited_; }
-  double out_each() const { return usual_.out_each(); }
+  double in_flight_per_server() const { return baseline_.in_flight_per_server(); }
 
  private:
-  bool Lost() const;
+  bool CapacityLost() const;
   double Expected() const;
-  double Reaching() const { return std::max(pool_.out - astray_, 0); }
-  double Crowd() const;
-  double UsualOut() const { return usual_.out_each() * static_cast<double>(pool_.ring.size()); }
+  double Reachable() const { return std::max(pool_.in_flight - unreachable_, 0); }
+  double Recent() const;
+  double Typical() const { return baseline_.in_flight_per_server() * static_cast<double>(pool_.ring.size()); }
 
-  Common& c_;
+  PolicyContext& c_;
   Pool& pool_;
-  Usual usual_;
+  Baseline baseline_;
   bool limited_ = false;
-  int astray_ = 0;  // own attempts in flight at servers that can't be reached, as of then
+  int unreachable_ = 0;  // attempts in flight at ejected zones
 };
 
 }  // namespace merlinrun
--- a/src/policy/health.hpp
+++ b/src/policy/health.hpp
@@ -1,4 +1,4 @@
-// What outcomes tell of one server, and for how long it is left alone.
+// Outlier detection and ejection of single servers.
 #ifndef MERLINRUN_POLICY_HEALTH_HPP_
 #define MERLINRUN_POLICY_HEALTH_HPP_
 
@@ -8,26 +8,26 @@
 
 namespace merlinrun {
 
-// One class turned away of several is a limit on it and no pressure.
+// Refusals of one class alone are a limit on that class, not overload.
 bool RefusesOneClass(const Server& server);
 
 class Health {
  public:
-  explicit Health(Common& common) : c_(common), answer_(common.set.classes.size()) {}
-  // An answer that came about as soon as is usual: nothing waited at its server.
-  bool Quick(const Held& held, const Outcome& outcome) const;
-  void Judge(const Held& held, Server& server, Micros sent, const Outcome& outcome);
-  // Outlier ejection: leaves a server alone for a while, if one attempt, sent then, says that it is dead or
-  // stuck. `dead`: a connection to it did not come up.
-  void Strike(Server& server, Micros sent, bool dead);
-  // A server in its wait, or with its one trial attempt out.
-  bool Away(const Server& server) const;
-  // Whether chance passes the server over for this request, by what it lately turned away or failed.
-  bool PassesOver(const Held& held, const Server& server);
+  explicit Health(PolicyContext& common) : c_(common), usual_latency_(common.set.classes.size()) {}
+  // Whether the response took about the usual time, without queueing.
+  bool IsFast(const ActiveRequest& active, const Outcome& outcome) const;
+  void RecordOutcome(const ActiveRequest& active, Server& server, Micros sent, const Outcome& outcome);
+  // Ejects the server for a backoff if the attempt suggests that it is down or stuck. `dead`: a connection
+  // failed.
+  void RecordFailure(Server& server, Micros sent, bool dead);
+  // Ejected, or already probed by one attempt.
+  bool IsEjected(const Server& server) const;
+  // Skips a server at random, as often as it recently refused or failed such requests.
+  bool ShouldSkip(const ActiveRequest& active, const Server& server);
 
  private:
-  Common& c_;
-  std::vector<double> answer_;  // by class: usual time of an answer; 0 = none yet
+  PolicyContext& c_;
+  std::vector<double> usual_latency_;  // by class; 0 = unknown
 };
 
 }  // namespace merlinrun
--- a/src/policy/records.hpp
+++ b/src/policy/records.hpp
@@ -1,5 +1,4 @@
-// What the decisions of the module share: plain records, the deployment's figures, time and chance. No
-// decision is taken here.
+// State shared by the policies.
 #ifndef MERLINRUN_POLICY_RECORDS_HPP_
 #define MERLINRUN_POLICY_RECORDS_HPP_
 
@@ -9,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "base/memory.hpp"
+#include "base/averaging.hpp"
 #include "base/random.hpp"
 #include "merlinrun/balancer.hpp"
 #include "zones/capacity.hpp"
@@ -19,80 +18,79 @@
 
 inline constexpr Micros kMillisecond = 1000;
 inline constexpr Micros kSecond = 1000 * kMillisecond;
-// With more attempts out than this each outcome counts less, so that as much is learnt in the time of one
-// answer as by others: else hundreds of outcomes a second swing what is believed from end to end before
-// servers can show it.
-inline constexpr double kSteadyOut = 24;
-// Never shut out everything: what is let in is the only way to see the end of an overload.
-inline constexpr double kAdmitLeast = 0.05;
+// With more attempts in flight than this each outcome is weighted less, so that estimates do not oscillate
+// within one response time.
+inline constexpr double kSteadyInFlight = 24;
+// Some work is always admitted: its outcomes are how the end of an overload is detected.
+inline constexpr double kMinAdmitted = 0.05;
 
 struct Server {
   ServerInfo info;
   std::size_t pool = 0;
   bool listed = false;
-  std::uint64_t hash = 0;  // of its id
-  int out = 0;             // own attempts in flight
-  Micros heard_at = 0;     // its last answer, or when it got work after it had none
-  // Health's.
-  double slow = 1;              // its answer times as a multiple of what is usual for their class
-  std::vector<double> refuses;  // by class: share of its requests that were turned away lately
-  double failing = 0;           // share of its requests that ended in an error lately
-  int strikes = 0;              // bad outcomes in a row
-  Micros good_at = 0;           // when it last served a request within its aim
-  Micros broke_at = 0;          // when a connection to it last broke or did not come up
-  Micros away_until = 0;        // left alone until then; after that one trial attempt at a time
-  // Admission's.
-  std::uint64_t late_row = 0;  // the row in which its lateness was counted last
-  // ColdStart's.
-  double young_credit = 0;       // sends that a young server may still be given
-  std::int64_t served_then = 0;  // what this sidecar had been served when the credit was last reckoned
+  std::uint64_t hash = 0;   // of the id
+  int in_flight = 0;        // this sidecar's attempts
+  Micros responded_at = 0;  // or when an attempt was sent to the idle server
+  // Used by Health.
+  double latency_ratio = 1;     // latency divided by the usual latency of the class
+  std::vector<double> refused;  // by class: share of recent requests that it refused
+  double error_rate = 0;        // share of recent requests that failed
+  int consecutive_failures = 0;
+  Micros last_success_at = 0;       // when it last responded within the latency target
+  Micros connection_failed_at = 0;  // when a connection last broke or could not be established
+  Micros ejected_until = 0;         // then one attempt at a time while consecutive_failures > 0
+  // Used by Admission.
+  std::uint64_t counted_streak = 0;  // the last streak in which it was counted
+  // Used by ColdStart.
+  double cold_start_credit = 0;       // attempts that it may still be sent during warm-up
+  std::int64_t served_at_refill = 0;  // value of ColdStart::served_ at the last refill
 };
 
-// Servers that share a ring. Own zone and elsewhere where crossing is priced, else all in one.
+// Servers that share a ring: own zone and other zones if crossing has a cost, otherwise all in the first.
 struct Pool {
-  std::vector<Server*> ring;  // healthy ones by id
-  std::size_t offset = 0;     // where the window begins
-  int out = 0;                // own attempts in flight
-  double out_peak = 0;        // their fading peak
-  double elapsed = 0;         // usual time of an answer, in microseconds
+  std::vector<Server*> ring;  // healthy servers, sorted by id
+  std::size_t window_start = 0;
+  int in_flight = 0;          // this sidecar's attempts
+  double peak_in_flight = 0;  // decaying peak
+  double usual_latency = 0;   // average, in microseconds
   zones::Capacity capacity;
 
-  Server& InWindow(std::size_t i) const { return *ring[(offset + i) % ring.size()]; }
+  Server& InWindow(std::size_t i) const { return *ring[(window_start + i) % ring.size()]; }
 };
 using Pools = std::array<Pool, 2>;
 
 struct Attempt {
-  Server* server = nullptr;  // to be followed only while the attempt is out: the list may drop the server
+  Server* server = nullptr;  // valid only while in flight: the list may drop the server
   int zone = -1;
   std::int64_t cell = -1;
   Micros sent = 0;
-  bool out = true;
-  bool felt = false;         // that it is late has been taken as pressure already
-  bool may_have_run = true;  // until an outcome proves that it did not
+  bool in_flight = true;
+  bool late_counted = false;  // lateness has already been reported to Admission
+  bool may_have_run = true;   // until an outcome proves otherwise
 };
 
-struct Held {  // a request, from its arrival until its last attempt is resolved
+struct ActiveRequest {  // from arrival until the last attempt has ended
   std::size_t request_class = 0;
-  int protocol = 0;   // the protocol that it goes by
-  bool late = false;  // its client has waited past the aim already, over earlier tries
+  int protocol = 0;
+  bool past_target = false;  // earlier tries of the client already took longer than the latency target
   std::size_t pool = 0;
-  Micros arrived = 0;
+  Micros arrived_at = 0;
   Micros deadline = 0;
-  bool uploading = false;  // its last byte has not come: nothing is late yet
+  bool uploading = false;  // the body is incomplete; no timeout applies yet
   bool ended = false;
-  bool cancelled = false;  // what was out at its end is called off
-  int refusals = 0;
-  Cause obstacle = Cause::kNoServer;  // the last thing that stood in its way
-  std::uint64_t timer = 0;            // the one that is awaited; 0 = none
-  std::uint64_t warm = 0;             // hash of the key that servers keep warm; 0 = none
-  std::string key;                    // of the line in which it waits for its turn; empty = free
-  Micros settled_at = 0;  // it keeps the turn until then, as a doubtful attempt may still be running
+  bool cancelled = false;  // its attempts in flight have been cancelled
+  int retries = 0;
+  Cause last_cause = Cause::kNoServer;  // last obstacle met
+  std::uint64_t timer = 0;              // token of the pending timer; 0 = none
+  std::uint64_t affinity_hash = 0;      // hash of the key for affinity; 0 = none
+  std::string key;                      // whose queue it is in; empty = none
+  Micros key_held_until = 0;            // blocks its key until then, as an attempt may still be running
   std::vector<Attempt> attempts;
 
-  bool AnyOut() const {
-    return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; });
+  bool AnyInFlight() const {
+    return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.in_flight; });
   }
-  // The first attempt that may have run: it decides what may still be done.
+  // The first attempt that may have been executed; it restricts retries.
   const Attempt* MayHaveRun() const {
     for (const Attempt& a : attempts)
       if (a.may_have_run) return &a;
@@ -100,24 +98,24 @@
   }
 };
 
-// One a module, referred to by every decision in it.
-struct Common {
-  Common(const Settings& settings, std::uint64_t seed, Micros start)
+// Shared by all policies of a balancer.
+struct PolicyContext {
+  PolicyContext(const Settings& settings, std::uint64_t seed, Micros start)
       : set(settings),
         random(seed),
         now(start),
         zones([this](Micros most) { return random.Upto(most); }, settings.warmup_time, settings.sidecar_index,
               settings.sidecar_count) {}
-  Common(const Common&) = delete;
-  Common& operator=(const Common&) = delete;
+  PolicyContext(const PolicyContext&) = delete;
+  PolicyContext& operator=(const PolicyContext&) = delete;
 
-  const RequestClass& ClassOf(const Held& held) const { return set.classes[held.request_class]; }
-  // What can be reached has changed: it is reckoned again before the next request.
-  void ExpireCapacity() {
-    for (Pool& pool : pools) pool.capacity.Expire();
+  const RequestClass& ClassOf(const ActiveRequest& active) const { return set.classes[active.request_class]; }
+  // The reachable capacity is recomputed before the next request.
+  void InvalidateCapacity() {
+    for (Pool& pool : pools) pool.capacity.Invalidate();
   }
 
-  Settings set;  // as told at the start, but for the rank and the siblings
+  Settings set;  // sidecar_index and sidecar_count follow the server list
   Random random;
   Micros now;
   Pools pools;
--- a/src/policy/requests.hpp
+++ b/src/policy/requests.hpp
@@ -1,5 +1,4 @@
-// The life of a request in the module: arrival, choice of a server, outcome, wait, end. Puts the decisions
-// together.
+// Request lifecycle: arrival, server selection, outcome, retry and end.
 #ifndef MERLINRUN_POLICY_REQUESTS_HPP_
 #define MERLINRUN_POLICY_REQUESTS_HPP_
 
@@ -8,7 +7,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "membership/asking.hpp"
+#include "membership/list_retry.hpp"
 #include "policy/admission.hpp"
 #include "policy/choice.hpp"
 #include "policy/cold_start.hpp"
@@ -22,7 +21,7 @@
  public:
   Requests(const Settings& settings, std::uint64_t seed, Micros now, ActionSink& sink);
 
-  // The events of Balancer; each is preceded by Advance with its time.
+  // Event handlers of Balancer; Advance sets the time of each event first.
   void Advance(Micros now);
   void OnServers(const ListUpdate& update);
   void OnRequest(const Request& request);
@@ -30,41 +29,41 @@
   void OnOutcome(const Outcome& outcome);
   void OnClientGone(std::string_view request);
   void OnTimer(std::uint64_t token);
-  void OnZonePeerReport(const ZonePeerReport& told);
+  void OnZonePeerReport(const ZonePeerReport& report);
 
-  std::size_t size() const { return held_.size(); }
+  std::size_t size() const { return requests_.size(); }
 
- protected:  // for whoever explains what is believed
-  Common c_;
+ protected:  // for snapshots
+  PolicyContext c_;
   ColdStart cold_start_{c_};
-  Servers servers_{c_};
+  ServerList servers_{c_};
   Admission admission_{c_, cold_start_};
 
  private:
-  using HeldIt = std::unordered_map<std::string, Held>::iterator;
-  static constexpr std::uint64_t kAskToken = 0;
+  using RequestIt = std::unordered_map<std::string, ActiveRequest>::iterator;
+  static constexpr std::uint64_t kListTimerToken = 0;
 
-  bool HasTurn(HeldIt it) const;
-  void SendOrWait(HeldIt it);
-  Micros TimeOut(const Held& held) const;
-  void SeeZone(Server& server, Result result);
-  void FeelLate(Held& held);
-  void Wait(HeldIt it);
-  void Alarm(HeldIt it, Micros wait);
-  void End(HeldIt it);
-  void CancelRest(HeldIt it);
-  void Release(HeldIt it);
+  bool IsFirstForKey(RequestIt it) const;
+  void SendOrWait(RequestIt it);
+  Micros AttemptTimeout(const ActiveRequest& active) const;
+  void UpdateZone(Server& server, Result result);
+  void OnTargetMissed(ActiveRequest& active);
+  void RetryLater(RequestIt it);
+  void StartTimer(RequestIt it, Micros wait);
+  void End(RequestIt it);
+  void CancelInFlight(RequestIt it);
+  void EraseIfDone(RequestIt it);
 
   ActionSink& sink_;
   Health health_{c_};
-  Choice choice_{c_, health_, cold_start_};
-  std::vector<Micros> longest_budget_;  // by class, of its tries: a shorter one is what is left of a deadline
-  std::unordered_map<std::string, Held> held_;  // looked up, never walked
+  ServerSelector selector_{c_, health_, cold_start_};
+  std::vector<Micros> longest_budget_;  // by class; a shorter budget marks a retry by the client
+  std::unordered_map<std::string, ActiveRequest> requests_;  // lookup only, never iterated
   std::unordered_map<std::uint64_t, std::string> timers_;
-  std::uint64_t last_timer_ = kAskToken;
-  // Request ids by key; looked up, never walked.
-  std::unordered_map<std::string, std::deque<std::string>> lines_;
-  membership::Asking asking_{[this](Micros most) { return c_.random.Upto(most); }};
+  std::uint64_t last_timer_ = kListTimerToken;
+  // Request ids in order of arrival, by key.
+  std::unordered_map<std::string, std::deque<std::string>> key_queues_;
+  membership::ListRetry list_retry_{[this](Micros most) { return c_.random.Upto(most); }};
 };
 
 }  // namespace merlinrun
--- a/src/policy/retry.hpp
+++ b/src/policy/retry.hpp
@@ -1,4 +1,4 @@
-// Whether a request may be tried again, where, and after which wait.
+// Retry rules: whether, where and when a request may be sent again.
 #ifndef MERLINRUN_POLICY_RETRY_HPP_
 #define MERLINRUN_POLICY_RETRY_HPP_
 
@@ -7,25 +7,24 @@
 
 namespace merlinrun {
 
-// The one place that says which outcomes prove that the attempt never ran. Some servers also turn away what
-// they had begun: their refusal proves nothing.
+// Whether the attempt was certainly not executed. A refusal proves that only if servers refuse before
+// execution.
 bool ProvesNeverRan(Result result, bool refused_may_have_run);
-// Whether another server may be tried at once: nothing says that this request is at fault.
-bool AnotherMayAnswer(Result result);
-Cause ObstacleOf(Result result);
-// The design's wait before the next attempt, n having been refused: full jitter, doubling.
+// Whether the failure does not depend on the request itself.
+bool MayTryAnother(Result result);
+Cause CauseOf(Result result);
+// Delay before the next attempt after n retries: exponential backoff with jitter.
 Micros RetryWait(const Tuning& tuning, int n, Random& random);
-// After so many refusals no more is tried.
-int MostAttempts(const Settings& set);
-// Whether an attempt is given up at its request's aim: its answer would be worth nothing from then on. Guards
-// against servers kept busy with what comes late, and tells early of those that hang.
-bool GivenUpAtAim(const RequestClass& c);
-// Whether what may have run can be sent again at all.
-bool MayRepeat(const Held& held, const RequestClass& c, Micros now);
-// Whether this server would drop the repeat, if there was an attempt that may have run.
-bool InGroup(const Held& held, const RequestClass& c, const ServerInfo& server);
-// Whether a refusal's promise is true, that a further try by the client does no harm.
-bool Harmless(const Held& held, const RequestClass& c, Micros now);
+// Attempts per request.
+int AttemptLimit(const Settings& set);
+// Whether late responses have no value, so that attempts time out at the latency target.
+bool TimesOutAtTarget(const RequestClass& c);
+// Whether a request that may have been executed can be sent again.
+bool MayRetry(const ActiveRequest& active, const RequestClass& c, Micros now);
+// Whether the server would recognize a duplicate of the earlier attempt.
+bool InDedupScope(const ActiveRequest& active, const RequestClass& c, const ServerInfo& server);
+// Whether a retry by the client is safe.
+bool ClientMayRetry(const ActiveRequest& active, const RequestClass& c, Micros now);
 
 }  // namespace merlinrun
 
--- a/src/policy/window.hpp
+++ b/src/policy/window.hpp
@@ -1,4 +1,4 @@
-// The list of servers in force, and the window on its ring.
+// The server list, and the window of each sidecar on its ring (deterministic subsetting).
 #ifndef MERLINRUN_POLICY_WINDOW_HPP_
 #define MERLINRUN_POLICY_WINDOW_HPP_
 
@@ -10,22 +10,21 @@
 
 namespace merlinrun {
 
-// Servers in the pool's window.
+// Number of servers in the window of the pool.
 std::size_t Width(const Pool& pool, const Settings& set);
-// How the windows look from a zone.
-zones::Zones::Window WindowOf(int zone, const Common& common);
+// Counts the window servers inside and outside of the zone.
+zones::Zones::Window WindowOf(int zone, const PolicyContext& common);
 
-class Servers {
+class ServerList {
  public:
-  explicit Servers(Common& common) : c_(common) {}
-  // Takes what is told and makes the rings anew; a server that is no longer listed is kept while an attempt
-  // is out at it.
+  explicit ServerList(PolicyContext& common) : c_(common) {}
+  // Applies the update and rebuilds the rings. Keeps unlisted servers while attempts are in flight.
   void Apply(const ListUpdate& update, ColdStart& cold_start);
   const std::map<std::string, Server>& all() const { return servers_; }
 
  private:
-  Common& c_;
-  std::map<std::string, Server> servers_;  // sorted: the ring's order; nodes stay put
+  PolicyContext& c_;
+  std::map<std::string, Server> servers_;  // in ring order; pointers to its elements stay valid
 };
 
 }  // namespace merlinrun
--- a/src/zones/capacity.hpp
+++ b/src/zones/capacity.hpp
@@ -1,5 +1,5 @@
-// How much of what usually serves can be reached now, as one plain figure for the module. Counted in warm
-// servers: a cold one counts by its warmth, one in a zone that is left not at all. No I/O, no clock.
+// Share of the usual server capacity that is currently reachable. Servers count by their warm-up progress;
+// those in ejected zones do not count.
 #ifndef MERLINRUN_ZONES_CAPACITY_HPP_
 #define MERLINRUN_ZONES_CAPACITY_HPP_
 
@@ -12,32 +12,30 @@
 
 class Capacity {
  public:
-  // It is reckoned again after this time at the latest: a tenth of the quickest warm-up met moves it by 5%.
-  static constexpr Micros kEvery = 50'000;
+  // Maximum age of the value.
+  static constexpr Micros kRefreshInterval = 50'000;
 
-  bool Due(Micros now) const { return due_ || now - at_ >= kEvery; }
-  // The next figure is needed at once: the list or a zone's stage has changed.
-  void Expire() { due_ = true; }
+  bool NeedsRefresh(Micros now) const { return due_ || now - at_ >= kRefreshInterval; }
+  // Forces a refresh: the server list or a zone stage has changed.
+  void Invalidate() { due_ = true; }
 
-  void Set(Micros now, double servers) {
-    // What is usual is the most that there was, forgotten over kUsual: fleets are made smaller on purpose
-    // too.
-    const double faded = at_ < 0 ? 0 : usual_ * std::exp(-static_cast<double>(now - at_) / kUsual);
+  void Update(Micros now, double servers) {
+    // The usual capacity is the maximum, decayed over kUsualDecay as fleets also shrink intentionally.
+    const double faded = at_ < 0 ? 0 : usual_ * std::exp(-static_cast<double>(now - at_) / kUsualDecay);
     usual_ = std::max(servers, faded);
-    now_reached_ = servers;
+    reachable_ = servers;
     at_ = now;
     due_ = false;
   }
-  // 0 to 1; 1 before the first figure.
-  double Share() const { return usual_ > 0 ? now_reached_ / usual_ : 1; }
+  // From 0 to 1; 1 before the first update.
+  double Share() const { return usual_ > 0 ? reachable_ / usual_ : 1; }
 
  private:
-  // Longer than any loss of a zone that was met (the list's own delay, an outage, the warm-up), so that the
-  // loss itself is not taken for usual before it is over.
-  static constexpr double kUsual = 60e6;
+  // Longer than an outage, so that reduced capacity does not become the usual value during it.
+  static constexpr double kUsualDecay = 60e6;
   bool due_ = true;
   Micros at_ = -1;
-  double now_reached_ = 0;
+  double reachable_ = 0;
   double usual_ = 0;
 };
 
--- a/src/zones/orders.cpp
+++ b/src/zones/overrides.cpp
@@ -1,4 +1,4 @@
-#include "zones/orders.hpp"
+#include "zones/overrides.hpp"
 
 #include <algorithm>
 
--- a/src/zones/zones.cpp
+++ b/src/zones/zones.cpp
@@ -8,68 +8,67 @@
 namespace merlinrun::zones {
 namespace {
 
-// So many distinct servers without a way to them, and no answer in between, are their zone's loss. Where
-// three servers in ten are gone by themselves, three dead ones in a row come once in forty tries and are
-// undone by the next trial; two come once in ten.
-constexpr std::size_t kDeadLeft = 3;
-// A window that holds fewer servers of the zone than this says nothing of it.
-constexpr std::size_t kLeastSeen = 2;
-// A zone is left only if this share of the window stands elsewhere. Under it suspicion would empty the fleet.
-constexpr double kLeastLeft = 0.25;
-// Silence is evidence only where none of the zone's servers has answered anything for so long: several usual
-// times of an answer. Guards against taking dear requests, or a network that stood for a moment, for a loss.
-constexpr Micros kSilentFor = 500'000;
-// The wait before a trial is random(0, min(cap, base * 2^n)), n being losses and failed trials in a row. The
-// cap bounds how late a return is found where no list tells it.
-constexpr Micros kTrialBase = 500'000;
-constexpr Micros kTrialCap = 4'000'000;
+// Distinct servers that must fail without a response in between. Lower values would eject zones in which only
+// some servers are down.
+constexpr std::size_t kDeadToEject = 3;
+// Evidence from a window with fewer servers of the zone is ignored.
+constexpr std::size_t kMinWindowServers = 2;
+// A zone is ejected only if at least this share of the window is in other zones.
+constexpr double kMinRemainingShare = 0.25;
+// Timeouts are evidence only if no server of the zone has responded for this long. Guards against slow
+// requests and short network interruptions.
+constexpr Micros kSilenceThreshold = 500'000;
+// Backoff before a probe: random(0, min(cap, base * 2^n)) after n consecutive ejections and failed probes.
+// The cap bounds the time to detect a recovery.
+constexpr Micros kProbeBase = 500'000;
+constexpr Micros kProbeCap = 4'000'000;
 
-// Where a quorum is answered by a zone that this sidecar finds dead, it takes so many times the evidence to
-// leave it: by chance dead servers come in a row.
-constexpr std::size_t kDoubt = 2;
-// Witnesses of its loss that stand for most of the evidence, or for all of it, and how many times those who
-// were just answered there they have to be. In a zone with three dead servers in eight five sidecars in a row
-// meet those alone once in a hundred and thirty times, eight once in two thousand.
-constexpr int kMany = 5;
-constexpr int kMost = 8;
-constexpr int kAgainst = 8;
-// A zone that answered this sidecar so lately is not left without a sign of its own.
-constexpr Micros kAnsweredLately = 500'000;
-// Where others are heard so many of the fleet try a zone that is left in each round, by a hash of their
-// numbers and the round: what they meet is told to the others. Guards against a hundred sidecars that knock
-// at a zone that is just starting. One that is never chosen, or hears nothing of it, tries after kTurnMost.
-constexpr std::uint64_t kTriers = 3;
-constexpr Micros kRound = 1'000'000;
-constexpr Micros kTurnMost = 16'000'000;
-// Once a quorum is back the others try within this time, each at its own moment.
-constexpr Micros kFollow = 1'000'000;
+// Factor on the evidence needed while a quorum of peers has responses from the zone.
+constexpr std::size_t kDoubtFactor = 2;
+// Peer reports of a loss that replace most or all of the own evidence, and their minimum ratio to peers with
+// responses. Fewer could come from partial failures of a zone.
+constexpr int kManyReports = 5;
+constexpr int kOverwhelmingReports = 8;
+constexpr int kLostToHealthyRatio = 8;
+// A zone that responded this recently is not ejected without own evidence.
+constexpr Micros kRecentResponse = 500'000;
+// While peers report, this many sidecars probe an ejected zone in each round, chosen by hash, so that a
+// starting zone is not flooded. After kMaxProbeWait a sidecar probes in any case.
+constexpr std::uint64_t kProbersPerRound = 3;
+constexpr Micros kProbeRound = 1'000'000;
+constexpr Micros kMaxProbeWait = 16'000'000;
+// Once a quorum has returned, the others probe at random within this time.
+constexpr Micros kReturnSpread = 1'000'000;
 
 }  // namespace
 
-Sign SignOf(Result result) {
+Evidence EvidenceOf(Result result) {
   switch (result) {
     case Result::kSuccess:
     case Result::kError:
     case Result::kRefused:
-      return Sign::kAnswer;
+      return Evidence::kResponse;
     case Result::kUnreachable:
     case Result::kReset:
-      return Sign::kNoWay;
+      return Evidence::kNoConnection;
     case Result::kTimeout:
-      return Sign::kSilent;
+      return Evidence::kNoResponse;
     case Result::kCancelled:
     case Result::kNeverSent:
-      return Sign::kNothing;
+      return Evidence::kIgnored;
   }
-  return Sign::kNothing;
+  return Evidence::kIgnored;
 }
 
-Zones::Zones(Draw draw, Micros warm_after, std::uint32_t rank, std::uint32_t siblings)
-    : draw_(std::move(draw)), warm_after_(warm_after), rank_(rank), siblings_(siblings) {}
+Zones::Zones(Draw draw, Micros warmup_time, std::uint32_t sidecar_index, std::uint32_t sidecar_count)
+    : draw_(std::move(draw)),
+      warmup_time_(warmup_time),
+      sidecar_index_(sidecar_index),
+      sidecar_count_(sidecar_count) {}
 
 void Zones::Enter(Micros now, Zone& zone, Stage stage) {
   zone.stage = stage;
-  zone.began = now;
+  zone.stage_since = now;
 }
 
 const Zones::Zone* Zones::Find(int zone) const {
@@ -80,168 +79,175 @@
 void Zones::OnSent(Micros now, int id) {
   if (id < 0) return;
   Zone& zone = zones_[id];
-  ++zone.out;
-  if (zone.stage == Stage::kEjected && now >= zone.tried_from) Enter(now, zone, Stage::kProbing);
+  ++zone.in_flight;
+  if (zone.stage == Stage::kEjected && now >= zone.probe_after) Enter(now, zone, Stage::kProbing);
 }
 
-bool Zones::OnOutcome(Micros now, int id, std::uint64_t server, Sign sign, const Window& window) {
+bool Zones::OnOutcome(Micros now, int id, std::uint64_t server, Evidence evidence, const Window& window) {
   if (id < 0) return false;
   Zone& zone = zones_[id];
-  zone.out = std::max(zone.out - 1, 0);
-  if (zone.stage == Stage::kReturning && now - zone.returned_at >= warm_after_) {
+  zone.in_flight = std::max(zone.in_flight - 1, 0);
+  if (zone.stage == Stage::kReturning && now - zone.returned_at >= warmup_time_) {
     Enter(now, zone, Stage::kServing);
-    zone.left_for = 0;
+    zone.backoff = 0;
   }
-  if (sign == Sign::kAnswer) {
-    if (zone.dead.size() >= kDeadLeft) ForgiveAll();
-    zone.dead.clear();
-    zone.answered_at = now;
-    // What was out when it was ordered to be left may still answer, and changes nothing.
-    const bool ordered = zone.order == ZoneOverride::Kind::kEvacuate;
+  if (evidence == Evidence::kResponse) {
+    if (zone.dead_servers.size() >= kDeadToEject) ClearEvidence();
+    zone.dead_servers.clear();
+    zone.last_response_at = now;
+    // Responses to attempts sent before an evacuation change nothing.
+    const bool ordered = zone.override_kind == ZoneOverride::Kind::kEvacuate;
     const bool back = !ordered && IsEjected(zone.stage);
     if (back) {
       Enter(now, zone, Stage::kReturning);
-      // It joins at the stage of those that are back already: the servers are as warm for it as for them.
-      zone.returned_at = now - Told(now, zone).returned_for;
+      // Starts with the warm-up progress reported by the peers.
+      zone.returned_at = now - CurrentReport(now, zone).returned_for;
       ++epoch_;
     } else if (zone.stage == Stage::kSuspected) {
       Enter(now, zone, Stage::kServing);
     }
     bool another = false;
-    for (auto& [other, suspect] : zones_) another |= other != id && LeaveIfLost(now, suspect);
+    for (auto& [other, suspect] : zones_) another |= other != id && EjectIfLost(now, suspect);
     return back || another;
   }
-  if (zone.stage == Stage::kProbing) {  // whatever it was, it was no answer
-    Leave(now, zone);
+  if (zone.stage == Stage::kProbing) {  // the probe failed
+    Eject(now, zone);
     return false;
   }
-  return Suspect(now, zone, server, sign, window);
+  return Suspect(now, zone, server, evidence, window);
 }
 
 bool Zones::OnLate(Micros now, int id, std::uint64_t server, const Window& window) {
-  return id >= 0 && Suspect(now, zones_[id], server, Sign::kSilent, window);
+  return id >= 0 && Suspect(now, zones_[id], server, Evidence::kNoResponse, window);
 }
 
-bool Zones::Suspect(Micros now, Zone& zone, std::uint64_t server, Sign sign, const Window& window) {
-  if (sign == Sign::kNothing || IsEjected(zone.stage)) return false;
-  if (sign == Sign::kSilent && now - zone.answered_at < kSilentFor) return false;
-  if (zone.dead.empty()) zone.suspected_at = now;
-  zone.dead_at = now;
-  if (zone.dead.size() < std::max(kDeadLeft, Needed(now, zone)) &&
-      std::find(zone.dead.begin(), zone.dead.end(), server) == zone.dead.end())
-    zone.dead.push_back(server);
+bool Zones::Suspect(Micros now, Zone& zone, std::uint64_t server, Evidence evidence, const Window& window) {
+  if (evidence == Evidence::kIgnored || IsEjected(zone.stage)) return false;
+  if (evidence == Evidence::kNoResponse && now - zone.last_response_at < kSilenceThreshold) return false;
+  if (zone.dead_servers.empty()) zone.suspected_at = now;
+  zone.last_failure_at = now;
+  if (zone.dead_servers.size() < std::max(kDeadToEject, DeadServersNeeded(now, zone)) &&
+      std::find(zone.dead_servers.begin(), zone.dead_servers.end(), server) == zone.dead_servers.end())
+    zone.dead_servers.push_back(server);
   if (zone.stage == Stage::kServing) Enter(now, zone, Stage::kSuspected);
   zone.window = window;
-  return LeaveIfLost(now, zone);
+  return EjectIfLost(now, zone);
 }
 
 void Zones::OnListed(Micros now, int id, std::uint64_t server, bool started) {
   const auto it = zones_.find(id);
   if (it == zones_.end()) return;
-  std::erase(it->second.dead, server);
+  std::erase(it->second.dead_servers, server);
   if (started && it->second.stage == Stage::kEjected)
-    it->second.tried_from = std::min(it->second.tried_from, now);
+    it->second.probe_after = std::min(it->second.probe_after, now);
 }
 
-// A zone that was as good as lost answers: the trouble was this sidecar's own, and what was seen of the other
-// zones meanwhile was the same.
-void Zones::ForgiveAll() {
-  for (auto& [id, zone] : zones_) zone.dead.clear();
+// The connectivity of this sidecar was at fault, so the failures in other zones prove nothing either.
+void Zones::ClearEvidence() {
+  for (auto& [id, zone] : zones_) zone.dead_servers.clear();
 }
 
-bool Zones::OnTold(Micros now, const ZonePeerReport& told, const Window& window) {
-  if (told.zone < 0) return false;
-  Zone& zone = zones_[told.zone];
-  zone.told = told;
-  zone.told_at = now;
+bool Zones::OnPeerReport(Micros now, const ZonePeerReport& report, const Window& window) {
+  if (report.zone < 0) return false;
+  Zone& zone = zones_[report.zone];
+  zone.peer_report = report;
+  zone.report_at = now;
   zone.window = window;
-  if (zone.stage == Stage::kEjected && told.reporting_healthy >= kQuorum && !std::exchange(zone.called, true))
-    zone.tried_from = std::min(zone.tried_from, now + draw_(kFollow));
-  return LeaveIfLost(now, zone);
+  if (zone.stage == Stage::kEjected && report.reporting_healthy >= kQuorum &&
+      !std::exchange(zone.probe_hastened, true))
+    zone.probe_after = std::min(zone.probe_after, now + draw_(kReturnSpread));
+  return EjectIfLost(now, zone);
 }
 
-void Zones::OnOrders(Micros now, std::span<const ZoneOverride> orders) {
+void Zones::OnOverrides(Micros now, std::span<const ZoneOverride> overrides) {
   std::map<int, ZoneOverride::Kind> kinds;
-  for (const ZoneOverride& order : orders) kinds[order.zone] = order.kind;
+  for (const ZoneOverride& override_entry : overrides) kinds[override_entry.zone] = override_entry.kind;
   for (const auto& [id, kind] : kinds) zones_.try_emplace(id);
   for (auto& [id, zone] : zones_) {
     const auto it = kinds.find(id);
     const ZoneOverride::Kind before =
-        std::exchange(zone.order, it == kinds.end() ? ZoneOverride::Kind::kNone : it->second);
-    if (before == zone.order) continue;
+        std::exchange(zone.override_kind, it == kinds.end() ? ZoneOverride::Kind::kNone : it->second);
+    if (before == zone.override_kind) continue;
     const bool left = IsEjected(zone.stage);
-    if (zone.order == ZoneOverride::Kind::kEvacuate && !left) {
-      Leave(now, zone);
+    if (zone.override_kind == ZoneOverride::Kind::kEvacuate && !left) {
+      Eject(now, zone);
       ++epoch_;
     } else if (left) {
-      zone.tried_from = now;
+      zone.probe_after = now;
     }
   }
 }
 
-ZonePeerReport Zones::Told(Micros now, const Zone& zone) const {
-  return now - zone.told_at < kToldFor ? zone.told : ZonePeerReport();
+ZonePeerReport Zones::CurrentReport(Micros now, const Zone& zone) const {
+  return now - zone.report_at < kReportLifetime ? zone.peer_report : ZonePeerReport();
 }
 
-// Servers that have to be found dead before the zone is left: one where others have found most of it out,
-// none where they have found out all and the zone has said nothing to this sidecar either.
-std::size_t Zones::Needed(Micros now, const Zone& zone) const {
-  const ZonePeerReport told = Told(now, zone);
-  if (told.reporting_lost >= kMany && told.reporting_lost >= kAgainst * told.reporting_healthy)
-    return told.reporting_lost >= kMost && now - zone.answered_at >= kAnsweredLately ? 0 : 1;
-  return told.reporting_healthy >= kQuorum && told.reporting_lost < kQuorum ? kDoubt * kDeadLeft : kDeadLeft;
+// Number of failed servers needed for ejection, reduced by the reports of many peers.
+std::size_t Zones::DeadServersNeeded(Micros now, const Zone& zone) const {
+  const ZonePeerReport report = CurrentReport(now, zone);
+  if (report.reporting_lost >= kManyReports &&
+      report.reporting_lost >= kLostToHealthyRatio * report.reporting_healthy)
+    return report.reporting_lost >= kOverwhelmingReports && now - zone.last_response_at >= kRecentResponse
+               ? 0
+               : 1;
+  return report.reporting_healthy >= kQuorum && report.reporting_lost < kQuorum ? kDoubtFactor * kDeadToEject
+                                                                                : kDeadToEject;
 }
 
-// A zone is lost if enough of its servers are, if another zone has answered since the first of them (else
-// this sidecar's own link may be the trouble, and nobody is accused), and if enough stands elsewhere.
-bool Zones::LeaveIfLost(Micros now, Zone& zone) {
+// Requires enough failed servers, a response from another zone since the first failure (otherwise this
+// sidecar may be disconnected), and enough servers in other zones.
+bool Zones::EjectIfLost(Micros now, Zone& zone) {
   if (IsEjected(zone.stage)) return false;
-  if (zone.order == ZoneOverride::Kind::kKeep) return false;
+  if (zone.override_kind == ZoneOverride::Kind::kKeep) return false;
   const Window& w = zone.window;
-  const std::size_t needed = Needed(now, zone);
-  if (w.here == 0 || (needed > 0 && w.here < kLeastSeen) || zone.dead.size() < std::min(needed, w.here))
+  const std::size_t needed = DeadServersNeeded(now, zone);
+  if (w.here == 0 || (needed > 0 && w.here < kMinWindowServers) ||
+      zone.dead_servers.size() < std::min(needed, w.here))
     return false;
   const auto all = static_cast<double>(w.here + w.elsewhere);
-  if (static_cast<double>(w.elsewhere) < kLeastLeft * all) return false;
-  Micros since = zone.dead.empty() ? now : zone.suspected_at;
-  // Where many others say the same the trouble is not this sidecar's own, if it was answered at all just now.
-  if (needed < kDeadLeft) since = std::min(since, now - kToldFor);
-  if (!AnotherAnswered(zone, since)) return false;
-  Leave(now, zone);
+  if (static_cast<double>(w.elsewhere) < kMinRemainingShare * all) return false;
+  Micros since = zone.dead_servers.empty() ? now : zone.suspected_at;
+  // With many reports a recent response from another zone is sufficient.
+  if (needed < kDeadToEject) since = std::min(since, now - kReportLifetime);
+  if (!AnotherZoneResponded(zone, since)) return false;
+  Eject(now, zone);
   ++epoch_;
   return true;
 }
 
-void Zones::Leave(Micros now, Zone& zone) {
+void Zones::Eject(Micros now, Zone& zone) {
   Enter(now, zone, Stage::kEjected);
-  zone.called = false;
-  zone.left_for = std::clamp(2 * zone.left_for, kTrialBase, kTrialCap);
-  zone.tried_from = now + draw_(zone.left_for);
+  zone.probe_hastened = false;
+  zone.backoff = std::clamp(2 * zone.backoff, kProbeBase, kProbeCap);
+  zone.probe_after = now + draw_(zone.backoff);
 }
 
-bool Zones::AnotherAnswered(const Zone& than, Micros since) const {
+bool Zones::AnotherZoneResponded(const Zone& than, Micros since) const {
   return std::any_of(zones_.begin(), zones_.end(), [&](const auto& entry) {
-    return &entry.second != &than && entry.second.answered_at >= since;
+    return &entry.second != &than && entry.second.last_response_at >= since;
   });
 }
 
-bool Zones::MayTry(Micros now, int id) const {
+bool Zones::MaySend(Micros now, int id) const {
   const Zone* zone = Find(id);
   if (zone == nullptr || !IsEjected(zone->stage)) return true;
-  if (zone->order == ZoneOverride::Kind::kEvacuate) return false;
-  return now >= zone->tried_from && zone->out == 0 && MyTurn(now, id, *zone);
+  if (zone->override_kind == ZoneOverride::Kind::kEvacuate) return false;
+  return now >= zone->probe_after && zone->in_flight == 0 && IsMyProbeRound(now, id, *zone);
 }
 
-bool Zones::MyTurn(Micros now, int id, const Zone& zone) const {
-  const ZonePeerReport told = Told(now, zone);
-  if (told.reporting < kQuorum || told.reporting_healthy >= kQuorum || now - zone.began >= kTurnMost)
+bool Zones::IsMyProbeRound(Micros now, int id, const Zone& zone) const {
+  const ZonePeerReport report = CurrentReport(now, zone);
+  if (report.reporting < kQuorum || report.reporting_healthy >= kQuorum ||
+      now - zone.stage_since >= kMaxProbeWait)
     return true;
-  if (zone.began / kRound == now / kRound) return false;  // it has left it, or tried it, in this round
-  const auto round = static_cast<std::uint64_t>(now / kRound);
-  return MixBits(MixBits(round << 20 ^ static_cast<std::uint64_t>(id)) ^ rank_) % siblings_ < kTriers;
+  if (zone.stage_since / kProbeRound == now / kProbeRound)
+    return false;  // already ejected or probed in this round
+  const auto round = static_cast<std::uint64_t>(now / kProbeRound);
+  return MixBits(MixBits(round << 20 ^ static_cast<std::uint64_t>(id)) ^ sidecar_index_) % sidecar_count_ <
+         kProbersPerRound;
 }
 
-bool Zones::Left(int id) const {
+bool Zones::IsZoneEjected(int id) const {
   const Zone* zone = Find(id);
   return zone != nullptr && IsEjected(zone->stage);
 }
@@ -249,7 +255,7 @@
 Micros Zones::ReturnedAt(Micros now, int id) const {
   const Zone* zone = Find(id);
   const bool young =
-      zone != nullptr && zone->stage == Stage::kReturning && now - zone->returned_at < warm_after_;
+      zone != nullptr && zone->stage == Stage::kReturning && now - zone->returned_at < warmup_time_;
   return young ? zone->returned_at : 0;
 }
 
@@ -262,11 +268,12 @@
 std::vector<BalancerSnapshot::Zone> Zones::TakeSnapshot(Micros now) const {
   std::vector<BalancerSnapshot::Zone> out;
   for (const auto& [id, zone] : zones_) {
-    // A stage of warming up that is over has become serving without a move: its time tells that.
-    const Micros in_stage = now - zone.began;
-    const Micros seen = std::max(zone.answered_at, zone.dead.empty() ? -1 : zone.dead_at);
-    out.push_back(
-        {id, StageOf(now, id), in_stage, zone.dead.size(), seen < 0 ? -1 : now - seen, Told(now, zone)});
+    // A returning zone becomes serving when its warm-up time has passed.
+    const Micros in_stage = now - zone.stage_since;
+    const Micros seen =
+        std::max(zone.last_response_at, zone.dead_servers.empty() ? -1 : zone.last_failure_at);
+    out.push_back({id, StageOf(now, id), in_stage, zone.dead_servers.size(), seen < 0 ? -1 : now - seen,
+                   CurrentReport(now, zone)});
   }
   return out;
 }
--- a/src/zones/zones.hpp
+++ b/src/zones/zones.hpp
@@ -1,13 +1,12 @@
-// Which zone is left, tried again and returned to, by what this sidecar's own attempts met there. Pools the
-// evidence of all servers of a zone: a sidecar that has lost three of them need not find out the other
-// twenty by requests that die. States and moves: docs/design/zones.md.
+// Outlier detection and ejection of whole zones, from the outcomes of this sidecar's attempts. It pools the
+// evidence of all servers of a zone, so that a zone outage is detected after a few failures. States:
+// docs/design/zones.md.
 //
-// Free of I/O, clock and randomness of its own: each call brings the time, and waits are drawn by `Draw`.
-// Bounded: a record a zone that was ever named, and in it a few servers at most.
+// Does no I/O and has no clock or random source of its own: each call passes the time, and delays are drawn
+// by `Draw`. Memory is bounded: one record per zone, with a few servers each.
 //
-// It never empties the fleet: a zone is left only while another has answered since, and while at least
-// kLeastLeft of the window stands elsewhere. It says nothing of what may be sent again: that stays with the
-// module's rules.
+// A zone is ejected only if another zone has responded since its failures began and at least
+// kMinRemainingShare of the window is in other zones. Retry rules of requests are not affected.
 #ifndef MERLINRUN_ZONES_ZONES_HPP_
 #define MERLINRUN_ZONES_ZONES_HPP_
 
@@ -22,105 +21,105 @@
 
 namespace merlinrun::zones {
 
-// So many independent witnesses move a decision; fewer move none, so that one that errs or lies is nobody.
+// Number of independent reports that can change a decision; fewer could be faulty.
 inline constexpr int kQuorum = 3;
 
 using Stage = ZoneStage;
-// Left or on trial: nothing goes there but its trials.
+// Ejected or half-open: receives nothing but probes.
 constexpr bool IsEjected(Stage stage) { return stage == Stage::kEjected || stage == Stage::kProbing; }
 
-// What an attempt says of its server's zone.
-enum class Sign {
-  kAnswer,   // of whatever kind: the way there and the process work
-  kNoWay,    // a connection did not come up, or broke
-  kSilent,   // nothing came in time: dear work and lost zones look alike, until nothing at all comes
-  kNothing,  // it was given up by ourselves
+// What the outcome of an attempt shows about the zone of its server.
+enum class Evidence {
+  kResponse,      // of any kind: the network path and the process work
+  kNoConnection,  // could not connect, or the connection broke
+  kNoResponse,    // timed out: the server may be slow or lost
+  kIgnored,       // cancelled or never sent by this sidecar
 };
 
-Sign SignOf(Result result);
+Evidence EvidenceOf(Result result);
 
 class Zones {
  public:
   // Returns a time between 0 and the given one, in microseconds.
   using Draw = std::function<Micros(Micros)>;
-  // Servers of the window: in the zone asked about, and elsewhere in zones that are not left.
+  // Servers of the window in the given zone, and in other zones that are not ejected.
   struct Window {
     std::size_t here = 0;
     std::size_t elsewhere = 0;
   };
 
-  // `warm_after`: for so long a zone that is back counts as just started. `rank` of `siblings`: this
-  // sidecar's number, by which its turn to try a zone comes where others are heard.
-  Zones(Draw draw, Micros warm_after, std::uint32_t rank = 0, std::uint32_t siblings = 1);
+  // `warmup_time`: a returning zone is treated as just started for this long. `sidecar_index` of
+  // `sidecar_count` determines when this sidecar probes a zone while peers report on it.
+  Zones(Draw draw, Micros warmup_time, std::uint32_t sidecar_index = 0, std::uint32_t sidecar_count = 1);
 
-  // An attempt begins at a server of the zone. Zones under 0 are unknown, and nothing is said of them.
+  // An attempt was sent to a server of the zone. Negative zones are unknown and ignored.
   void OnSent(Micros now, int zone);
-  // It is over. True if the zone's stage has changed what may be reached.
-  bool OnOutcome(Micros now, int zone, std::uint64_t server, Sign sign, const Window& window);
-  // It is over its time, and its server has said nothing since it was sent; its outcome still comes. True as
+  // The attempt has ended. Returns true if the set of reachable zones has changed.
+  bool OnOutcome(Micros now, int zone, std::uint64_t server, Evidence evidence, const Window& window);
+  // The attempt is late and its server has not responded since it was sent; its outcome follows. Returns as
   // above.
   bool OnLate(Micros now, int zone, std::uint64_t server, const Window& window);
-  // The list tells that a server of the zone is new, has started again or is gone: what was seen of it is
-  // over. One that has started lets the zone be tried at once.
+  // The server is new, restarted or removed from the list, which clears the evidence about it. A restarted
+  // server lets an ejected zone be probed at once.
   void OnListed(Micros now, int zone, std::uint64_t server, bool started);
 
-  // What other sidecars say of the zone; holds for a second. Never more than advice: this sidecar's own
-  // answers go before it, and under a quorum it changes nothing. True as above.
-  bool OnTold(Micros now, const ZonePeerReport& told, const Window& window);
+  // Stores a peer report for one second. Own responses outweigh it, and below a quorum it has no effect.
+  // Returns as above.
+  bool OnPeerReport(Micros now, const ZonePeerReport& report, const Window& window);
 
-  // The operator's orders go before all else; one that is free again is where it was left, to be tried at
-  // once.
-  void OnOrders(Micros now, std::span<const ZoneOverride> orders);
+  // Replaces the operator overrides, which take precedence. A zone whose override ends may be probed at once.
+  void OnOverrides(Micros now, std::span<const ZoneOverride> overrides);
 
-  // Whether a request may go there now.
-  bool MayTry(Micros now, int zone) const;
-  // Left or on trial: its servers are no part of what can be reached.
-  bool Left(int zone) const;
-  // When it was returned to, if it still counts as just started; 0 = it does not.
+  // Whether a request may be sent there now.
+  bool MaySend(Micros now, int zone) const;
+  // Whether the zone is ejected or half-open.
+  bool IsZoneEjected(int zone) const;
+  // Time of the return if the zone is still treated as just started, else 0.
   Micros ReturnedAt(Micros now, int zone) const;
   Stage StageOf(Micros now, int zone) const;
-  // All that were ever sent to.
+  // All zones that were ever sent to.
   std::vector<BalancerSnapshot::Zone> TakeSnapshot(Micros now) const;
-  // Grows by one with each move of any zone into or out of kLeft, and never falls.
+  // Incremented whenever a zone is ejected or restored.
   std::uint64_t epoch() const { return epoch_; }
 
  private:
   struct Zone {
     Stage stage = Stage::kServing;
-    std::vector<std::uint64_t> dead;  // distinct, met since the last answer; as many as are needed to leave
+    std::vector<std::uint64_t>
+        dead_servers;  // distinct, failed since the last response; at most as many as ejection needs
     Micros suspected_at = 0;
-    Micros answered_at = -1;
-    Micros dead_at = -1;    // the last sign of no way or silence
-    Micros tried_from = 0;  // the wait's end, while it is left
+    Micros last_response_at = -1;
+    Micros last_failure_at = -1;
+    Micros probe_after = 0;  // end of the backoff, while ejected
     Micros returned_at = 0;
-    Micros left_for = 0;  // the longest wait that was drawn from, doubled with each loss
-    Micros began = 0;     // of the stage
-    int out = 0;
-    Window window;  // as of the last sign of no way, or word of others
-    ZoneOverride::Kind order = ZoneOverride::Kind::kNone;
-    ZonePeerReport told;
-    Micros told_at = -kToldFor;
-    bool called = false;  // others are back there, and its trial has been hastened
+    Micros backoff = 0;  // upper bound of the current backoff, doubled by each ejection
+    Micros stage_since = 0;
+    int in_flight = 0;
+    Window window;  // as of the last failure or peer report
+    ZoneOverride::Kind override_kind = ZoneOverride::Kind::kNone;
+    ZonePeerReport peer_report;
+    Micros report_at = -kReportLifetime;
+    bool probe_hastened = false;  // a peer quorum has responses, so the probe was moved forward
   };
 
-  // What was told is forgotten after this time: a sidecar that hears nobody any more decides alone.
-  static constexpr Micros kToldFor = 1'000'000;
+  // Expiry of a peer report; without one this sidecar decides alone.
+  static constexpr Micros kReportLifetime = 1'000'000;
 
   static void Enter(Micros now, Zone& zone, Stage stage);
-  ZonePeerReport Told(Micros now, const Zone& zone) const;
-  std::size_t Needed(Micros now, const Zone& zone) const;
-  bool MyTurn(Micros now, int id, const Zone& zone) const;
-  void ForgiveAll();
-  void Leave(Micros now, Zone& zone);
-  bool Suspect(Micros now, Zone& zone, std::uint64_t server, Sign sign, const Window& window);
-  bool LeaveIfLost(Micros now, Zone& zone);
-  bool AnotherAnswered(const Zone& than, Micros since) const;
+  ZonePeerReport CurrentReport(Micros now, const Zone& zone) const;
+  std::size_t DeadServersNeeded(Micros now, const Zone& zone) const;
+  bool IsMyProbeRound(Micros now, int id, const Zone& zone) const;
+  void ClearEvidence();
+  void Eject(Micros now, Zone& zone);
+  bool Suspect(Micros now, Zone& zone, std::uint64_t server, Evidence evidence, const Window& window);
+  bool EjectIfLost(Micros now, Zone& zone);
+  bool AnotherZoneResponded(const Zone& than, Micros since) const;
   const Zone* Find(int zone) const;
 
   const Draw draw_;
-  const Micros warm_after_;
-  const std::uint32_t rank_;
-  const std::uint32_t siblings_;
+  const Micros warmup_time_;
+  const std::uint32_t sidecar_index_;
+  const std::uint32_t sidecar_count_;
   std::map<int, Zone> zones_;
   std::uint64_t epoch_ = 0;
 };
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -1,4 +1,4 @@
-// The module by failure met.
+// Tests of the balancer, by kind of failure.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -12,7 +12,7 @@
 
 using Kind = Action::Kind;
 
-TEST_F(BalancerTest, SendsAtOnceAndForgetsWhatIsServed) {
+TEST_F(BalancerTest, SendsAtOnceAndErasesServedRequests) {
   Start(MakeSettings(), 20);
   const auto sent = Arrive("r1");
   ASSERT_EQ(sent.size(), 1u);
@@ -21,7 +21,7 @@
   EXPECT_EQ(balancer_->requests_held(), 0u);
 }
 
-TEST_F(BalancerTest, RefusalWaitsThenGoesToAnotherServer) {
+TEST_F(BalancerTest, RetriesARefusalAtAnotherServerAfterABackoff) {
   Start(MakeSettings(), 20);
   const std::string first = Arrive("r1")[0].server;
   const auto wait = Resolve("r1", 0, Result::kRefused);
@@ -33,7 +33,7 @@
   EXPECT_NE(again[0].server, first);
 }
 
-TEST_F(BalancerTest, StopsAtTheAttemptLimitWithARetryAfter) {
+TEST_F(BalancerTest, RefusesWithRetryAfterAtTheAttemptLimit) {
   Settings settings = MakeSettings();
   settings.max_attempts = 3;
   Start(settings, 20);
@@ -53,7 +53,7 @@
   EXPECT_EQ(balancer_->requests_held(), 0u);
 }
 
-TEST_F(BalancerTest, RefusesWhenTheWaitWouldOutrunTheTimeLeft) {
+TEST_F(BalancerTest, RefusesWhenTheBackoffExceedsTheDeadline) {
   Start(MakeSettings(), 20);
   Arrive("r1", 0, 6 * kMs);
   now_ += 5 * kMs;
@@ -62,7 +62,7 @@
   EXPECT_EQ(end[0].kind, Kind::kRefuse);
 }
 
-TEST_F(BalancerTest, AnswersWhenThereIsNoServerAtAll) {
+TEST_F(BalancerTest, RefusesWithoutAnyServer) {
   Start(MakeSettings(), 0);
   auto actions = Arrive("r1");
   while (actions.size() == 1 && actions[0].kind == Kind::kTimer) actions = Fire(actions[0]);
@@ -72,7 +72,7 @@
   EXPECT_EQ(balancer_->requests_held(), 0u);
 }
 
-TEST_F(BalancerTest, NeverRepeatsWhatMustNotRunTwice) {
+TEST_F(BalancerTest, NeverRetriesANonIdempotentRequestThatMayHaveRun) {
   for (const Result result : {Result::kReset, Result::kError, Result::kTimeout, Result::kCancelled}) {
     Start(MakeSettings(), 20);
     Arrive("r", 2);
@@ -80,14 +80,14 @@
     ASSERT_EQ(end.size(), 1u);
     EXPECT_EQ(end[0].kind, Kind::kFail);
   }
-  Arrive("r", 2);  // proven not to have run: may go on
+  Arrive("r", 2);  // certainly not executed, so it may be retried
   const auto wait = Resolve("r", 0, Result::kUnreachable);
   ASSERT_EQ(wait.size(), 1u);
   EXPECT_EQ(wait[0].kind, Kind::kTimer);
 }
 
-// Met on the first days of two deployments: 'full' was taken as proof where it is none.
-TEST_F(BalancerTest, ARefusalThatProvesNothingNeitherRepeatsNorRefuses) {
+// Some servers refuse requests that they had begun to execute.
+TEST_F(BalancerTest, AnAmbiguousRefusalIsNotRetried) {
   Settings settings = MakeSettings();
   settings.refused_may_have_run = true;
   Start(settings, 20);
@@ -97,15 +97,16 @@
   EXPECT_EQ(end[0].kind, Kind::kFail);
 }
 
-// The window may hold no other server of the group: the retry reaches it outside.
-TEST_F(BalancerTest, ARepeatReachesItsGroupOutsideTheWindow) {
+// The window may hold no other server of the dedup scope.
+TEST_F(BalancerTest, ARetryReachesItsDedupScopeOutsideTheWindow) {
   Settings settings = MakeSettings();
   settings.refused_may_have_run = true;
   settings.classes[1].dedup_scope = DedupScope::kCell;
   auto servers = MakeServers(20);
   for (std::size_t i = 0; i < servers.size(); ++i) servers[i].cell = static_cast<std::int64_t>(i % 10);
   Start(settings, 0);
-  List(ListUpdate::Kind::kFull, servers);  // the cell's other server is 10 places on, the window 4 wide
+  List(ListUpdate::Kind::kFull,
+       servers);  // the other server of the cell is 10 positions further on, the window 4 wide
   const std::string first = Arrive("r", 1)[0].server;
   const auto wait = Resolve("r", 0, Result::kRefused);
   ASSERT_EQ(wait[0].kind, Kind::kTimer);
@@ -114,7 +115,7 @@
   EXPECT_EQ(std::abs(std::stoi(again[0].server.substr(1)) - std::stoi(first.substr(1))), 10);
 }
 
-TEST_F(BalancerTest, RequestsOfOneKeyGoOneAtATimeInOrder) {
+TEST_F(BalancerTest, RequestsWithTheSameKeyRunSequentially) {
   Settings settings = MakeSettings();
   settings.classes[0].sequential = true;
   settings.hold_after_uncertain_outcome = 300 * kMs;
@@ -128,7 +129,7 @@
   ASSERT_EQ(next.size(), 1u);
   EXPECT_EQ(next[0].kind, Kind::kSend);
   EXPECT_EQ(next[0].request, "b");
-  // The client of the one in turn leaves: its attempt may be running, and may go on after the reset.
+  // The first client leaves; its attempt may be running until the reset and its hold.
   balancer_->OnClientGone(now_, "b");
   EXPECT_TRUE(sink_.Take().empty());
   const auto settle = Resolve("b", 0, Result::kReset, true);
@@ -144,7 +145,7 @@
   EXPECT_EQ(balancer_->requests_held(), 0u);
 }
 
-TEST_F(BalancerTest, WhoWaitsForATurnIsAnsweredInTime) {
+TEST_F(BalancerTest, ARequestQueuedBehindItsKeyEndsByItsDeadline) {
   Settings settings = MakeSettings();
   settings.classes[2].sequential = true;
   Start(settings, 20);
@@ -154,11 +155,11 @@
   EXPECT_LT(wait[0].time, 1 * kSec);
   const auto end = Fire(wait[0]);
   ASSERT_EQ(end.size(), 1u);
-  EXPECT_EQ(end[0].kind, Kind::kRefuse);  // it never ran
+  EXPECT_EQ(end[0].kind, Kind::kRefuse);  // it was never sent
   EXPECT_EQ(end[0].request, "b");
 }
 
-TEST_F(BalancerTest, RepeatsAKeyedRequestOnlyInItsGroupAndWindow) {
+TEST_F(BalancerTest, RetriesADeduplicatedRequestOnlyInItsScopeAndWindow) {
   Start(MakeSettings(), 20);
   std::map<std::string, int> zone;
   for (const ServerInfo& info : MakeServers(20)) zone[info.id] = info.zone;
@@ -171,7 +172,7 @@
     const auto again = Fire(wait[0]);
     ASSERT_EQ(again[0].kind, Kind::kSend);
     EXPECT_EQ(zone[again[0].server], zone[sent[0].server]);
-    now_ += 3 * kSec;  // past the time that repeats are remembered for
+    now_ += 3 * kSec;  // past the dedup window
     const auto end = Resolve(id, 1, Result::kReset);
     ASSERT_EQ(end.size(), 1u);
     EXPECT_EQ(end[0].kind, Kind::kFail);
@@ -197,9 +198,8 @@
   EXPECT_EQ(used, (std::set<std::string>{"s02", "s03"}));
 }
 
-// Met on an overloaded day: sends far above what servers could do, and a young server's share of them felled
-// it.
-TEST_F(BalancerTest, AYoungServerGetsItsShareOfWhatOthersServe) {
+// Guards against cold servers that get a share of attempts instead of successes, and crash under overload.
+TEST_F(BalancerTest, AColdServerGetsItsShareOfServedRequests) {
   Start(MakeSettings(), 10);
   auto servers = MakeServers(10);
   servers[0].started = now_;
@@ -211,23 +211,22 @@
     const auto sent = Arrive(id);
     if (sent.empty() || sent[0].kind != Kind::kSend) continue;
     if (sent[0].server == "s00") ++young;
-    const bool serve = i % 4 == 0;  // of four sends one is served
+    const bool serve = i % 4 == 0;  // every fourth attempt succeeds
     served += serve;
-    // Its own answers are slow: no sign of room.
+    // Slow responses: no spare capacity.
     const Micros elapsed = (sent[0].server == "s00" ? 200 : 100) * kMs;
     balancer_->OnOutcome(now_, {id, 0, serve ? Result::kSuccess : Result::kError, elapsed, serve, {}});
-    Took();
+    TakeActions();
   }
-  // Three quarters of the multiple that it bears, and a third of what is served as its share: the window is 3
-  // wide.
+  // kOverloadShare of the overload factor, times a third of the successes: the window has 3 servers.
   const double share =
       served / 3.0 * MakeSettings().cold_start_capacity * MakeSettings().overload_factor * 0.75;
-  EXPECT_GT(young, 0.5 * share);  // what is drawn and not chosen is lost
+  EXPECT_GT(young, 0.5 * share);  // the server is not chosen in every draw
   EXPECT_LE(young, 1 + share);
 }
 
-// Met on fleets whose warm half choked: the cold half answered at once and was given no more for it.
-TEST_F(BalancerTest, AYoungServerThatAnswersQuicklyIsGivenTheNext) {
+// Guards against cold servers that stay idle while the warm ones are overloaded.
+TEST_F(BalancerTest, AFastColdServerGetsTheNextRequest) {
   const auto given = [&](Micros its_answer) {
     Start(MakeSettings(), 3);
     auto servers = MakeServers(3);
@@ -240,18 +239,18 @@
       if (sent.at(0).kind != Kind::kSend) continue;
       const bool its = sent[0].server == "s00";
       young += its;
-      // The others fall silent: what they serve gives the young one nothing.
+      // The others do not respond, so the cold server earns no credit from them.
       if (its || i < 20)
         balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, its ? its_answer : 100 * kMs, true, {}});
-      Took();
+      TakeActions();
     }
     return young;
   };
   EXPECT_GT(given(100 * kMs), 3 * given(500 * kMs));
 }
 
-// A sidecar that restarts knows nothing but its last list; many servers may be young in it at once.
-TEST_F(BalancerTest, ARestartedSidecarDoesNotRushAtYoungServers) {
+// After a restart many servers in the list may be cold.
+TEST_F(BalancerTest, ARestartedSidecarDoesNotOverloadColdServers) {
   auto servers = MakeServers(4);
   servers[0].started = servers[1].started = now_ - 100 * kMs;
   std::string error;
@@ -267,7 +266,7 @@
   EXPECT_GT(sent["s02"] + sent["s03"], 200);
 }
 
-TEST_F(BalancerTest, AmongYoungServersAloneChanceByShareDecides) {
+TEST_F(BalancerTest, ColdServersAreDrawnByCapacityShare) {
   Start(MakeSettings(), 4);
   auto servers = MakeServers(4);
   for (auto& server : servers) server.started = now_;
@@ -277,8 +276,8 @@
   EXPECT_GT(sent, 100);
 }
 
-// Met on every overloaded day: all answers late, each retried by its client on top.
-TEST_F(BalancerTest, UnderPressureTheWorkOfLeastWorthIsRefusedFirst) {
+// Guards against serving everything late, with client retries on top.
+TEST_F(BalancerTest, OverloadRefusesTheLeastValuableWorkFirst) {
   Settings settings = MakeSettings();
   settings.classes[3].value = 10;
   Start(settings, 10);
@@ -292,13 +291,13 @@
       ++refused[request_class];
       continue;
     }
-    // Answers take the shorter the fewer are let in: half the load is what the servers can carry.
+    // Latency is proportional to the admitted load; servers can carry half of it.
     const Micros elapsed = refused[0] * 2 < i / 2 ? 900 * kMs : 200 * kMs;
     balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, elapsed, true});
   }
   EXPECT_GT(refused[0], 100);
   EXPECT_LT(refused[3], refused[0] / 5);
-  // The pressure gone, all is let in again.
+  // Without overload everything is admitted again.
   for (int i = 0; i < 400; ++i) {
     const std::string id = "q" + std::to_string(i);
     if (Arrive(id)[0].kind == Kind::kSend)
@@ -307,8 +306,8 @@
   for (int i = 0; i < 20; ++i) EXPECT_EQ(Arrive("z" + std::to_string(i))[0].kind, Kind::kSend);
 }
 
-// Met on a quiet day: cheap work was refused all day where idle servers take a fifth of the aim.
-TEST_F(BalancerTest, WhatIdleServersTakeIsNoPressure) {
+// Guards against refusing cheap work although the servers are idle.
+TEST_F(BalancerTest, UnloadedLatencyIsNoOverload) {
   Settings settings = MakeSettings();
   settings.classes[3].value = 10;
   Start(settings, 10);
@@ -324,8 +323,8 @@
   EXPECT_LT(refused, 4);
 }
 
-// Met on another: one heavy request made a quiet sidecar refuse the next ones.
-TEST_F(BalancerTest, OneLateAnswerRefusesNobody) {
+// Guards against refusals by a quiet sidecar after a single slow request.
+TEST_F(BalancerTest, ASingleLateResponseCausesNoRefusal) {
   Start(MakeSettings(), 10);
   for (int i = 0; i < 50; ++i) {
     const std::string id = "r" + std::to_string(i);
@@ -334,12 +333,12 @@
   }
 }
 
-// Met in a site that pays for each crossing: two thirds of the requests crossed zones for nothing.
-TEST_F(BalancerTest, OwnZoneFirstWhereCrossingIsPricedAndSpillsUnderPressure) {
+// Guards against paying for cross-zone traffic without need.
+TEST_F(BalancerTest, PrefersItsOwnZoneAndSpillsOverUnderLoad) {
   Settings settings = MakeSettings();
   settings.zone = 0;
   settings.cost_cross_zone = 0.2;
-  settings.classes[0].value = 0.1;  // less than a crossing costs, the mean being near 1
+  settings.classes[0].value = 0.1;  // below the cost of crossing zones, as the mean is near 1
   Start(settings, 20);
   std::map<std::string, int> zone;
   for (const ServerInfo& info : MakeServers(20)) zone[info.id] = info.zone;
@@ -357,15 +356,15 @@
       EXPECT_NE(request_class, 0) << "not worth the price";
     }
     ++(crossed ? away : home);
-    const Micros elapsed = !crossed && i >= 100 ? 2000 * kMs : 50 * kMs;  // home gets into trouble
+    const Micros elapsed = !crossed && i >= 100 ? 2000 * kMs : 50 * kMs;  // the own zone slows down
     balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, elapsed, true});
   }
   EXPECT_GT(home, 100);
   EXPECT_GT(away, 200);
 }
 
-// Met on throttle days: some servers turn away one class above a rate, with room for the others.
-TEST_F(BalancerTest, ARefusalOfOneClassSaysNothingOfTheServerForOthers) {
+// Servers may limit the rate of a single class.
+TEST_F(BalancerTest, RefusalsOfOneClassDoNotAffectOthers) {
   Start(MakeSettings(), 4);
   int refused = 0;
   int others = 0;
@@ -384,13 +383,13 @@
       Resolve(id, 0, Result::kSuccess, true);
     }
   }
-  EXPECT_LT(refused, 25);  // 100 if nothing were learnt
-  EXPECT_GT(refused, 2);   // its end would be noticed
-  EXPECT_GT(others, 60);   // 100 of the other class in the mean
+  EXPECT_LT(refused, 25);  // 100 without ejection
+  EXPECT_GT(refused, 2);   // so that the end of the limit is noticed
+  EXPECT_GT(others, 60);   // 100 of the other class on average
 }
 
-// Met where order binds: the key of a client that had left stayed taken until its attempt timed out.
-TEST_F(BalancerTest, CallsOffWhatIsOutOfAFinishedRequest) {
+// Guards against keys that stay blocked until the attempt of a disconnected client times out.
+TEST_F(BalancerTest, CancelsTheAttemptsOfAnEndedRequest) {
   Settings settings = MakeSettings();
   settings.cancel = true;
   Start(settings, 4);
@@ -400,13 +399,13 @@
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_EQ(actions[0].kind, Kind::kCancel);
   balancer_->OnClientGone(now_, "r1");
-  EXPECT_TRUE(sink_.Take().empty());  // once
+  EXPECT_TRUE(sink_.Take().empty());  // only once
   EXPECT_TRUE(Resolve("r1", 0, Result::kCancelled, true).empty());
   EXPECT_EQ(balancer_->requests_held(), 0u);
 }
 
-// Met after crashes: the list names a dead server for seconds, and each attempt there is lost.
-TEST_F(BalancerTest, ADeadServerIsLeftAloneForAWaitThatDoubles) {
+// Guards against losing attempts at a dead server until the list drops it.
+TEST_F(BalancerTest, ADeadServerIsEjectedWithExponentialBackoff) {
   Start(MakeSettings(), 4);
   int tried = 0;
   for (int i = 0; i < 400; ++i) {
@@ -424,7 +423,7 @@
   EXPECT_LT(tried, 25);  // 100 without the wait
   EXPECT_GT(tried, 2);
   int back = 0;
-  for (int i = 0; i < 4000; ++i) {  // it lives again: one trial ends the wait
+  for (int i = 0; i < 4000; ++i) {  // the server recovers; one probe ends the ejection
     now_ += 50 * kMs;
     const std::string id = "q" + std::to_string(i);
     back += Arrive(id)[0].server == "s01";
@@ -433,18 +432,18 @@
   EXPECT_GT(back, 100);
 }
 
-TEST_F(BalancerTest, ATroubleThatAllShareDoesNotEmptyTheWindow) {
+TEST_F(BalancerTest, ACommonFailureDoesNotEjectTheWholeWindow) {
   Start(MakeSettings(), 4);
   for (int i = 0; i < 100; ++i) {
     now_ += 10 * kMs;
     const std::string id = "r" + std::to_string(i);
     const auto actions = Arrive(id, 2);
     ASSERT_EQ(actions[0].kind, Kind::kSend);
-    Resolve(id, 0, Result::kReset);  // fails at once: says nothing of load
+    Resolve(id, 0, Result::kReset);  // no indication of load
   }
 }
 
-TEST_F(BalancerTest, TimesOutAtTheAimOnlyWhereALateAnswerIsWorthNothing) {
+TEST_F(BalancerTest, TimesOutAtTheLatencyTargetOnlyIfLateResponsesHaveNoValue) {
   Settings settings = MakeSettings();
   settings.classes[3].late_value = 0.25;
   Start(settings, 4);
@@ -452,7 +451,7 @@
   EXPECT_EQ(Arrive("r2", 3)[0].time, 0);
 }
 
-TEST_F(BalancerTest, ABusySidecarTakesALongerRunOfTheRing) {
+TEST_F(BalancerTest, ABusySidecarHasAWiderWindow) {
   Settings settings = MakeSettings();
   settings.cost_connection = 0.05;
   Start(settings, 40);
@@ -464,10 +463,9 @@
   EXPECT_LE(used.size(), 31u);
 }
 
-// Met on fleets of a hundred sidecars and sixty servers: quiet sidecars with windows of three had no server
-// left when a zone was lost. Where there are five sidecars to a server the window stays narrow, as each
-// server takes only so many connections.
-TEST_F(BalancerTest, TheWindowFollowsTheNumberOfSidecarsToAServer) {
+// Guards against narrow windows that lie in a single zone. With many sidecars per server the window stays
+// narrow, as servers accept a limited number of connections.
+TEST_F(BalancerTest, TheWindowFollowsTheRatioOfSidecarsToServers) {
   const auto used = [&](std::uint32_t siblings, int servers) {
     Settings settings = MakeSettings();
     settings.cost_connection = 0.05;
@@ -488,16 +486,16 @@
   EXPECT_EQ(used(8, 60), 16u);
 }
 
-// Met on calm stretches with servers of one core: hot sidecars choked the few servers of their windows.
-TEST_F(BalancerTest, WhereConnectionsCostNothingItTakesOneForEachAttemptOut) {
+// Guards against busy sidecars that overload the few servers of their window.
+TEST_F(BalancerTest, WithFreeConnectionsTheWindowFollowsTheAttemptsInFlight) {
   Start(MakeSettings(), 40);
   std::set<std::string> used;
   for (int i = 0; i < 20; ++i) used.insert(Arrive("r" + std::to_string(i))[0].server);
   EXPECT_GT(used.size(), 8u);
 }
 
-// Met in three incidents: the overload was heard of only when the answers came, seconds after they were late.
-TEST_F(BalancerTest, WhatIsOutPastItsAimIsPressureAtOnce) {
+// Guards against detecting an overload only when the late responses arrive.
+TEST_F(BalancerTest, AMissedLatencyTargetCountsAsOverloadAtOnce) {
   Settings settings = MakeSettings();
   settings.classes[2].late_value = 0.5;
   Start(settings, 10);
@@ -514,18 +512,16 @@
   now_ += settings.classes[2].latency_target;
   for (const std::uint64_t token : alarms) {
     balancer_->OnTimer(now_, token);
-    balancer_->OnTimer(now_, token);  // once
+    balancer_->OnTimer(now_, token);  // only once
   }
-  EXPECT_TRUE(sink_.Take().empty());  // the attempts themselves go on
+  EXPECT_TRUE(sink_.Take().empty());  // the attempts stay in flight
   int refused = 0;
   for (int i = 0; i < 20; ++i) refused += Arrive("q" + std::to_string(i), 2)[0].kind == Kind::kRefuse;
-  EXPECT_GT(refused, 10);  // none of the twelve has been answered yet
+  EXPECT_GT(refused, 10);  // none of the twelve has got a response yet
 }
 
-// Met in six incidents: servers were overdriven within seconds, before admission had fallen.
-// Met at the second deployment: work varies and servers stand still for a moment, so that some answers in a
-// hundred are late at any load. What is late is given up there and leaves its server.
-TEST_F(BalancerTest, LateOnesFewAndApartRefuseNobodyWhereTheyAreGivenUp) {
+// Some responses are late at any load. They time out and leave no work behind.
+TEST_F(BalancerTest, IsolatedTimeoutsCauseNoRefusals) {
   const auto refused = [&](double late_worth, int late_each, int in_a_row) {
     Settings settings = MakeSettings();
     settings.classes[0].late_value = late_worth;
@@ -533,7 +529,7 @@
     Start(settings, 10);
     int count = 0;
     for (int i = 0; i < 2000; ++i) {
-      // Ten a second: what is learnt of an overload ages by the second.
+      // Ten per second, as an overload decays with time.
       now_ += 100 * kMs;
       const std::string id = "r" + std::to_string(i);
       const auto actions = Arrive(id, 0);
@@ -548,15 +544,15 @@
     return count;
   };
   EXPECT_EQ(refused(0, 12, 1), 0);
-  EXPECT_GT(refused(0.5, 12, 1), 100);  // kept to the end, they pile up: taken in full
-  EXPECT_GT(refused(0, 24, 6), 100);    // many in a row: an overload
+  EXPECT_GT(refused(0.5, 12, 1), 100);  // late attempts pile up if they do not time out
+  EXPECT_GT(refused(0, 24, 6), 100);    // many in a row indicate an overload
 }
 
-TEST_F(BalancerTest, LatenessInARowShedsFasterThanTheSameAmongGoodAnswers) {
+TEST_F(BalancerTest, ConsecutiveLateResponsesShedFasterThanIsolatedOnes) {
   std::map<bool, int> sent;
   for (const bool in_a_row : {false, true}) {
     Settings settings = MakeSettings();
-    settings.classes[2].late_value = 0.5;  // what is late is waited for
+    settings.classes[2].late_value = 0.5;  // late attempts do not time out
     Start(settings, 10);
     for (int i = 0; i < 8; ++i) {
       const std::string id = "r" + std::to_string(i);
@@ -570,15 +566,14 @@
   EXPECT_LT(sent[true], 30);
 }
 
-// Met where one attempt in twelve was reset: each left a healthy server alone, half of the window at any
-// time.
-TEST_F(BalancerTest, AServerIsLeftAloneForBrokenConnectionsInARowAndNotForOne) {
+// Guards against ejecting healthy servers for isolated resets.
+TEST_F(BalancerTest, AServerIsEjectedForConsecutiveResetsAndNotForOne) {
   for (const Result broken : {Result::kReset, Result::kUnreachable}) {
     Settings settings = MakeSettings();
     settings.tuning.window_width = 2;
     Start(settings, 2);
     int requests = 0;
-    // Which servers the next requests go to, one at a time; all are served, or all that go to s00 break.
+    // The servers of the next requests, one at a time. All succeed, or all sent to s00 are reset.
     const auto used = [&](bool breaks) {
       std::map<std::string, int> to;
       for (int i = 0; i < 20; ++i) {
@@ -600,13 +595,13 @@
     }
     Resolve(id, 0, broken, true);
     EXPECT_GT(used(false)["s00"], 0);
-    // It serves no more: two attempts find it out.
+    // It stops serving; two attempts detect that.
     EXPECT_EQ(used(true)["s00"], 2);
   }
 }
 
-// Met in incidents with servers that must rest: a lucky answer at the floor opened the sidecar fully.
-TEST_F(BalancerTest, OneGoodAnswerDoesNotEndDeepShedding) {
+// Guards against readmitting all load after a single fast response.
+TEST_F(BalancerTest, OneFastResponseDoesNotEndLoadShedding) {
   Start(MakeSettings(), 10);
   for (int i = 0; i < 300; ++i) {
     const std::string id = "r" + std::to_string(i);
@@ -625,9 +620,8 @@
   EXPECT_LT(sent, 70);
 }
 
-// Met on a fleet of a hundred sidecars, most with some requests a second: admission fell in a trouble of five
-// seconds and refused for ten more, as the few answers of each were all that mended it.
-TEST_F(BalancerTest, AnOverloadIsForgottenInTimeAndNotInAnswers) {
+// Guards against quiet sidecars that refuse long after an overload has ended.
+TEST_F(BalancerTest, AnOverloadDecaysWithTimeAndNotPerResponse) {
   Start(MakeSettings(), 8);
   int requests = 0;
   const auto let_in = [&] {
@@ -644,7 +638,7 @@
   EXPECT_LT(let_in(), 20);
   EXPECT_LT(balancer_->TakeSnapshot(now_).pools[0].admitted_share, 0.5);
   now_ += 10 * kSec;
-  EXPECT_GT(balancer_->TakeSnapshot(now_).pools[0].admitted_share, 0.95);  // what an operator sees
+  EXPECT_GT(balancer_->TakeSnapshot(now_).pools[0].admitted_share, 0.95);  // as shown to operators
   const std::string id = "late" + std::to_string(requests);
   EXPECT_EQ(Arrive(id)[0].kind, Kind::kSend);
   int sent = 0;
@@ -652,8 +646,8 @@
   EXPECT_GE(sent, 19);
 }
 
-// Met on slow and ageing days: a server that answers in the end went on getting its share at once.
-TEST_F(BalancerTest, AServerWhereARequestOutlivesItsAimIsLeftAloneThenTriedOneAtATime) {
+// Guards against sending a full share to a slow server.
+TEST_F(BalancerTest, AServerThatMissesTheLatencyTargetIsEjectedThenProbed) {
   Settings settings = MakeSettings();
   settings.classes[0].late_value = 0.5;
   Start(settings, 3);
@@ -672,13 +666,14 @@
     for (int i = 0; i < 40; ++i) n += Arrive(prefix + std::to_string(i))[0].server == server;
     return n;
   };
-  balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, 1100 * kMs, true, {}});  // late: forgives nothing
+  balancer_->OnOutcome(
+      now_, {id, 0, Result::kSuccess, 1100 * kMs, true, {}});  // late, so the failures are not reset
   EXPECT_EQ(out_at("s01", "a"), 0);
-  now_ += 500 * kMs;  // its wait is over
+  now_ += 500 * kMs;  // the backoff is over
   EXPECT_EQ(out_at("s01", "b"), 1);
 }
 
-// How many of the last 100 requests are let in when answers take `then` ms after having taken `idle` ms.
+// Requests admitted of the last 100 if the latency changes from `idle` to `then` ms.
 class AdmissionTarget : public BalancerTest {
  protected:
   int LetIn(Settings::LoadReporting reports, int idle, int then) {
@@ -696,19 +691,18 @@
   }
 };
 
-TEST_F(AdmissionTarget, IsHigherWhereServersReportTheirLoad) {
+TEST_F(AdmissionTarget, IsHigherWithLoadReports) {
   EXPECT_EQ(LetIn(Settings::LoadReporting::kInResponses, 200, 350), 100);
   EXPECT_LT(LetIn(Settings::LoadReporting::kNone, 150, 350), 60);
 }
 
-TEST_F(AdmissionTarget, StaysNearWhatIdleServersTake) {
+TEST_F(AdmissionTarget, StaysNearTheUnloadedLatency) {
   EXPECT_LT(LetIn(Settings::LoadReporting::kInResponses, 50, 400), 60);
   EXPECT_EQ(LetIn(Settings::LoadReporting::kInResponses, 250, 400), 100);
 }
 
-// Met on a day with new configurations: servers that failed at once had the fewest attempts out and drew most
-// of the requests, a fifth of which ended in errors.
-TEST_F(BalancerTest, AServerThatFailsFastIsPassedOverAndTakenBackWhenItRecovers) {
+// Guards against preferring a server that fails fast because it has the fewest attempts in flight.
+TEST_F(BalancerTest, AServerThatFailsFastIsSkippedUntilItRecovers) {
   Start(MakeSettings(), 2);
   bool broken = true;
   const auto served_by_s00 = [&](const std::string& round, int count) {
@@ -731,9 +725,8 @@
   EXPECT_GT(served_by_s00("d", 200), 60);
 }
 
-// Met at 300 requests a second: answers at a quarter of the aim, as busy servers give all day, made a sidecar
-// refuse a tenth of the cheap work. One with many attempts out sees an overload soon enough without that.
-TEST_F(BalancerTest, ABusySidecarLetsInWhatAQuietOneSheds) {
+// Guards against refusing cheap work at a moderate latency that is normal for busy servers.
+TEST_F(BalancerTest, ABusySidecarToleratesMoreLatencyThanAQuietOne) {
   const auto let_in = [&](int out_at_once) {
     Start(MakeSettings(), 10);
     int sent = 0;
@@ -754,9 +747,8 @@
   EXPECT_LT(let_in(5), 285);
 }
 
-// Met when half of the servers were drained at once: the rest choked before the answers of all that had been
-// let in came late.
-TEST_F(BalancerTest, LessIsLetInAtOnceWhenServersGo) {
+// Guards against overloading the remaining servers after a large removal.
+TEST_F(BalancerTest, AdmitsLessAtOnceWhenServersLeave) {
   const auto let_in = [&](int left, Micros quiet = 0) {
     Settings settings = MakeSettings();
     settings.classes[3].value = 10;
@@ -778,8 +770,8 @@
   EXPECT_LT(let_in(4, 10 * kSec), 150) << "a quiet sidecar ages it by the time before the servers went";
 }
 
-// A refusal of one class of several is a limit on it; of all, it is pressure.
-TEST_F(BalancerTest, RefusalsOfOneClassAreNoPressure) {
+// Refusals of a single class are a limit on it; refusals of all classes are overload.
+TEST_F(BalancerTest, RefusalsOfOneClassAreNoOverload) {
   for (const bool all : {false, true}) {
     Start(MakeSettings(), 4, 9);
     int refused = 0;
@@ -804,8 +796,8 @@
   }
 }
 
-// Met in each overload: what clients had waited for past the aim was served before fresh requests.
-TEST_F(BalancerTest, UnderPressureFreshTriesGoBeforeThoseThatAreLateAlready) {
+// Guards against serving retries of clients that are late already before first tries.
+TEST_F(BalancerTest, OverloadRefusesClientRetriesBeforeFirstTries) {
   Settings settings = MakeSettings();
   settings.classes[0].late_value = 0.25;
   Start(settings, 10);
@@ -813,26 +805,28 @@
   int late = 0;
   for (int i = 0; i < 900; ++i) {
     const std::string id = "r" + std::to_string(i);
-    // A try is given 3 s of the deadline of 5 s; one of 1 s has 4 s behind it, and the aim is 1 s.
+    // The budget is 3 s of the deadline of 5 s; a budget of 1 s means that 4 s have passed, past the target
+    // of 1 s.
     const bool is_late = i % 3 == 0;
     const auto actions = Arrive(id, 0, is_late && i > 3 ? 1 * kSec : 3 * kSec);
     if (actions[0].kind != Kind::kSend) continue;
     ++(is_late ? late : fresh);
-    const Micros elapsed = (late + fresh) * 2 > i ? 900 * kMs : 100 * kMs;  // half the load can be carried
+    const Micros elapsed =
+        (late + fresh) * 2 > i ? 900 * kMs : 100 * kMs;  // the servers can carry half of the load
     balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, elapsed, true});
   }
   EXPECT_GT(fresh, 250);
-  EXPECT_LT(late * 2, fresh / 2) << late << " late, " << fresh << " fresh";  // half as many late ones arrive
+  EXPECT_LT(late * 2, fresh / 2) << late << " late, " << fresh << " fresh";  // half as many retries arrive
 }
 
-TEST_F(BalancerTest, PrefersTheServerWithFewerOwnAttemptsOut) {
+TEST_F(BalancerTest, PrefersTheServerWithFewerAttemptsInFlight) {
   Start(MakeSettings(), 2);
   std::map<std::string, int> out;
   for (int i = 0; i < 400; ++i) ++out[Arrive("r" + std::to_string(i))[0].server];
   EXPECT_NEAR(out["s00"], 200, 20);
 }
 
-TEST_F(BalancerTest, TheRanksTogetherCoverTheRing) {
+TEST_F(BalancerTest, TheWindowsOfAllSidecarsCoverTheRing) {
   std::map<std::string, int> hits;
   for (std::uint32_t rank = 0; rank < 40; ++rank) {
     Settings settings = MakeSettings();
@@ -847,7 +841,7 @@
   for (const auto& [server, n] : hits) EXPECT_EQ(n, hits["s00"]) << server;
 }
 
-TEST_F(BalancerTest, AsksDiscoveryAgainAfterAFailureWithinTheTimeStated) {
+TEST_F(BalancerTest, SubscribesAgainAfterAFailureWithinTheCap) {
   Settings settings = MakeSettings();
   settings.must_subscribe = true;
   std::string error;
@@ -868,7 +862,7 @@
   }
 }
 
-TEST_F(BalancerTest, IgnoresWhatItDoesNotKnow) {
+TEST_F(BalancerTest, IgnoresUnknownRequestsAttemptsAndTimers) {
   Start(MakeSettings(), 4);
   EXPECT_TRUE(Resolve("nobody", 0, Result::kRefused).empty());
   Arrive("r1");
@@ -881,10 +875,10 @@
   EXPECT_TRUE(sink_.Take().empty());
   EXPECT_EQ(Arrive("r2", 99)[0].kind, Kind::kFail);
   EXPECT_EQ(Resolve("r1", 0, Result::kRefused).size(), 1u);
-  EXPECT_TRUE(Resolve("r1", 0, Result::kRefused).empty());  // a second time
+  EXPECT_TRUE(Resolve("r1", 0, Result::kRefused).empty());  // duplicate outcome
 }
 
-TEST_F(BalancerTest, ForgetsARequestWhoseClientHasGoneOnceItsAttemptIsResolved) {
+TEST_F(BalancerTest, ErasesAnAbandonedRequestOnceItsAttemptEnds) {
   Start(MakeSettings(), 4);
   Arrive("r1");
   balancer_->OnClientGone(now_, "r1");
@@ -893,7 +887,7 @@
   EXPECT_EQ(balancer_->requests_held(), 0u);
 }
 
-TEST(BalancerSettings, RejectsWhatMakesNoSense) {
+TEST(BalancerSettings, RejectsInvalidSettings) {
   const std::vector<std::pair<std::string, void (*)(Settings&)>> cases = {
       {"no request classes", [](Settings& s) { s.classes.clear(); }},
       {"negative time in class c", [](Settings& s) { s.classes[1].deadline = -1; }},
@@ -905,9 +899,9 @@
       {"negative time", [](Settings& s) { s.warmup_time = -1; }},
       {"tuning: windows_per_server under 0", [](Settings& s) { s.tuning.windows_per_server = -1; }},
   };
-  for (const auto& [expected, spoil] : cases) {
+  for (const auto& [expected, mutate] : cases) {
     Settings settings = MakeSettings();
-    spoil(settings);
+    mutate(settings);
     Recorder sink;
     std::string error;
     EXPECT_EQ(Balancer::Create(settings, 1, 0, sink, error), nullptr);
--- a/tests/causes_test.cpp
+++ b/tests/causes_test.cpp
@@ -1,4 +1,4 @@
-// Each refusal and failure says what stood in its way last.
+// The causes of refusals and failures.
 #include <gtest/gtest.h>
 
 #include "harness.hpp"
@@ -10,7 +10,7 @@
 
 class CausesTest : public BalancerTest {
  protected:
-  // Fires the request's waits until it ends, ending each attempt with `result`.
+  // Fires the timers of the request until it ends, with `result` for each attempt.
   Action LastOf(std::vector<Action> actions, const std::string& id, Result result) {
     for (int attempt = 0; attempt < 20 && !actions.empty(); ++attempt) {
       const Action last = actions.back();
@@ -22,35 +22,35 @@
   int sent_ = 0;
 };
 
-TEST_F(CausesTest, TellWhatTheLastAttemptMet) {
+TEST_F(CausesTest, ReportsTheLastResult) {
   const std::vector<std::pair<Result, Cause>> cases = {
       {Result::kRefused, Cause::kRejected}, {Result::kUnreachable, Cause::kUnreachable},
       {Result::kReset, Cause::kReset},      {Result::kError, Cause::kServerError},
       {Result::kTimeout, Cause::kTimedOut}, {Result::kCancelled, Cause::kTimedOut}};
   for (const auto& [result, cause] : cases) {
     sent_ = 0;
-    Start(MakeSettings(), 40);  // more than one request can leave alone
+    Start(MakeSettings(), 40);  // more than one request can eject
     EXPECT_EQ(LastOf(Arrive("r1"), "r1", result).why, cause) << kCauseNames[static_cast<std::size_t>(cause)];
   }
 }
 
-TEST_F(CausesTest, TellThatThereIsNoServer) {
+TEST_F(CausesTest, ReportsThatThereIsNoServer) {
   Start(MakeSettings(), 0);
   EXPECT_EQ(LastOf(Arrive("r1"), "r1", Result::kSuccess).why, Cause::kNoServer);
-  Settings one_front = MakeSettings();
-  Start(one_front, 2);
+  Settings settings = MakeSettings();
+  Start(settings, 2);
   std::vector<ServerInfo> others = MakeServers(2);
   for (ServerInfo& info : others) info.protocols = 2;
   List(ListUpdate::Kind::kFull, others);
   EXPECT_EQ(LastOf(Arrive("r2"), "r2", Result::kSuccess).why, Cause::kNoServer);
 }
 
-TEST_F(CausesTest, TellAnUnknownClass) {
+TEST_F(CausesTest, ReportsAnUnknownClass) {
   Start(MakeSettings(), 2);
   EXPECT_EQ(Arrive("r1", 99).back().why, Cause::kUnknownClass);
 }
 
-TEST_F(CausesTest, TellThatLessIsLetIn) {
+TEST_F(CausesTest, ReportsLoadShedding) {
   Start(MakeSettings(), 10);
   for (int i = 0; i < 40; ++i) {
     const std::string id = "r" + std::to_string(i);
@@ -67,7 +67,7 @@
   EXPECT_GT(overload, 10);
 }
 
-TEST_F(CausesTest, WhatIsBelievedNamesEachListedServerAndWhoIsLeftAlone) {
+TEST_F(CausesTest, TheSnapshotListsServersAndEjections) {
   Start(MakeSettings(), 4);
   BalancerSnapshot before = balancer_->TakeSnapshot(now_);
   ASSERT_EQ(before.servers.size(), 4U);
--- a/tests/fleet/report_exchange_test.cpp
+++ b/tests/fleet/report_exchange_test.cpp
@@ -130,29 +130,29 @@
     for (Micros at = 0; at < kLoss + 12'000'000 + longer && (left.size() < size || longer > 0); at += kTick) {
       const Micros now = kNow + at;
       for (auto& one : all) {
-        const bool was = one->zones.Left(1);
+        const bool was = one->zones.IsZoneEjected(1);
         for (const int zone : {0, 1}) {
           const bool again = one->again && one->random.Unit() < 0.5;
-          if ((!again && one->random.Unit() > 0.07) || !one->zones.MayTry(now, zone)) continue;
+          if ((!again && one->random.Unit() > 0.07) || !one->zones.MaySend(now, zone)) continue;
           one->again = false;
           one->zones.OnSent(now, zone);
           tries += zone == 1 && at >= kLoss + 12'000'000;
           const std::uint64_t server = 1 + one->random.Below(8);
           const bool dead = zone == 1 && at >= kLoss && server <= dead_of_eight;
           one->again = dead;  // the request is tried again, in either zone
-          one->zones.OnOutcome(now, zone, server, dead ? zones::Sign::kNoWay : zones::Sign::kAnswer, window);
+          one->zones.OnOutcome(now, zone, server, dead ? zones::Evidence::kNoConnection : zones::Evidence::kResponse, window);
         }
         if (words) {
-          for (const int zone : {0, 1}) one->zones.OnTold(now, one->talk.Of(now, zone), window);
+          for (const int zone : {0, 1}) one->zones.OnPeerReport(now, one->talk.Of(now, zone), window);
           const auto saying = one->talk.Say(now, one->zones.TakeSnapshot(now), one->zones.epoch(), 1);
           for (const std::uint32_t to : saying.to)
             if (chance.Unit() >= lost_words) all[to]->talk.Hear(now, one->own, saying.bytes);
         }
-        if (!was && one->zones.Left(1)) {
+        if (!was && one->zones.IsZoneEjected(1)) {
           if (at < kLoss || dead_of_eight < 8) ++wrong;
           left.push_back(at - kLoss);
         }
-        if (one->zones.Left(0)) ++wrong;
+        if (one->zones.IsZoneEjected(0)) ++wrong;
       }
     }
     seconds = 3 + static_cast<double>(left.empty() ? 0 : left.back()) / 1e6;
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -1,4 +1,4 @@
-// What the tests share: a sink that records actions, and settings and lists in short form.
+// Shared test fixture: records actions and builds settings and server lists.
 #ifndef MERLINRUN_TESTS_HARNESS_HPP_
 #define MERLINRUN_TESTS_HARNESS_HPP_
 
@@ -45,7 +45,7 @@
   void Subscribe() override { actions.push_back({Action::Kind::kSubscribe, "", ""}); }
   void Log(std::string_view) override {}
 
-  // Takes the actions recorded so far.
+  // Returns and clears the recorded actions.
   std::vector<Action> Take() { return std::exchange(actions, {}); }
 
   std::vector<Action> actions;
@@ -62,7 +62,7 @@
   return c;
 }
 
-// Classes 0, 1 and 2: safe, deduplicated in the zone, never to be repeated. 3: deduplicated everywhere.
+// Classes 0, 1 and 2: safe, deduplicated within a zone, never retried. 3: deduplicated everywhere.
 inline Settings MakeSettings() {
   Settings s;
   s.classes = {MakeClass(RetrySafety::kSafe), MakeClass(RetrySafety::kDeduplicated, DedupScope::kZone),
@@ -76,11 +76,11 @@
   s.overload_crash_time = 2 * kSec;
   s.list_retry_cap = 10 * kSec;
   s.tick = 5 * kMs;
-  s.tuning.windows_per_server = 0;  // narrow windows, as of large fleets; tests of their width set it
+  s.tuning.windows_per_server = 0;  // narrow windows, as in large fleets
   return s;
 }
 
-// n servers s00, s01, ..., in zones 0 and 1 by turns.
+// n servers s00, s01, ..., alternating between zones 0 and 1.
 inline std::vector<ServerInfo> MakeServers(int n) {
   std::vector<ServerInfo> servers;
   for (int i = 0; i < n; ++i) {
@@ -96,8 +96,8 @@
 // A balancer with servers, driven one event at a time.
 class BalancerTest : public ::testing::Test {
  protected:
-  // What was done since the last call. The alarm that follows each send, for its being late, is left out.
-  std::vector<Action> Took() {
+  // Actions since the last call, without the latency target timer that follows each send.
+  std::vector<Action> TakeActions() {
     std::vector<Action> actions = sink_.Take();
     for (std::size_t i = 1; i < actions.size(); ++i)
       if (actions[i - 1].kind == Action::Kind::kSend && actions[i].kind == Action::Kind::kTimer)
@@ -126,16 +126,16 @@
   std::vector<Action> Arrive(const std::string& id, int request_class = 0, Micros budget = 5 * kSec,
                              const std::string& key = "") {
     Deliver(id, request_class, budget, key);
-    return Took();
+    return TakeActions();
   }
   std::vector<Action> Resolve(const std::string& id, int attempt, Result result, bool settled = false) {
     balancer_->OnOutcome(now_, {id, attempt, result, 10 * kMs, settled});
-    return Took();
+    return TakeActions();
   }
   std::vector<Action> Fire(const Action& timer) {
     now_ += timer.time;
     balancer_->OnTimer(now_, timer.token);
-    return Took();
+    return TakeActions();
   }
 
   Micros now_ = 100 * kSec;
--- a/tests/lost_zone_test.cpp
+++ b/tests/lost_zone_test.cpp
@@ -1,5 +1,4 @@
-// What the module does when a zone is lost: it stops to find that out server by server, and what is left gets
-// no more than it bears.
+// Loss of a zone: it is ejected as a whole, and the remaining servers are not overloaded.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -23,27 +22,27 @@
     return settings;
   }
 
-  struct Seen {
-    int asked = 0;
+  struct Observed {
+    int arrived = 0;
     int refused = 0;
-    int tried_lost = 0;
-    int most_out = 0;  // at the other zone's servers
+    int sent_to_lost = 0;
+    int peak_in_flight = 0;  // at the servers of zone 0
   };
 
-  // Asks every `gap` for `length`. Zone 1's servers can't be reached from `lost_from` on; the others answer
-  // after `takes(out there)`.
+  // Sends a request every `gap` for `length`. Servers of zone 1 are unreachable from `outage_start` on; the
+  // others respond after `takes(attempts in flight)`.
   template <typename Takes>
-  Seen Play(Micros gap, Micros length, Micros lost_from, Takes takes) {
-    Seen seen;
+  Observed Play(Micros gap, Micros length, Micros outage_start, Takes takes) {
+    Observed observed;
     const Micros end = now_ + length;
     for (Micros next = now_; next < end; next += gap) {
       Answer(next);
       now_ = next;
-      ++seen.asked;
+      ++observed.arrived;
       Deliver("r" + std::to_string(++last_));
-      Act(seen, lost_from, takes);
+      Act(observed, outage_start, takes);
     }
-    return seen;
+    return observed;
   }
 
  private:
@@ -53,24 +52,24 @@
     int attempt;
     Micros took;
     Result result;
-    std::uint64_t timer;  // not 0: a timer and no outcome
+    std::uint64_t timer;  // if not 0, a timer instead of an outcome
     bool operator<(const Due& other) const { return at > other.at; }
   };
 
   template <typename Takes>
-  void Act(Seen& seen, Micros lost_from, Takes takes) {
+  void Act(Observed& observed, Micros outage_start, Takes takes) {
     for (const Action& action : sink_.Take()) {
-      if (action.kind == Kind::kRefuse) ++seen.refused;
+      if (action.kind == Kind::kRefuse) ++observed.refused;
       if (action.kind == Kind::kTimer) due_.push({now_ + action.time, "", 0, 0, {}, action.token});
       if (action.kind != Kind::kSend) continue;
-      const bool lost = now_ >= lost_from && std::stoi(action.server.substr(1)) % 2 == 1;
-      if (lost) ++seen.tried_lost;
-      if (!lost) seen.most_out = std::max(seen.most_out, ++out_);
+      const bool lost = now_ >= outage_start && std::stoi(action.server.substr(1)) % 2 == 1;
+      if (lost) ++observed.sent_to_lost;
+      if (!lost) observed.peak_in_flight = std::max(observed.peak_in_flight, ++out_);
       const Micros took = lost ? 1 * kMs : takes(out_);
       due_.push({now_ + took, action.request, attempts_[action.request]++, took,
                  lost ? Result::kUnreachable : Result::kSuccess, 0});
     }
-    act_ = [this, &seen, lost_from, takes] { Act(seen, lost_from, takes); };
+    act_ = [this, &observed, outage_start, takes] { Act(observed, outage_start, takes); };
   }
   void Answer(Micros until) {
     while (!due_.empty() && due_.top().at <= until) {
@@ -96,22 +95,22 @@
 };
 
 constexpr Micros kNever = 1'000'000 * kSec;
-const auto kQuick = [](int) { return 50 * kMs; };
+const auto kFast = [](int) { return 50 * kMs; };
 
-TEST_F(LostZoneTest, ItsServersAreNotFoundOutOneByOne) {
+TEST_F(LostZoneTest, TheZoneIsEjectedAsAWhole) {
   Start(Wide(), kServers);
-  Play(20 * kMs, 10 * kSec, kNever, kQuick);
-  const Seen seen = Play(20 * kMs, 20 * kSec, now_, kQuick);
-  // Three to tell, then a trial at a time after waits of up to 0.5, 1, 2 and 4 s. Each of six servers found
-  // out for itself, with the same waits, is tried some sixty times.
-  EXPECT_LE(seen.tried_lost, 25);
-  EXPECT_GE(seen.tried_lost, 5);  // it goes on being tried
-  EXPECT_LE(seen.refused, seen.asked / 20);
+  Play(20 * kMs, 10 * kSec, kNever, kFast);
+  const Observed observed = Play(20 * kMs, 20 * kSec, now_, kFast);
+  // Three failures, then single probes with a backoff of up to 0.5, 1, 2 and 4 s. Ejecting six servers one by
+  // one would take some sixty attempts.
+  EXPECT_LE(observed.sent_to_lost, 25);
+  EXPECT_GE(observed.sent_to_lost, 5);  // probing continues
+  EXPECT_LE(observed.refused, observed.arrived / 20);
 }
 
-TEST_F(LostZoneTest, OneServerThatDiesIsNoLossOfItsZone) {
+TEST_F(LostZoneTest, ASingleDeadServerDoesNotEjectItsZone) {
   Start(Wide(), kServers);
-  Play(20 * kMs, 10 * kSec, kNever, kQuick);
+  Play(20 * kMs, 10 * kSec, kNever, kFast);
   for (int i = 0; i < 200; ++i) {
     const std::string id = "x" + std::to_string(i);
     for (const Action& action : Arrive(id))
@@ -131,15 +130,15 @@
   EXPECT_GT(elsewhere, 25);
 }
 
-TEST_F(LostZoneTest, WhatIsLeftGetsNoMoreThanItBears) {
+TEST_F(LostZoneTest, RemainingServersAreNotOverloaded) {
   Start(Wide(), kServers);
   const auto takes = [](int) { return 200 * kMs; };
-  Play(50 * kMs, 20 * kSec, kNever, takes);  // four out as a rule: too few for the limit of busy sidecars
-  // The zone goes, and what is left takes the longer the more it has.
+  Play(50 * kMs, 20 * kSec, kNever, takes);  // four in flight: below the concurrency limit of busy sidecars
+  // The zone is lost, and the latency of the others grows with their load.
   const auto strained = [](int out) { return 200 * kMs + std::max(out - 3, 0) * 100 * kMs; };
-  const Seen seen = Play(50 * kMs, 10 * kSec, now_, strained);
-  EXPECT_LE(seen.most_out, 6);  // two usual ones, 2.6 times, and the one that finds that it is too many
-  EXPECT_GT(seen.refused, 0);
+  const Observed observed = Play(50 * kMs, 10 * kSec, now_, strained);
+  EXPECT_LE(observed.peak_in_flight, 6);  // two usual ones, 2.6 times, and the one that exceeds the limit
+  EXPECT_GT(observed.refused, 0);
 }
 
 }  // namespace
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -1,5 +1,4 @@
-// What the module takes for an overload and what it does not: a closed loop of clients against servers of a
-// stated speed, in virtual time.
+// Closed-loop and open-loop load in virtual time against servers with a given latency.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,16 +14,17 @@
 
 using Kind = Action::Kind;
 
-// Requests are asked at stated times and answered after what their server takes; nobody asks again.
+// Sends requests at fixed intervals, without client retries, and responds after the latency of the server.
 class OverloadTest : public BalancerTest {
  protected:
   struct Counts {
-    int asked = 0;
+    int arrived = 0;
     int served = 0;
     std::map<Cause, int> unserved;
   };
 
-  // Asks every `gap` for `length`. `takes` says how long an attempt at a server that begins now lasts.
+  // Sends a request every `gap` for `length`. `takes(server)` returns the latency of an attempt that starts
+  // now.
   template <typename Takes>
   Counts Play(Micros gap, Micros length, Takes takes) {
     Counts counts;
@@ -32,7 +32,7 @@
     for (Micros next = now_; next < end; next += gap) {
       Answer(next);
       now_ = next;
-      ++counts.asked;
+      ++counts.arrived;
       const std::string id = "r" + std::to_string(++last_);
       Deliver(id);
       Collect(id, counts, takes);
@@ -42,14 +42,14 @@
     return counts;
   }
 
-  // Nobody asks for so long.
-  void Rest(Micros length) {
+  // No requests for `length`.
+  void Idle(Micros length) {
     const Micros end = now_ + length;
     Answer(end);
     now_ = end;
   }
 
-  Settings GivesUpAtAim() const {
+  Settings TimesOutAtTarget() const {
     Settings settings = MakeSettings();
     settings.cancel = true;
     for (RequestClass& c : settings.classes) c.latency_target = 100 * kMs;
@@ -97,32 +97,30 @@
   return it == unserved.end() ? 0 : it->second;
 }
 
-// Met with 8 servers that answered after 40 ms at any load: with 64 clients after 32, and 128 after 64, three
-// quarters of the answers were refusals, as more was out than had been usual over 5,000 answers.
-TEST_F(OverloadTest, AStepInLoadOnServersThatKeepUpIsLetIn) {
+// Guards against refusals by the concurrency limit when load rises and latency does not.
+TEST_F(OverloadTest, AdmitsALoadStepThatServersCanHandle) {
   Start(MakeSettings(), 8);
   const auto steady = [](const std::string&) { return 40 * kMs; };
-  const Counts before = Play(1250, 4 * kSec, steady);  // 32 out at once
+  const Counts before = Play(1250, 4 * kSec, steady);  // 32 in flight
   EXPECT_TRUE(before.unserved.empty());
   const Counts doubled = Play(625, 4 * kSec, steady);
-  EXPECT_GT(doubled.served, doubled.asked * 0.95);
+  EXPECT_GT(doubled.served, doubled.arrived * 0.95);
   const Counts again = Play(312, 4 * kSec, steady);
-  EXPECT_GT(again.served, again.asked * 0.95);
+  EXPECT_GT(again.served, again.arrived * 0.95);
 }
 
-// The other side: where servers slow down with what they hold, more is not let in without end.
-TEST_F(OverloadTest, MoreThanServersKeepUpWithIsHeldBack) {
+// The limit applies where latency grows with the load.
+TEST_F(OverloadTest, RefusesLoadThatServersCannotHandle) {
   Start(MakeSettings(), 8);
   Play(1250, 4 * kSec, [](const std::string&) { return 40 * kMs; });
   const Counts slower = Play(625, 2 * kSec, [](const std::string&) { return 200 * kMs; });
   EXPECT_GT(Of(slower.unserved, Cause::kConcurrencyLimit) + Of(slower.unserved, Cause::kOverload),
-            slower.asked / 4);
+            slower.arrived / 4);
 }
 
-// Met on the second deployment: a server stood still for a third of a second, what it held came late one
-// after the other, and nine in ten requests were refused although the others stood idle.
-TEST_F(OverloadTest, WhatOneServerHoldsWhileItStandsStillRefusesNobody) {
-  Start(GivesUpAtAim(), 2);
+// Guards against refusals caused by the late responses of one stalled server.
+TEST_F(OverloadTest, AStalledServerCausesNoRefusals) {
+  Start(TimesOutAtTarget(), 2);
   int refused = 0;
   for (int round = 0; round < 40; ++round) {
     const auto one_stands = [&](const std::string& server) {
@@ -130,28 +128,25 @@
     };
     const Counts counts = Play(100, 1400, one_stands);
     refused += Of(counts.unserved, Cause::kOverload) + Of(counts.unserved, Cause::kConcurrencyLimit);
-    Rest(500 * kMs);
+    Idle(500 * kMs);
   }
-  EXPECT_LE(refused, 5);  // one in a hundred
+  EXPECT_LE(refused, 5);  // 1%
 }
 
-// Met on the first deployment, for ten seconds at a time: one attempt in six got no answer from any server,
-// and those filled the limit until they were given up at their aims, although the servers were as quick as
-// ever.
-TEST_F(OverloadTest, AttemptsThatGetLostDoNotFillTheLimit) {
+// Guards against a concurrency limit that is exhausted by lost attempts.
+TEST_F(OverloadTest, LostAttemptsDoNotExhaustTheLimit) {
   Start(MakeSettings(), 8);
-  Play(2500, 4 * kSec, [](const std::string&) { return 40 * kMs; });  // 16 out at once
+  Play(2500, 4 * kSec, [](const std::string&) { return 40 * kMs; });  // 16 in flight
   int attempt = 0;
   const auto sixth_is_lost = [&](const std::string&) { return ++attempt % 6 == 0 ? 3 * kSec : 40 * kMs; };
   const Counts counts = Play(2500, 8 * kSec, sixth_is_lost);
-  EXPECT_LT(Of(counts.unserved, Cause::kConcurrencyLimit), counts.asked / 20);
+  EXPECT_LT(Of(counts.unserved, Cause::kConcurrencyLimit), counts.arrived / 20);
 }
 
-// Met on both deployments' stale wide days: half of the servers were left alone at any time for lateness and
-// for connections that broke by themselves, and the others had to do it all.
-class LeftAloneTest : public BalancerTest {
+// Guards against ejecting half of the servers for lateness or isolated resets.
+class EjectionTest : public BalancerTest {
  protected:
-  // How many of ten servers are left alone after every attempt of many has ended so.
+  // Number of ejected servers, of ten, after many attempts that all ended this way.
   std::ptrdiff_t AfterMany(Result result) {
     Settings settings = MakeSettings();
     settings.tuning.window_width = 10;
@@ -168,19 +163,19 @@
   }
 };
 
-TEST_F(LeftAloneTest, AFifthAtMostButForServersThatCannotBeReached) {
+TEST_F(EjectionTest, AtMostAFifthUnlessUnreachable) {
   EXPECT_EQ(AfterMany(Result::kTimeout), 2);
   EXPECT_EQ(AfterMany(Result::kReset), 2);
   EXPECT_EQ(AfterMany(Result::kUnreachable), 5);
 }
 
-// Lateness of one that answers all the while is load, and what it is given follows its slowness.
-TEST_F(LeftAloneTest, NotOneThatHasAnsweredSince) {
+// A server that keeps responding is loaded, not down.
+TEST_F(EjectionTest, NotAServerThatHasRespondedSince) {
   Settings settings = MakeSettings();
   settings.classes[0].late_value = 0.5;
   settings.cancel = true;
   Start(settings, 2);
-  std::vector<std::string> ids;  // at s00
+  std::vector<std::string> ids;
   for (int i = 0; ids.size() < 2; ++i) {
     const std::string id = "r" + std::to_string(i);
     if (Arrive(id).at(0).server == "s00") ids.push_back(id);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,5 +1,5 @@
-// Seeded random but legal histories, watched by a checker of the four rules as far as one sidecar can see
-// them. The checker knows nothing of the module: it sees events and actions alone.
+// Random event sequences, checked against the retry and ordering rules by a model that sees only events and
+// actions.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 using Kind = Action::Kind;
 
-// Notes each breach in words.
+// Records rule violations.
 class RuleChecker {
  public:
   RuleChecker(Settings settings, Micros slack) : set_(std::move(settings)), slack_(slack) {}
@@ -24,7 +24,7 @@
   void Listed(Micros now, const ServerInfo& info) {
     Known& known = servers_[info.id];
     const bool usable = info.state == ServerInfo::State::kHealthy;
-    if (!usable && (known.usable || !known.seen)) known.told = now;
+    if (!usable && (known.usable || !known.observed)) known.told = now;
     known = {info, known.told, usable, true};
   }
   void Missing(Micros now, const std::string& id) {
@@ -40,14 +40,14 @@
     }
   }
   void Resolved(Micros now, const std::string& id, int attempt, Result result, bool settled) {
-    Seen& seen = requests_.at(id);
-    Try& tried = seen.tries.at(static_cast<std::size_t>(attempt));
+    Observed& observed = requests_.at(id);
+    Try& tried = observed.tries.at(static_cast<std::size_t>(attempt));
     tried.out = false;
     tried.ran = (result != Result::kRefused || set_.refused_may_have_run) && result != Result::kUnreachable &&
                 result != Result::kNeverSent;
     if (result == Result::kTimeout || result == Result::kReset || result == Result::kCancelled)
-      seen.settled_at = now + set_.hold_after_uncertain_outcome;
-    if (settled) seen.ended = true;
+      observed.settled_at = now + set_.hold_after_uncertain_outcome;
+    if (settled) observed.ended = true;
   }
   void Gone(const std::string& id) { requests_.at(id).ended = true; }
 
@@ -55,59 +55,59 @@
     if (action.kind == Kind::kTimer || action.kind == Kind::kSubscribe || action.kind == Kind::kCancel)
       return;
     const auto it = requests_.find(action.request);
-    if (it == requests_.end()) return Breach("an action names an unknown request");
-    Seen& seen = it->second;
-    if (seen.ended) return Breach("an action for an ended request");
-    const RequestClass& c = set_.classes[static_cast<std::size_t>(seen.request_class)];
+    if (it == requests_.end()) return AddViolation("an action names an unknown request");
+    Observed& observed = it->second;
+    if (observed.ended) return AddViolation("an action for an ended request");
+    const RequestClass& c = set_.classes[static_cast<std::size_t>(observed.request_class)];
     const Try* ran = nullptr;
-    for (const Try& tried : seen.tries)
+    for (const Try& tried : observed.tries)
       if (ran == nullptr && tried.ran) ran = &tried;
     if (action.kind == Kind::kSend) {
       const Known& server = servers_[action.server];
-      if (!server.seen) Breach("sent to a server that was never listed");
-      if (server.seen && !server.usable && now > server.told + set_.drain_grace)
-        Breach("sent to a draining server");
-      for (const Try& tried : seen.tries)
-        if (tried.out && !set_.parallel_attempts) Breach("two attempts at once");
-      if (static_cast<int>(seen.tries.size()) >= set_.max_attempts) Breach("too many attempts");
-      if (now > seen.deadline) Breach("sent after the deadline");
-      for (const std::string& before : in_order_[seen.key]) {
+      if (!server.observed) AddViolation("sent to a server that was never listed");
+      if (server.observed && !server.usable && now > server.told + set_.drain_grace)
+        AddViolation("sent to a draining server");
+      for (const Try& tried : observed.tries)
+        if (tried.out && !set_.parallel_attempts) AddViolation("two attempts at once");
+      if (static_cast<int>(observed.tries.size()) >= set_.max_attempts) AddViolation("too many attempts");
+      if (now > observed.deadline) AddViolation("sent after the deadline");
+      for (const std::string& before : in_order_[observed.key]) {
         if (before == action.request) break;
-        const Seen& earlier = requests_.at(before);
+        const Observed& earlier = requests_.at(before);
         for (const Try& tried : earlier.tries)
-          if (tried.out) Breach("sent while an earlier one of the key was out");
-        if (!earlier.ended) Breach("sent before an earlier one of the key was over");
-        if (now < earlier.settled_at) Breach("sent before the key had settled");
+          if (tried.out) AddViolation("sent while an earlier one of the key was out");
+        if (!earlier.ended) AddViolation("sent before an earlier one of the key was over");
+        if (now < earlier.settled_at) AddViolation("sent before the key had settled");
       }
-      if (ran != nullptr && c.retry_safety == RetrySafety::kNever) Breach("an effect may happen twice");
+      if (ran != nullptr && c.retry_safety == RetrySafety::kNever) AddViolation("an effect may happen twice");
       if (ran != nullptr && c.retry_safety == RetrySafety::kDeduplicated) {
-        if (now >= ran->sent + c.dedup_window) Breach("repeated after the window");
+        if (now >= ran->sent + c.dedup_window) AddViolation("repeated after the window");
         if (c.dedup_scope == DedupScope::kZone && ran->zone != server.info.zone)
-          Breach("repeated outside the group");
+          AddViolation("repeated outside the group");
         if (c.dedup_scope == DedupScope::kCell && ran->cell != server.info.cell)
-          Breach("repeated outside the group");
+          AddViolation("repeated outside the group");
       }
-      seen.tries.push_back({now, server.info.zone, server.info.cell, true, true});
+      observed.tries.push_back({now, server.info.zone, server.info.cell, true, true});
       return;
     }
-    if (now > seen.deadline + slack_) Breach("answered late");
+    if (now > observed.deadline + slack_) AddViolation("answered late");
     if (action.kind == Kind::kRefuse && ran != nullptr && c.retry_safety != RetrySafety::kSafe &&
         !(c.retry_safety == RetrySafety::kDeduplicated && c.dedup_scope == DedupScope::kAll))
-      Breach("refused what may have run");
-    seen.ended = true;
+      AddViolation("refused what may have run");
+    observed.ended = true;
   }
   void Finish() {
-    for (const auto& [id, seen] : requests_)
-      if (!seen.ended) Breach("a request without an answer");
+    for (const auto& [id, observed] : requests_)
+      if (!observed.ended) AddViolation("a request without an answer");
   }
-  const std::set<std::string>& breaches() const { return breaches_; }
+  const std::set<std::string>& violations() const { return violations_; }
 
  private:
   struct Known {
     ServerInfo info;
     Micros told = 0;
     bool usable = false;
-    bool seen = false;
+    bool observed = false;
   };
   struct Try {
     Micros sent;
@@ -116,7 +116,7 @@
     bool out;
     bool ran;
   };
-  struct Seen {
+  struct Observed {
     int request_class;
     Micros deadline;
     bool ended;
@@ -124,29 +124,28 @@
     std::string key = {};
     Micros settled_at = 0;
   };
-  void Breach(const std::string& what) { breaches_.insert(what); }
+  void AddViolation(const std::string& what) { violations_.insert(what); }
 
   Settings set_;
   Micros slack_;
   std::map<std::string, Known> servers_;
-  std::map<std::string, Seen> requests_;
+  std::map<std::string, Observed> requests_;
   std::map<std::string, std::vector<std::string>> in_order_;
-  std::set<std::string> breaches_;
+  std::set<std::string> violations_;
 };
 
-// Between the module and the checker; a test double spoils actions here.
-using Spoil = std::function<void(Action&)>;
+// Modifies actions before the checker sees them.
+using Mutator = std::function<void(Action&)>;
 
-struct Story {
-  std::set<std::string> breaches;
-  int sends = 0, repeats = 0, refusals = 0, failures = 0;
+struct RunResult {
+  std::set<std::string> violations;
+  int sends = 0, retries = 0, refusals = 0, failures = 0;
   std::size_t held = 0;
 };
 
-// Plays one random history: arrivals, all outcomes, lists that change, clients that leave, timers.
-// The checker goes by `rules`, if they are not what the module is told.
-Story Play(std::uint64_t seed, const Settings& settings, const Spoil& spoil,
-           const Settings* rules = nullptr) {
+// Runs one random event sequence. The checker applies `rules` if given, else `settings`.
+RunResult Play(std::uint64_t seed, const Settings& settings, const Mutator& mutate,
+               const Settings* rules = nullptr) {
   std::mt19937_64 random(seed);
   const auto below = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); };
   struct Pending {
@@ -156,7 +155,7 @@
     int attempt;
     bool operator<(const Pending& o) const { return std::pair(at, order) < std::pair(o.at, o.order); }
   };
-  Story story;
+  RunResult run;
   Recorder sink;
   std::string error;
   Micros now = 50 * kSec;
@@ -169,19 +168,19 @@
   int order = 0;
   const auto collect = [&] {
     for (Action action : sink.Take()) {
-      if (spoil) spoil(action);
+      if (mutate) mutate(action);
       checker.Acted(now, action);
       if (action.kind == Kind::kSend) {
-        ++story.sends;
+        ++run.sends;
         const int attempt = attempts[action.request]++;
-        story.repeats += attempt > 0;
+        run.retries += attempt > 0;
         Micros at = now + 1 * kMs + below(3000) * kMs;
         if (action.time > 0) at = std::min(at, now + action.time);
         pending.insert({std::min(at, deadline[action.request]), order++, action, attempt});
       } else if (action.kind == Kind::kTimer) {
         pending.insert({now + action.time + 5 * kMs, order++, action, 0});
       } else if (action.kind == Kind::kRefuse || action.kind == Kind::kFail) {
-        ++(action.kind == Kind::kRefuse ? story.refusals : story.failures);
+        ++(action.kind == Kind::kRefuse ? run.refusals : run.failures);
         settled.insert(action.request);
       }
     }
@@ -218,12 +217,12 @@
       now = std::max(now, resume);
     }
     const int what = below(20);
-    if (what == 0) {  // a server drains, goes, or comes (back) cold
+    if (what == 0) {  // a server drains, leaves or returns cold
       ServerInfo& info = servers[static_cast<std::size_t>(below(12))];
       info.state = static_cast<ServerInfo::State>(below(3));
       if (info.state == ServerInfo::State::kHealthy) info.started = now - below(3000) * kMs;
       list(ListUpdate::Kind::kDelta, {info});
-    } else if (what == 1) {  // the whole list: gone ones are absent
+    } else if (what == 1) {  // a full list, without removed servers
       std::vector<ServerInfo> present;
       for (const ServerInfo& info : servers) {
         if (info.state == ServerInfo::State::kGone) {
@@ -258,7 +257,7 @@
       collect();
     }
   }
-  while (!pending.empty()) {  // all that is still owed comes in
+  while (!pending.empty()) {  // deliver the remaining outcomes and timers
     const Pending next = *pending.begin();
     pending.erase(pending.begin());
     now = std::max(now, next.at);
@@ -273,9 +272,9 @@
     collect();
   }
   checker.Finish();
-  story.breaches = checker.breaches();
-  story.held = balancer->requests_held();
-  return story;
+  run.violations = checker.violations();
+  run.held = balancer->requests_held();
+  return run;
 }
 
 std::vector<Settings> Variants() {
@@ -305,50 +304,50 @@
   return {push, ask, cell, full, warm, order, both};
 }
 
-TEST(Rules, KeptInRandomHistories) {
-  Story sum;
+TEST(Rules, HoldInRandomRuns) {
+  RunResult sum;
   for (const Settings& settings : Variants()) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-      const Story story = Play(seed, settings, nullptr);
-      ASSERT_TRUE(story.breaches.empty()) << "seed " << seed << ": " << *story.breaches.begin();
-      ASSERT_EQ(story.held, 0u) << "seed " << seed;
-      sum.sends += story.sends;
-      sum.repeats += story.repeats;
-      sum.refusals += story.refusals;
-      sum.failures += story.failures;
+      const RunResult run = Play(seed, settings, nullptr);
+      ASSERT_TRUE(run.violations.empty()) << "seed " << seed << ": " << *run.violations.begin();
+      ASSERT_EQ(run.held, 0u) << "seed " << seed;
+      sum.sends += run.sends;
+      sum.retries += run.retries;
+      sum.refusals += run.refusals;
+      sum.failures += run.failures;
     }
   }
-  // The histories are worth something only if all of this happened in them.
+  // Guards against sequences that do not exercise the rules.
   EXPECT_GT(sum.sends, 10000);
-  EXPECT_GT(sum.repeats, 1000);
+  EXPECT_GT(sum.retries, 1000);
   EXPECT_GT(sum.refusals, 1000);
   EXPECT_GT(sum.failures, 1000);
 }
 
-// What sixty histories break between them.
-std::set<std::string> Breaches(const Settings& settings, const Spoil& spoil,
-                               const Settings* rules = nullptr) {
+// The union of the violations in sixty runs.
+std::set<std::string> Violations(const Settings& settings, const Mutator& mutate,
+                                 const Settings* rules = nullptr) {
   std::set<std::string> all;
-  for (std::uint64_t seed = 1; seed <= 60; ++seed) all.merge(Play(seed, settings, spoil, rules).breaches);
+  for (std::uint64_t seed = 1; seed <= 60; ++seed) all.merge(Play(seed, settings, mutate, rules).violations);
   return all;
 }
 
-// The checker has to see what it is there for: each double breaks one rule on purpose.
-TEST(Rules, TheCheckerSeesEachBreach) {
-  const auto breaches = [](const Spoil& spoil) { return Breaches(MakeSettings(), spoil); };
-  EXPECT_TRUE(breaches([](Action& a) {
+// Each mutator violates one rule.
+TEST(Rules, TheCheckerDetectsEachViolation) {
+  const auto violations = [](const Mutator& mutate) { return Violations(MakeSettings(), mutate); };
+  EXPECT_TRUE(violations([](Action& a) {
                 if (a.kind == Kind::kFail) a.kind = Kind::kRefuse;
               }).count("refused what may have run"));
-  EXPECT_TRUE(breaches([](Action& a) {
+  EXPECT_TRUE(violations([](Action& a) {
                 if (a.kind == Kind::kSend) a.server = "s03";
               }).count("sent to a draining server"));
-  EXPECT_TRUE(breaches([n = 0](Action& a) mutable {
+  EXPECT_TRUE(violations([n = 0](Action& a) mutable {
                 if (a.kind == Kind::kSend) a.server = n++ % 2 == 0 ? "s02" : "s03";
               }).count("repeated outside the group"));
-  EXPECT_TRUE(breaches([](Action& a) {
+  EXPECT_TRUE(violations([](Action& a) {
                 if (a.kind == Kind::kFail) a.kind = Kind::kCancel;
               }).count("a request without an answer"));
-  EXPECT_TRUE(breaches([](Action& a) {
+  EXPECT_TRUE(violations([](Action& a) {
                 if (a.kind == Kind::kFail) {
                   a.kind = Kind::kSend;
                   a.server = "s01";
@@ -356,27 +355,27 @@
               }).count("an effect may happen twice"));
 }
 
-// The further rules: a module that is not told of them (the settings are kept from it) breaks each.
-TEST(Rules, TheCheckerSeesWhatAModuleWithoutTheFurtherRulesBreaks) {
+// The balancer gets settings without the optional rules, and so violates them.
+TEST(Rules, TheCheckerDetectsViolationsOfOptionalRules) {
   Settings both = Variants().back();
   both.hold_after_uncertain_outcome = 500 * kMs;
   Settings untold = both;
   untold.refused_may_have_run = false;
   untold.hold_after_uncertain_outcome = 0;
-  std::set<std::string> all = Breaches(untold, nullptr, &both);
+  std::set<std::string> all = Violations(untold, nullptr, &both);
   EXPECT_TRUE(all.count("refused what may have run"));
   EXPECT_TRUE(all.count("an effect may happen twice"));
   EXPECT_TRUE(all.count("repeated outside the group"));
   EXPECT_TRUE(all.count("sent before the key had settled"));
   for (RequestClass& c : untold.classes) c.sequential = false;
-  all.merge(Breaches(untold, nullptr, &both));
+  all.merge(Violations(untold, nullptr, &both));
   EXPECT_TRUE(all.count("sent while an earlier one of the key was out"));
   EXPECT_TRUE(all.count("sent before an earlier one of the key was over"));
 }
 
-TEST(Rules, TheSameEventsGiveTheSameActions) {
-  const Story one = Play(5, MakeSettings(), nullptr);
-  const Story two = Play(5, MakeSettings(), nullptr);
+TEST(Rules, TheSameEventsProduceTheSameActions) {
+  const RunResult one = Play(5, MakeSettings(), nullptr);
+  const RunResult two = Play(5, MakeSettings(), nullptr);
   EXPECT_EQ(one.sends, two.sends);
   EXPECT_EQ(one.refusals, two.refusals);
   EXPECT_EQ(one.failures, two.failures);
--- a/tests/warm_keys_test.cpp
+++ b/tests/warm_keys_test.cpp
@@ -1,4 +1,4 @@
-// Servers that keep keys warm: which server a key goes to.
+// Key affinity: servers that cache the state of recently served keys.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -23,14 +23,14 @@
     settings.warm_keys = true;
     return settings;
   }
-  // Where one request of the key goes while nothing else is out.
+  // The server of a request with this key while nothing else is in flight.
   std::string ServerOf(const std::string& key) {
     const std::string id = "r" + std::to_string(++requests_);
     const auto sent = Arrive(id, 0, 5 * kSec, key);
     if (sent.size() != 1 || sent[0].kind != Kind::kSend) return "none";
     balancer_->OnOutcome(now_,
                          {id, 0, Result::kSuccess, sent[0].server == cold_ ? 20 * kMs : 10 * kMs, true, {}});
-    Took();
+    TakeActions();
     return sent[0].server;
   }
   std::map<int, std::string> Map() {
@@ -39,15 +39,14 @@
     return map;
   }
 
-  std::string cold_;  // this one takes twice the usual time
+  std::string cold_;  // has twice the usual latency
 
  private:
   int requests_ = 0;
 };
 
-// Met at the second deployment: each sidecar warmed the servers of its own window, and by chance within it,
-// so that a key was met again on its server in 22 of 100 cases.
-TEST_F(WarmKeysTest, AllSidecarsFindTheSameServerForAKey) {
+// Guards against each sidecar choosing different servers for a key.
+TEST_F(WarmKeysTest, AllSidecarsSelectTheSameServerForAKey) {
   Settings settings = Warm();
   settings.sidecar_count = 5;
   Start(settings, 12, 1);
@@ -61,7 +60,7 @@
   for (const auto& [server, count] : keys) EXPECT_GT(count, kKeys / 12 / 3) << server;
 }
 
-TEST_F(WarmKeysTest, AServerThatGoesMovesItsOwnKeysAlone) {
+TEST_F(WarmKeysTest, ARemovedServerMovesOnlyItsOwnKeys) {
   Start(Warm(), 12);
   const auto before = Map();
   std::vector<ServerInfo> left = MakeServers(12);
@@ -78,7 +77,7 @@
   EXPECT_GT(moved, 0);
 }
 
-TEST_F(WarmKeysTest, AHotKeySpillsToItsSecondServerAndNoFurther) {
+TEST_F(WarmKeysTest, AHotKeySpillsOnlyToItsSecondServer) {
   Start(Warm(), 12);
   const std::string home = ServerOf("hot");
   std::map<std::string, int> out;
@@ -88,9 +87,9 @@
   EXPECT_LT(out[home], 10);
 }
 
-TEST_F(WarmKeysTest, AKeyOfAServerThatIsLeftAloneGoesToItsSecond) {
+TEST_F(WarmKeysTest, AKeyOfAnEjectedServerGoesToItsSecondServer) {
   Start(Warm(), 12);
-  Map();  // good answers, so that one bad one refuses nobody
+  Map();  // fast responses, so that a single slow one causes no refusal
   const std::string home = ServerOf("k");
   Arrive("lost", 0, 5 * kSec, "k");
   Resolve("lost", 0, Result::kTimeout);
@@ -99,8 +98,8 @@
   EXPECT_EQ(ServerOf("k"), second);
 }
 
-// Its start share rules, not its keys: a server that starts again gets no more than a part of them at once.
-TEST_F(WarmKeysTest, AColdServerIsNotGivenAllItsKeysAtOnce) {
+// Slow start takes precedence over affinity.
+TEST_F(WarmKeysTest, AColdServerDoesNotGetAllItsKeysAtOnce) {
   Start(Warm(), 12);
   const auto before = Map();
   std::vector<ServerInfo> servers = MakeServers(12);
@@ -117,7 +116,7 @@
   EXPECT_LE(sent, its_own / 2);
 }
 
-TEST_F(WarmKeysTest, KeysFollowTheSizesThatTheListTells) {
+TEST_F(WarmKeysTest, KeysAreDistributedByServerWeight) {
   const auto keys_of_the_large = [&](Settings::Weights weights) {
     Settings settings = Warm();
     settings.weights = weights;
@@ -131,11 +130,11 @@
   };
   EXPECT_GT(keys_of_the_large(Settings::Weights::kRough), kKeys * 2 / 3);
   EXPECT_GT(keys_of_the_large(Settings::Weights::kNominal), kKeys * 2 / 3);
-  // A weight that follows the load of a while ago is no size: keys would move with each list.
+  // Weights that follow the current load must not move keys.
   EXPECT_LT(keys_of_the_large(Settings::Weights::kLive), kKeys * 6 / 10);
 }
 
-TEST_F(WarmKeysTest, ALargerServerTakesMoreSideBySide) {
+TEST_F(WarmKeysTest, ALargerServerGetsMoreConcurrentRequests) {
   Settings settings = Warm();
   settings.weights = Settings::Weights::kRough;
   const auto before_it_spills = [&](double weight) {
@@ -151,7 +150,7 @@
   EXPECT_GT(before_it_spills(8), before_it_spills(1));
 }
 
-TEST_F(WarmKeysTest, WhereConnectionsCostSomethingTheWindowStaysNarrow) {
+TEST_F(WarmKeysTest, WithCostlyConnectionsTheWindowStaysNarrow) {
   Settings settings = Warm();
   settings.cost_connection = 0.05;
   Start(settings, 40);
@@ -160,7 +159,7 @@
   EXPECT_EQ(met.size(), settings.tuning.window_width);
 }
 
-TEST_F(WarmKeysTest, WhereNoKeyIsKeptWarmKeysDecideNothing) {
+TEST_F(WarmKeysTest, WithoutWarmKeysTheKeyHasNoEffect) {
   const auto sends = [&](bool with_key) {
     Start(MakeSettings(), 12);
     std::vector<std::string> servers;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// The adapter: the whole wire, bad input, and instances that share nothing.
+// Tests of the adapter: protocol, invalid input and independence of instances.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -28,7 +28,7 @@
           "DISCOVERY " + name + " C 7 3"};
 }
 
-// The reply to one batch.
+// Returns the reply to one batch.
 std::string Batch(Host& host, std::int64_t now, const std::vector<std::string>& lines) {
   host.Line("BEGIN_BATCH " + std::to_string(now));
   for (const std::string& line : lines) EXPECT_FALSE(host.Line(line)) << line;
@@ -36,22 +36,22 @@
   return host.reply();
 }
 
-TEST(Wire, AnEmptyBatchIsAnsweredAtOnce) {
+TEST(Wire, AnswersAnEmptyBatch) {
   Host host;
   EXPECT_EQ(Batch(host, 5, {}), "DONE\n");
 }
 
-TEST(Wire, PlaysARequestFromArrivalToSuccess) {
+TEST(Wire, ForwardsARequestUntilItSucceeds) {
   Host host;
   const std::string start = Batch(host, 10, Provision("sidecar/1"));
-  EXPECT_EQ(start.substr(0, 16), "SLEEP sidecar/1 ");  // asks discovery after a spread wait
+  EXPECT_EQ(start.substr(0, 16), "SLEEP sidecar/1 ");  // requests the server list after a random delay
   const std::string routed = Batch(host, 20, {"ARRIVAL sidecar/1 r-a 12000 2000000 acme 1 look s-key"});
   EXPECT_EQ(routed.substr(0, 20), "ROUTE sidecar/1 r-a ");
   EXPECT_EQ(Batch(host, 40, {"RESOLVED sidecar/1 r-a 0 10.0.0.1:80 success 20 1 busy_reqs:3,pending:1"}),
             "DONE\n");
 }
 
-TEST(Wire, EveryEventIsTaken) {
+TEST(Wire, AcceptsEveryEvent) {
   Host host;
   Batch(host, 10, Provision("sidecar/1"));
   const std::string reply =
@@ -67,7 +67,7 @@
     Batch(host, 30, {"RESOLVED sidecar/1 r-a 0 10.0.0.1:80 " + std::string(outcome) + " 9 1 -"});
 }
 
-TEST(Wire, AListNumberIsReusedWithinABatch) {
+TEST(Wire, AListPageCanBeReusedWithinABatch) {
   Host host;
   auto lines = Provision("sidecar/1");
   auto more = Provision("sidecar/2");
@@ -81,7 +81,7 @@
   EXPECT_NE(two.find("10.9.9."), std::string::npos);
 }
 
-TEST(Wire, AKilledInstanceForgetsAndMayStartInTheSameBatch) {
+TEST(Wire, AnInstanceCanRestartWithinABatch) {
   Host host;
   Batch(host, 10, Provision("sidecar/1"));
   Batch(host, 20, {"ARRIVAL sidecar/1 r-a - 2000000 - 0 look -"});
@@ -92,13 +92,13 @@
   EXPECT_EQ(reply.find("r-a"), std::string::npos);
 }
 
-TEST(Wire, SettingsThatMakeNoSenseAreFatalForTheInstance) {
+TEST(Wire, InvalidSettingsAreFatalForTheInstance) {
   Host host;
   EXPECT_EQ(Batch(host, 10, {"PROVISION sidecar/1 5 grades.count=0"}),
             "FATAL sidecar/1 settings: no request classes\nDONE\n");
 }
 
-TEST(Wire, BadInputNamesTheLineTheVerbAndTheFault) {
+TEST(Wire, ErrorsNameTheLineAndTheVerb) {
   const std::vector<std::pair<std::string, std::string>> cases = {
       {"ARRIVAL sidecar/1 r-a x 1 - 0 look -", "line 7: ARRIVAL: cost_us 'x': not a whole number"},
       {"ARRIVAL sidecar/1 r-a 1 -1 - 0 look -", "line 7: ARRIVAL: budget_us '-1': negative"},
@@ -133,7 +133,7 @@
   }
 }
 
-TEST(Wire, AMissingLoadValueIsAbsentAndNeverZero) {
+TEST(Wire, AMissingLoadValueIsAbsent) {
   const LoadReport load = ParseLoad("busy_reqs:3,svc_ms:1.5,cpu_share:-,novel:9");
   EXPECT_EQ(load.busy, 3.0);
   EXPECT_EQ(load.service_ms, 1.5);
@@ -143,14 +143,14 @@
     EXPECT_THROW(ParseLoad(bad), WireError) << bad;
 }
 
-TEST(Wire, PeerBytesAreHex) {
+TEST(Wire, PeerMessagesAreHexEncoded) {
   EXPECT_EQ(ParseHex("6869"), "hi");
   EXPECT_EQ(ParseHex("-"), "");
   EXPECT_THROW(ParseHex("686"), WireError);
   EXPECT_THROW(ParseHex("6g"), WireError);
 }
 
-TEST(Wire, EverySettingIsHandedOn) {
+TEST(Wire, PassesOnEverySetting) {
   const Settings s =
       ParseSettings(
           "allowed.conn_idle_us=5 allowed.dial_timeout_us=6 allowed.open_cap=7 allowed.cpu_us_per_s=8 "
@@ -186,8 +186,8 @@
   EXPECT_TRUE(s.classes[0].sequential);
 }
 
-// Truncated, mutated and random lines end in a WireError or are taken; the sanitizers watch the rest.
-TEST(Wire, NoInputCrashesIt) {
+// Truncated, mutated and random lines are accepted or end in a WireError; sanitizers check the rest.
+TEST(Wire, RandomInputDoesNotCrash) {
   std::mt19937_64 random(11);
   const auto below = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
   std::vector<std::string> script = {"BEGIN_BATCH 10"};
@@ -225,7 +225,7 @@
   EXPECT_GT(taken, 100);
 }
 
-// A reply without the lines of other instances.
+// The lines of one instance in a reply.
 std::string Own(const std::string& reply, const std::string& name) {
   std::string own;
   std::size_t at = 0;
@@ -238,14 +238,14 @@
   return own;
 }
 
-TEST(Wire, InterleavedInstancesActAsTheyWouldAlone) {
+TEST(Wire, InterleavedInstancesAreIndependent) {
   const std::vector<std::string> names = {"sidecar/0", "sidecar/1", "sidecar/2"};
   Host together;
   std::vector<Host> alone(names.size());
   std::mt19937_64 random(3);
   const auto play = [&](std::int64_t now, const std::vector<std::vector<std::string>>& by_name) {
     std::vector<std::string> all;
-    for (std::size_t k = 0; k < 12; ++k)  // one line of each in turn
+    for (std::size_t k = 0; k < 12; ++k)  // one line of each instance in turn
       for (const auto& lines : by_name)
         if (k < lines.size()) all.push_back(lines[k]);
     const std::string mixed = Batch(together, now, all);
--- a/tests/zones/orders_test.cpp
+++ b/tests/zones/orders_test.cpp
@@ -1,8 +1,8 @@
-// The operator's file on zones: what is taken, and the one line that a wrong one gets.
-#include "zones/orders.hpp"
-
+// Parsing of zone overrides, and the error messages for invalid files.
 #include <gtest/gtest.h>
 
+#include "zones/overrides.hpp"
+
 namespace merlinrun::zones {
 namespace {
 
@@ -11,7 +11,7 @@
   return std::holds_alternative<std::string>(read) ? std::get<std::string>(read) : "taken";
 }
 
-TEST(OrdersTest, ZonesAreToldByTheNamesOfTheSettings) {
+TEST(OverridesTest, ZonesAreNamedAsInTheSettings) {
   const auto read = ParseZoneOverrides("leave = ['west']\nkeep = ['east']\n", "zones.toml", {"east", "west"});
   const auto& orders = std::get<std::vector<ZoneOverride>>(read);
   ASSERT_EQ(orders.size(), 2U);
@@ -20,7 +20,7 @@
   EXPECT_EQ(WrongOf(""), "taken");
 }
 
-TEST(OrdersTest, AWrongFileIsToldWithItsPlace) {
+TEST(OverridesTest, AnInvalidFileIsReportedWithItsPosition) {
   EXPECT_EQ(WrongOf("leave = ['north']\n"), "zones.toml:1:10: 'north' is no zone of the settings");
   EXPECT_EQ(WrongOf("leave = ['west']\nkeep = ['west']\n").substr(0, 11), "zones.toml:");
   EXPECT_EQ(WrongOf("leave = 'west'\n"),
