--- a/src/stats/trace.cpp
+++ b/src/stats/trace.cpp
@@ -132,7 +132,7 @@
   for (const BalancerSnapshot::Zone& zone : snapshot.zones) {
     zones["stages"][std::to_string(zone.zone)] = kZoneStageNames[static_cast<std::size_t>(zone.stage)];
     if (const ZonePeerReport& report = zone.peer_report; report.reporting > 0)
-      zones["report"][std::to_string(zone.zone)] = {
+      zones["told"][std::to_string(zone.zone)] = {
           {"heard", report.reporting}, {"lost", report.reporting_lost}, {"well", report.reporting_healthy}};
   }
   if (runtime.peer_messages) line["words"] = PeerMessagesJson(*runtime.peer_messages);
