--- a/tests/fleet/report_exchange_test.cpp
+++ b/tests/fleet/report_exchange_test.cpp
@@ -140,7 +140,8 @@
           const std::uint64_t server = 1 + one->random.Below(8);
           const bool dead = zone == 1 && at >= kLoss && server <= dead_of_eight;
           one->again = dead;  // the request is tried again, in either zone
-          one->zones.OnOutcome(now, zone, server, dead ? zones::Evidence::kNoConnection : zones::Evidence::kResponse, window);
+          one->zones.OnOutcome(now, zone, server,
+                               dead ? zones::Evidence::kNoConnection : zones::Evidence::kResponse, window);
         }
         if (words) {
           for (const int zone : {0, 1}) one->zones.OnPeerReport(now, one->talk.Of(now, zone), window);
