--- a/tests/model/world_test.cpp
+++ b/tests/model/world_test.cpp
@@ -298,8 +298,8 @@
   out.header.classes = {"number-port", "sim-lookup"};
   for (std::uint32_t i = 0; i < 500; ++i) {
     record::Record record;
-    record.arrived = 3'000'000 + 20'000 * i;
-    record.its_class = i % 2;
+    record.arrival_time = 3'000'000 + 20'000 * i;
+    record.request_class = i % 2;
     out.records.push_back(record);
   }
   std::swap(out.records[3], out.records[9]);  // they are in the order in which they ended
