--- a/bench/codec_bench.cpp
+++ b/bench/codec_bench.cpp
@@ -43,11 +43,11 @@
   const Message request = Request();
   const std::string frame = Encode(request.header, request.avps);
   Framer framer(65'536);
-  const Onward onward{7, "backoffice-1.franchise.example", false, 5, 32473, 2950};
+  const ForwardOptions options{7, "backoffice-1.franchise.example", false, 5, 32473, 2950};
   for (auto _ : state) {
     framer.Feed(frame);
     const auto decoded = Decode(*framer.Next());
-    const Message out = Forward(std::get<Message>(decoded), onward);
+    const Message out = Forward(std::get<Message>(decoded), options);
     benchmark::DoNotOptimize(Encode(out.header, out.avps));
   }
   state.SetItemsProcessed(state.iterations());
--- a/src/diameter/application.cpp
+++ b/src/diameter/application.cpp
@@ -8,31 +8,33 @@
 namespace merlinrun::diameter {
 namespace {
 
-// As over HTTP: what ids and keys may be made of, and how long they may be.
-constexpr std::size_t kMostId = 64;
-constexpr std::size_t kMostKey = 128;
-constexpr std::size_t kMostObject = 1024;
+// The same limits on ids and keys as for HTTP.
+constexpr std::size_t kMaxIdSize = 64;
+constexpr std::size_t kMaxKeySize = 128;
+constexpr std::size_t kMaxObjectSize = 1024;
 constexpr Micros kMillisecond = 1000;
 
-bool IsName(std::string_view text, std::size_t most) {
-  return !text.empty() && text.size() <= most && std::all_of(text.begin(), text.end(), [](unsigned char c) {
-    return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.' || c == ':';
-  });
+bool IsToken(std::string_view text, std::size_t max_size) {
+  return !text.empty() && text.size() <= max_size &&
+         std::all_of(text.begin(), text.end(), [](unsigned char c) {
+           return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.' || c == ':';
+         });
 }
 
-std::optional<Avp> At(const Message& request, const AvpId& at) {
-  return at ? Find(request.avps, at.code, at.vendor) : std::nullopt;
+std::optional<Avp> FindMapped(const Message& request, const AvpId& avp_id) {
+  return avp_id ? Find(request.avps, avp_id.code, avp_id.vendor) : std::nullopt;
 }
 
 MessageError Invalid(const Avp& avp, const char* text) {
   return {ResultCode::kInvalidAvpValue, AvpWriter().Copy(avp).Take(), text};
 }
 
-// That the request carries a key if its class is keyed, and none else: guards against a client that believes
-// its request safe to repeat where servers do not look at its key.
-std::optional<MessageError> CheckKey(const CommandMapping& map, RetrySafety repeat, const Message& request) {
-  const auto key = At(request, map.idempotency);
-  if (repeat != RetrySafety::kDeduplicated) {
+// A request must carry an idempotency key exactly if its class is deduplicated, so that no client relies on a
+// key that servers ignore.
+std::optional<MessageError> CheckIdempotencyKey(const CommandMapping& mapping, RetrySafety safety,
+                                                const Message& request) {
+  const auto key = FindMapped(request, mapping.idempotency);
+  if (safety != RetrySafety::kDeduplicated) {
     if (!key) return std::nullopt;
     return MessageError{ResultCode::kAvpNotAllowed, AvpWriter().Copy(*key).Take(),
                         "a key that the class has no use for"};
@@ -40,9 +42,9 @@
   if (!key)
     return MessageError{
         ResultCode::kMissingAvp,
-        AvpWriter().Add(map.idempotency.code, "", kMandatoryBit, map.idempotency.vendor).Take(),
+        AvpWriter().Add(mapping.idempotency.code, "", kMandatoryBit, mapping.idempotency.vendor).Take(),
         "the class needs a key"};
-  if (!IsName(key->data, kMostKey)) return Invalid(*key, "the key is no name");
+  if (!IsToken(key->data, kMaxKeySize)) return Invalid(*key, "the key is no name");
   return std::nullopt;
 }
 
@@ -50,14 +52,15 @@
 
 const CommandMapping* Application::FindCommand(std::uint32_t code) const {
   const auto it = std::find_if(commands.begin(), commands.end(),
-                               [&](const CommandMapping& map) { return map.code == code; });
+                               [&](const CommandMapping& mapping) { return mapping.code == code; });
   return it == commands.end() ? nullptr : &*it;
 }
 
 std::string Application::ServerHost(std::string_view server) const {
-  constexpr std::string_view kPlace = "{id}";
+  constexpr std::string_view kPlaceholder = "{id}";
   std::string out = server_host;
-  if (const auto at = out.find(kPlace); at != std::string::npos) out.replace(at, kPlace.size(), server);
+  if (const auto at = out.find(kPlaceholder); at != std::string::npos)
+    out.replace(at, kPlaceholder.size(), server);
   return out;
 }
 
@@ -65,29 +68,31 @@
                                                     const Message& request) {
   if (request.header.application != application.id)
     return MessageError{ResultCode::kApplicationUnsupported, {}, "an application that is not served here"};
-  const CommandMapping* const map = application.FindCommand(request.header.command);
-  if (map == nullptr) return MessageError{ResultCode::kCommandUnsupported, {}, "an unknown command"};
-  const CommandRule& rule = *application.dictionary.FindCommand(map->code, application.id);
-  if (auto fault = Check(request, application.dictionary, rule, Reader::kRelay)) return *fault;
+  const CommandMapping* const mapping = application.FindCommand(request.header.command);
+  if (mapping == nullptr) return MessageError{ResultCode::kCommandUnsupported, {}, "an unknown command"};
+  const CommandRule& rule = *application.dictionary.FindCommand(mapping->code, application.id);
+  if (auto fault = ValidateMessage(request, application.dictionary, rule, NodeRole::kRelay)) return *fault;
 
   RequestInfo out;
-  const auto class_name = At(request, map->class_name);
-  out.request_class = core::ClassIndex(settings, class_name ? class_name->data : map->fixed_class);
+  const auto class_name = FindMapped(request, mapping->class_name);
+  out.request_class = core::ClassIndex(settings, class_name ? class_name->data : mapping->fixed_class);
   if (out.request_class < 0) return Invalid(*class_name, "an unknown class");
-  const RequestClass& its_class = settings.classes[static_cast<std::size_t>(out.request_class)];
-  if (auto fault = CheckKey(*map, its_class.retry_safety, request)) return *fault;
-  if (const auto tenant = At(request, map->tenant)) out.tenant = core::TenantIndex(settings, tenant->data);
-  if (const auto object = At(request, map->object)) {
-    if (object->data.size() > kMostObject) return Invalid(*object, "what the request concerns is too long");
+  const RequestClass& class_settings = settings.classes[static_cast<std::size_t>(out.request_class)];
+  if (auto fault = CheckIdempotencyKey(*mapping, class_settings.retry_safety, request)) return *fault;
+  if (const auto tenant = FindMapped(request, mapping->tenant))
+    out.tenant = core::TenantIndex(settings, tenant->data);
+  if (const auto object = FindMapped(request, mapping->object)) {
+    if (object->data.size() > kMaxObjectSize)
+      return Invalid(*object, "what the request concerns is too long");
     out.object = std::string(object->data);
   }
-  if (const auto deadline = At(request, map->deadline)) {
-    const std::uint32_t told = *ToU32(deadline->data);
-    if (told == 0) return Invalid(*deadline, "no time to answer in");
-    out.deadline = told * kMillisecond;
+  if (const auto deadline = FindMapped(request, mapping->deadline)) {
+    const std::uint32_t milliseconds = *ToU32(deadline->data);
+    if (milliseconds == 0) return Invalid(*deadline, "no time to answer in");
+    out.deadline = milliseconds * kMillisecond;
   }
-  if (const auto id = At(request, map->id)) {
-    if (!IsName(id->data, kMostId)) return Invalid(*id, "the id is no name");
+  if (const auto id = FindMapped(request, mapping->id)) {
+    if (!IsToken(id->data, kMaxIdSize)) return Invalid(*id, "the id is no name");
     out.id = std::string(id->data);
   }
   return out;
--- a/src/diameter/application.hpp
+++ b/src/diameter/application.hpp
@@ -1,6 +1,6 @@
-// The operator's file that switches Diameter on (TOML): who this node is, who may connect, which servers can
-// be reached how, and how a request's class, tenant, keys and deadline are found in its AVPs. Read once, at
-// the start; what is wrong with it is told in one line with the place where it stands.
+// The Diameter settings file (TOML): this node's identity, the allowed clients, how servers are reached, and
+// which AVPs hold a request's class, tenant, keys and deadline. Read once, at startup; errors are reported in
+// one line with their position.
 #ifndef MERLINRUN_DIAMETER_APPLICATION_HPP_
 #define MERLINRUN_DIAMETER_APPLICATION_HPP_
 
@@ -18,75 +18,76 @@
 
 namespace merlinrun::diameter {
 
-// Where an AVP of interest stands; a code of 0: the command has none.
+// Identifies an AVP; code 0 means that the command has none.
 struct AvpId {
   std::uint32_t code = 0;
   std::uint32_t vendor = 0;
   explicit operator bool() const { return code != 0; }
 };
 
-// How the requests of one command are read.
+// Maps the AVPs of a command's requests to the fields that the balancer uses.
 struct CommandMapping {
   std::uint32_t code = 0;
-  std::string fixed_class;  // the class of all of them; empty: `class_name` says it
+  std::string fixed_class;  // class of all requests; empty: read from `class_name`
   AvpId class_name;
   AvpId tenant;
-  AvpId object;       // what it concerns, as HTTP's `obj`
-  AvpId idempotency;  // what servers drop repeats by, as HTTP's Idempotency-Key
-  AvpId deadline;     // milliseconds that the client waits, from when it sent the request (Unsigned32)
-  AvpId id;           // the request's id over HTTP too, as HTTP's Req-Id; see docs/design/diameter.md
+  AvpId object;       // what the request is about, as HTTP's `obj`
+  AvpId idempotency;  // idempotency key, as HTTP's Idempotency-Key
+  AvpId deadline;  // milliseconds that the client waits for the answer, from sending the request (Unsigned32)
+  AvpId id;        // request id shared with HTTP's Req-Id; see docs/design/diameter.md
 };
 
 struct AllowedClient {
-  std::string host;  // its Origin-Host
-  bool tls = false;  // it may come over TLS alone, with a certificate of that name
+  std::string host;  // Origin-Host
+  bool tls = false;  // only accepted over TLS, with a certificate for `host`
 };
 
 struct TlsFiles {
-  std::string certificate;  // PEM, this node's, with what signed it
+  std::string certificate;  // PEM, this node's certificate chain
   std::string key;          // PEM
-  std::string authorities;  // PEM, of those who sign peers' certificates
+  std::string authorities;  // PEM, CA certificates for peers
 };
 
 struct Application {
   std::string host;        // this node's Origin-Host
   std::string realm;       // its Origin-Realm
-  std::string listen;      // "127.0.0.1:3868"; empty: no port without TLS
-  std::string tls_listen;  // the same with TLS; empty: none
+  std::string listen;      // "127.0.0.1:3868"; empty: no plaintext port
+  std::string tls_listen;  // the same for TLS; empty: no TLS port
   TlsFiles tls;
-  std::vector<std::string> realms;  // that requests may be for
+  std::vector<std::string> realms;  // Destination-Realms served
   std::vector<AllowedClient> clients;
-  std::string server_host;   // the Origin-Host of a server; {id} stands for its instance id
-  bool servers_tls = false;  // servers are dialled with TLS
-  Micros watchdog = 30'000'000;
-  Micros reconnect = 30'000'000;
-  std::size_t max_message_bytes = 65'536;    // bytes
-  std::size_t max_pending_requests = 1'024;  // under way for one client
-  DuplicateCache::Limits recall;
+  std::string server_host;   // Origin-Host of a server; {id} is replaced by its instance id
+  bool servers_tls = false;  // connections to servers use TLS
+  Micros watchdog_interval = 30'000'000;
+  Micros max_reconnect_delay = 30'000'000;
+  std::size_t max_message_bytes = 65'536;
+  std::size_t max_pending_requests = 1'024;  // concurrent requests per client
+  DuplicateCache::Limits duplicate_limits;
   std::uint32_t id = 0;  // Auth-Application-Id
   Dictionary dictionary = Dictionary::Base();
   std::vector<CommandMapping> commands;
 
   const CommandMapping* FindCommand(std::uint32_t code) const;
-  // The Origin-Host of the server that discovery lists under this id.
+  // The Origin-Host of the server with this id in discovery.
   std::string ServerHost(std::string_view server) const;
 };
 
-// Reads the file's text. `settings` names the classes that a command may be fixed to; `name` is the sidecar's
-// own, which {name} stands for in [node] host. On failure one line: "FILE:LINE:COLUMN: what is wrong".
+// Parses the file's text. `settings` lists the classes that a command may be mapped to; `name` is the
+// sidecar's name, which replaces {name} in [node] host. On failure returns one line: "FILE:LINE:COLUMN:
+// reason".
 std::variant<Application, std::string> ParseApplication(std::string_view text, const std::string& file,
                                                         const Settings& settings, std::string_view name);
 
-// A request as its AVPs say it.
+// What is read from a request's AVPs.
 struct RequestInfo {
   int request_class = -1;
   int tenant = -1;
   std::optional<Micros> deadline;
   std::string object;
-  std::string id;  // empty: none was given
+  std::string id;  // empty if absent
 };
 
-// Checks a request of this application (command, AVPs, class, key as the class needs it) and reads it.
+// Validates a request of this application (command, AVPs, class, idempotency key) and reads it.
 std::variant<RequestInfo, MessageError> ReadRequest(const Application& application, const Settings& settings,
                                                     const Message& request);
 
--- a/src/diameter/application_file.cpp
+++ b/src/diameter/application_file.cpp
@@ -1,4 +1,4 @@
-// The schema of the operator's Diameter file and its reader.
+// Schema and parser of the Diameter settings file.
 #include <toml++/toml.h>
 
 #include <algorithm>
@@ -14,74 +14,73 @@
 namespace {
 
 constexpr std::int64_t kVersion = 1;
-constexpr std::int64_t kMostCode = 0xffffffff;
-constexpr std::int64_t kMostCommand = 0xffffff;
+constexpr std::int64_t kMaxCode = 0xffffffff;
+constexpr std::int64_t kMaxCommandCode = 0xffffff;
 constexpr Micros kSecond = 1'000'000;
 
-// Thrown and caught in this file alone: one place and one reason.
-class Wrong : public std::runtime_error {
+// Position and reason of an error; caught in ParseApplication.
+class SchemaError : public std::runtime_error {
  public:
-  Wrong(const toml::source_region& where, const std::string& what)
+  SchemaError(const toml::source_region& where, const std::string& what)
       : std::runtime_error(std::to_string(where.begin.line) + ":" + std::to_string(where.begin.column) +
                            ": " + what) {}
 };
 
-// One table of the file. Every key that is read is known; any other one is an error, as a slip of the pen in
-// the name of a limit would leave that limit as it was.
+// A table of the file. Unknown keys are errors, so that a misspelled limit isn't ignored.
 class Section {
  public:
   Section(const toml::table& table, std::string name) : table_(table), name_(std::move(name)) {}
 
-  void Allow(std::initializer_list<std::string_view> keys) const {
+  void RejectUnknownKeys(std::initializer_list<std::string_view> keys) const {
     for (const auto& [key, value] : table_)
       if (std::find(keys.begin(), keys.end(), key.str()) == keys.end())
-        throw Wrong(value.source(), "unknown setting '" + Path(key.str()) + "'");
+        throw SchemaError(value.source(), "unknown setting '" + Path(key.str()) + "'");
   }
   const toml::node* Get(std::string_view key) const { return table_.get(key); }
   bool Has(std::string_view key) const { return Get(key) != nullptr; }
 
   std::string Text(std::string_view key) const {
-    const toml::node& node = Must(key);
+    const toml::node& node = Required(key);
     const auto value = node.value_exact<std::string>();
-    if (!value || value->empty()) throw Wrong(node.source(), Path(key) + ": a text is needed");
+    if (!value || value->empty()) throw SchemaError(node.source(), Path(key) + ": a text is needed");
     return *value;
   }
-  std::string Text(std::string_view key, const std::string& otherwise) const {
-    return Has(key) ? Text(key) : otherwise;
+  std::string Text(std::string_view key, const std::string& default_value) const {
+    return Has(key) ? Text(key) : default_value;
   }
   std::string Identity(std::string_view key) const {
     std::string value = Text(key);
-    if (!Fits(Format::kIdentity, value)) Reject(key, "'" + value + "' is no DiameterIdentity");
+    if (!IsValidData(Format::kIdentity, value)) Reject(key, "'" + value + "' is no DiameterIdentity");
     return value;
   }
-  bool Flag(std::string_view key, bool otherwise) const {
-    if (!Has(key)) return otherwise;
-    const auto value = Must(key).value_exact<bool>();
+  bool Flag(std::string_view key, bool default_value) const {
+    if (!Has(key)) return default_value;
+    const auto value = Required(key).value_exact<bool>();
     if (!value) Reject(key, "true or false is needed");
     return *value;
   }
-  std::int64_t Number(std::string_view key, std::int64_t least, std::int64_t most) const {
-    const auto value = Must(key).value_exact<std::int64_t>();
-    if (!value || *value < least || *value > most)
-      Reject(key,
-             "a whole number from " + std::to_string(least) + " to " + std::to_string(most) + " is needed");
+  std::int64_t Number(std::string_view key, std::int64_t min_value, std::int64_t max_value) const {
+    const auto value = Required(key).value_exact<std::int64_t>();
+    if (!value || *value < min_value || *value > max_value)
+      Reject(key, "a whole number from " + std::to_string(min_value) + " to " + std::to_string(max_value) +
+                      " is needed");
     return *value;
   }
-  std::int64_t Number(std::string_view key, std::int64_t least, std::int64_t most,
-                      std::int64_t otherwise) const {
-    return Has(key) ? Number(key, least, most) : otherwise;
+  std::int64_t Number(std::string_view key, std::int64_t min_value, std::int64_t max_value,
+                      std::int64_t default_value) const {
+    return Has(key) ? Number(key, min_value, max_value) : default_value;
   }
   std::vector<std::string> Identities(std::string_view key) const {
-    const toml::array* const list = Must(key).as_array();
+    const toml::array* const list = Required(key).as_array();
     std::vector<std::string> out;
     if (list != nullptr)
       for (const toml::node& item : *list) out.push_back(item.value_exact<std::string>().value_or(""));
-    const auto bad = [](const std::string& item) { return !Fits(Format::kIdentity, item); };
+    const auto bad = [](const std::string& item) { return !IsValidData(Format::kIdentity, item); };
     if (out.empty() || std::any_of(out.begin(), out.end(), bad)) Reject(key, "a list of names is needed");
     return out;
   }
   Section Table(std::string_view key) const {
-    const toml::table* const table = Must(key).as_table();
+    const toml::table* const table = Required(key).as_table();
     if (table == nullptr) Reject(key, "a table is needed");
     return {*table, Path(key)};
   }
@@ -98,16 +97,16 @@
   }
 
   [[noreturn]] void Reject(std::string_view key, const std::string& what) const {
-    throw Wrong(Must(key).source(), Path(key) + ": " + what);
+    throw SchemaError(Required(key).source(), Path(key) + ": " + what);
   }
 
  private:
   std::string Path(std::string_view key) const {
     return name_.empty() ? std::string(key) : name_ + "." + std::string(key);
   }
-  const toml::node& Must(std::string_view key) const {
+  const toml::node& Required(std::string_view key) const {
     const toml::node* const node = Get(key);
-    if (node == nullptr) throw Wrong(table_.source(), "'" + Path(key) + "' is missing");
+    if (node == nullptr) throw SchemaError(table_.source(), "'" + Path(key) + "' is missing");
     return *node;
   }
 
@@ -115,16 +114,18 @@
   std::string name_;
 };
 
-void Replace(std::string& text, std::string_view what, std::string_view with) {
-  if (const auto at = text.find(what); at != std::string::npos) text.replace(at, what.size(), with);
+void Replace(std::string& text, std::string_view pattern, std::string_view replacement) {
+  if (const auto at = text.find(pattern); at != std::string::npos)
+    text.replace(at, pattern.size(), replacement);
 }
 
 void ReadNode(const Section& root, std::string_view name, Application& out) {
   const Section node = root.Table("node");
-  node.Allow({"host", "realm", "listen", "tls_listen", "realms"});
+  node.RejectUnknownKeys({"host", "realm", "listen", "tls_listen", "realms"});
   out.host = node.Text("host");
   Replace(out.host, "{name}", name);
-  if (!Fits(Format::kIdentity, out.host)) node.Reject("host", "'" + out.host + "' is no DiameterIdentity");
+  if (!IsValidData(Format::kIdentity, out.host))
+    node.Reject("host", "'" + out.host + "' is no DiameterIdentity");
   out.realm = node.Identity("realm");
   out.realms = node.Identities("realms");
   out.listen = node.Text("listen", "");
@@ -136,7 +137,7 @@
 void ReadTls(const Section& root, Application& out) {
   if (root.Has("tls")) {
     const Section tls = root.Table("tls");
-    tls.Allow({"certificate", "key", "authorities"});
+    tls.RejectUnknownKeys({"certificate", "key", "authorities"});
     out.tls = {tls.Text("certificate"), tls.Text("key"), tls.Text("authorities")};
     return;
   }
@@ -145,7 +146,7 @@
 
 void ReadPeers(const Section& root, Application& out) {
   for (const Section& client : root.Tables("client")) {
-    client.Allow({"host", "tls"});
+    client.RejectUnknownKeys({"host", "tls"});
     const std::string host = client.Identity("host");
     const bool known = std::any_of(out.clients.begin(), out.clients.end(),
                                    [&](const AllowedClient& rule) { return SameName(rule.host, host); });
@@ -155,12 +156,12 @@
     if (!tls && out.listen.empty()) client.Reject("host", "it may come without TLS, and there is no listen");
     out.clients.push_back({host, tls});
   }
-  if (out.clients.empty()) throw Wrong({}, "no [[client]]: nobody could connect");
+  if (out.clients.empty()) throw SchemaError({}, "no [[client]]: nobody could connect");
   const Section servers = root.Table("servers");
-  servers.Allow({"host", "tls"});
+  servers.RejectUnknownKeys({"host", "tls"});
   out.server_host = servers.Text("host");
   const std::string example = out.ServerHost("s-1");
-  if (example == out.server_host || !Fits(Format::kIdentity, example))
+  if (example == out.server_host || !IsValidData(Format::kIdentity, example))
     servers.Reject("host", "a DiameterIdentity with {id} in it is needed");
   out.servers_tls = servers.Flag("tls", false);
   if (out.servers_tls && out.tls.certificate.empty())
@@ -170,17 +171,20 @@
 void ReadLimits(const Section& root, Application& out) {
   if (!root.Has("limits")) return;
   const Section limits = root.Table("limits");
-  limits.Allow({"watchdog_s", "reconnect_s", "message_bytes", "requests_per_client", "remember_s",
-                "remember_requests", "remember_bytes"});
-  // RFC 3539, section 3.4.1: no less than six seconds.
-  out.watchdog = limits.Number("watchdog_s", 6, 600, out.watchdog / kSecond) * kSecond;
-  out.reconnect = limits.Number("reconnect_s", 1, 600, out.reconnect / kSecond) * kSecond;
+  limits.RejectUnknownKeys({"watchdog_s", "reconnect_s", "message_bytes", "requests_per_client", "remember_s",
+                            "remember_requests", "remember_bytes"});
+  // RFC 3539, section 3.4.1: at least six seconds.
+  out.watchdog_interval = limits.Number("watchdog_s", 6, 600, out.watchdog_interval / kSecond) * kSecond;
+  out.max_reconnect_delay = limits.Number("reconnect_s", 1, 600, out.max_reconnect_delay / kSecond) * kSecond;
   out.max_message_bytes = static_cast<std::size_t>(limits.Number("message_bytes", 1024, 1 << 20, 65'536));
   out.max_pending_requests = static_cast<std::size_t>(limits.Number("requests_per_client", 1, 65'536, 1'024));
-  // RFC 6733, section 3: ids stay unique for four minutes at least.
-  out.recall.keep = limits.Number("remember_s", 240, 86'400, out.recall.keep / kSecond) * kSecond;
-  out.recall.entries = static_cast<std::size_t>(limits.Number("remember_requests", 1, 1 << 24, 65'536));
-  out.recall.bytes = static_cast<std::size_t>(limits.Number("remember_bytes", 0, 1 << 30, 16 << 20));
+  // RFC 6733, section 3: end-to-end ids are unique for at least four minutes.
+  out.duplicate_limits.ttl =
+      limits.Number("remember_s", 240, 86'400, out.duplicate_limits.ttl / kSecond) * kSecond;
+  out.duplicate_limits.max_entries =
+      static_cast<std::size_t>(limits.Number("remember_requests", 1, 1 << 24, 65'536));
+  out.duplicate_limits.max_answer_bytes =
+      static_cast<std::size_t>(limits.Number("remember_bytes", 0, 1 << 30, 16 << 20));
 }
 
 Mandatory MandatoryOf(const Section& avp) {
@@ -193,12 +197,12 @@
 
 void ReadAvps(const Section& root, Application& out) {
   for (const Section& avp : root.Tables("avp")) {
-    avp.Allow({"name", "code", "vendor", "format", "mandatory"});
+    avp.RejectUnknownKeys({"name", "code", "vendor", "format", "mandatory"});
     AvpRule rule;
     rule.name = avp.Text("name");
-    rule.code = static_cast<std::uint32_t>(avp.Number("code", 1, kMostCode));
-    rule.vendor = static_cast<std::uint32_t>(avp.Number("vendor", 0, kMostCode, 0));
-    const auto format = FormatOf(avp.Text("format"));
+    rule.code = static_cast<std::uint32_t>(avp.Number("code", 1, kMaxCode));
+    rule.vendor = static_cast<std::uint32_t>(avp.Number("vendor", 0, kMaxCode, 0));
+    const auto format = ParseFormat(avp.Text("format"));
     if (!format) avp.Reject("format", "'" + avp.Text("format") + "' is none of RFC 6733's");
     rule.format = *format;
     rule.mandatory = MandatoryOf(avp);
@@ -212,11 +216,11 @@
       : section_(section), settings_(settings), out_(out) {}
 
   void Read() {
-    section_.Allow({"name", "code", "class", "class_avp", "tenant_avp", "object_avp", "key_avp",
-                    "deadline_avp", "id_avp"});
-    map_.code = static_cast<std::uint32_t>(section_.Number("code", 256, kMostCommand));
+    section_.RejectUnknownKeys({"name", "code", "class", "class_avp", "tenant_avp", "object_avp", "key_avp",
+                                "deadline_avp", "id_avp"});
+    mapping_.code = static_cast<std::uint32_t>(section_.Number("code", 256, kMaxCommandCode));
     rule_.name = section_.Text("name");
-    rule_.code = map_.code;
+    rule_.code = mapping_.code;
     rule_.application = out_.id;
     rule_.proxiable = true;
     rule_.request = {{avp::kSessionId, 0, 0, 1},
@@ -225,13 +229,13 @@
                      {avp::kDestinationRealm, 0, 1, 1},
                      {avp::kDestinationHost, 0, 0, 1}};
     ReadClass();
-    map_.tenant = Named("tenant_avp", {Format::kUtf8, Format::kOctets, Format::kIdentity}, 0);
-    map_.object = Named("object_avp", {Format::kUtf8, Format::kOctets}, 0);
-    map_.idempotency = Named("key_avp", {Format::kUtf8, Format::kOctets}, 0);
-    map_.deadline = Named("deadline_avp", {Format::kUnsigned32}, 0);
-    map_.id = Named("id_avp", {Format::kUtf8, Format::kOctets}, 0);
+    mapping_.tenant = FindAvpId("tenant_avp", {Format::kUtf8, Format::kOctets, Format::kIdentity}, 0);
+    mapping_.object = FindAvpId("object_avp", {Format::kUtf8, Format::kOctets}, 0);
+    mapping_.idempotency = FindAvpId("key_avp", {Format::kUtf8, Format::kOctets}, 0);
+    mapping_.deadline = FindAvpId("deadline_avp", {Format::kUnsigned32}, 0);
+    mapping_.id = FindAvpId("id_avp", {Format::kUtf8, Format::kOctets}, 0);
     if (!out_.dictionary.Add(rule_)) section_.Reject("code", "this command stands there twice");
-    out_.commands.push_back(map_);
+    out_.commands.push_back(mapping_);
   }
 
  private:
@@ -239,49 +243,51 @@
     if (section_.Has("class") == section_.Has("class_avp"))
       section_.Reject("code", "either class or class_avp is needed");
     if (section_.Has("class_avp")) {
-      map_.class_name = Named("class_avp", {Format::kUtf8, Format::kOctets}, 1);
+      mapping_.class_name = FindAvpId("class_avp", {Format::kUtf8, Format::kOctets}, 1);
       return;
     }
-    map_.fixed_class = section_.Text("class");
-    if (core::ClassIndex(settings_, map_.fixed_class) < 0)
-      section_.Reject("class", "'" + map_.fixed_class + "' is no class of the settings");
+    mapping_.fixed_class = section_.Text("class");
+    if (core::ClassIndex(settings_, mapping_.fixed_class) < 0)
+      section_.Reject("class", "'" + mapping_.fixed_class + "' is no class of the settings");
   }
 
-  AvpId Named(std::string_view key, std::initializer_list<Format> formats, std::size_t least) {
+  AvpId FindAvpId(std::string_view key, std::initializer_list<Format> formats, std::size_t min_count) {
     if (!section_.Has(key)) return {};
     const std::string name = section_.Text(key);
     const AvpRule* const rule = out_.dictionary.FindAvp(name);
     if (rule == nullptr) section_.Reject(key, "no AVP is named '" + name + "'");
     if (std::find(formats.begin(), formats.end(), rule->format) == formats.end())
       section_.Reject(key, "'" + name + "' has a format that can't say this");
-    rule_.request.push_back({rule->code, rule->vendor, least, 1});
+    rule_.request.push_back({rule->code, rule->vendor, min_count, 1});
     return {rule->code, rule->vendor};
   }
 
   const Section& section_;
   const Settings& settings_;
   Application& out_;
-  CommandMapping map_;
+  CommandMapping mapping_;
   CommandRule rule_;
 };
 
-// What no command could be sent with: a keyed class and no AVP for the key.
+// Rejects a command with a deduplicated class and no AVP for the idempotency key.
 void CheckKeys(const Section& root, const Settings& settings, const Application& out) {
   const auto keyed = [](const RequestClass& c) { return c.retry_safety == RetrySafety::kDeduplicated; };
   for (std::size_t i = 0; i < out.commands.size(); ++i) {
-    const CommandMapping& map = out.commands[i];
-    if (map.idempotency) continue;
+    const CommandMapping& mapping = out.commands[i];
+    if (mapping.idempotency) continue;
     const bool needs =
-        map.fixed_class.empty()
+        mapping.fixed_class.empty()
             ? std::any_of(settings.classes.begin(), settings.classes.end(), keyed)
-            : keyed(settings.classes[static_cast<std::size_t>(core::ClassIndex(settings, map.fixed_class))]);
+            : keyed(settings
+                        .classes[static_cast<std::size_t>(core::ClassIndex(settings, mapping.fixed_class))]);
     if (needs) root.Tables("command")[i].Reject("code", "key_avp is missing, and a class of its needs a key");
   }
 }
 
 Application Read(const toml::table& file, const Settings& settings, std::string_view name) {
   const Section root(file, "");
-  root.Allow({"version", "node", "tls", "client", "servers", "limits", "application", "avp", "command"});
+  root.RejectUnknownKeys(
+      {"version", "node", "tls", "client", "servers", "limits", "application", "avp", "command"});
   root.Number("version", kVersion, kVersion);
   Application out;
   ReadNode(root, name, out);
@@ -289,11 +295,11 @@
   ReadPeers(root, out);
   ReadLimits(root, out);
   const Section application = root.Table("application");
-  application.Allow({"id"});
-  out.id = static_cast<std::uint32_t>(application.Number("id", 1, kMostCode - 1));
+  application.RejectUnknownKeys({"id"});
+  out.id = static_cast<std::uint32_t>(application.Number("id", 1, kMaxCode - 1));
   ReadAvps(root, out);
   for (const Section& command : root.Tables("command")) CommandReader(command, settings, out).Read();
-  if (out.commands.empty()) throw Wrong({}, "no [[command]]: no request could be read");
+  if (out.commands.empty()) throw SchemaError({}, "no [[command]]: no request could be read");
   CheckKeys(root, settings, out);
   return out;
 }
@@ -314,7 +320,7 @@
     const auto& at = error.source().begin;
     return file + ":" + std::to_string(at.line) + ":" + std::to_string(at.column) + ": " +
            OneLine(error.description());
-  } catch (const Wrong& error) {
+  } catch (const SchemaError& error) {
     return file + ":" + OneLine(error.what());
   }
 }
--- a/src/diameter/codec.cpp
+++ b/src/diameter/codec.cpp
@@ -7,32 +7,34 @@
 namespace {
 
 constexpr std::uint8_t kVersion = 1;
-constexpr std::size_t kAvpHeader = 8;
-constexpr std::size_t kVendorAvpHeader = 12;
-// A framer's buffer that was needed for a large message once is given back when it is empty.
-constexpr std::size_t kKeptBuffer = std::size_t{16} * 1024;
+constexpr std::size_t kAvpHeaderSize = 8;
+constexpr std::size_t kVendorAvpHeaderSize = 12;
+// A larger buffer is released when it is empty.
+constexpr std::size_t kMaxIdleBuffer = std::size_t{16} * 1024;
 
-std::uint32_t Byte(std::string_view bytes, std::size_t at) { return static_cast<std::uint8_t>(bytes[at]); }
+std::uint32_t ByteAt(std::string_view bytes, std::size_t at) { return static_cast<std::uint8_t>(bytes[at]); }
 
 std::uint32_t ReadU24(std::string_view bytes, std::size_t at) {
-  return Byte(bytes, at) << 16 | Byte(bytes, at + 1) << 8 | Byte(bytes, at + 2);
+  return ByteAt(bytes, at) << 16 | ByteAt(bytes, at + 1) << 8 | ByteAt(bytes, at + 2);
 }
 
 std::uint32_t ReadU32(std::string_view bytes, std::size_t at) {
-  return Byte(bytes, at) << 24 | ReadU24(bytes, at + 1);
+  return ByteAt(bytes, at) << 24 | ReadU24(bytes, at + 1);
 }
 
-void Put(std::string& out, std::uint64_t value, int size) {
+void AppendBigEndian(std::string& out, std::uint64_t value, int size) {
   for (int shift = 8 * (size - 1); shift >= 0; shift -= 8)
     out.push_back(static_cast<char>(value >> shift & 0xff));
 }
 
 std::size_t Padding(std::size_t length) { return (4 - length % 4) % 4; }
 
-// The bytes that an AVP has before its data.
-std::size_t HeaderOf(std::uint8_t flags) { return (flags & kVendorBit) != 0 ? kVendorAvpHeader : kAvpHeader; }
+// Size of the AVP header, including the Vendor-Id if present.
+std::size_t AvpHeaderSize(std::uint8_t flags) {
+  return (flags & kVendorBit) != 0 ? kVendorAvpHeaderSize : kAvpHeaderSize;
+}
 
-// What can be made out of a header that may be cut off or wrong: for the answer's ids alone.
+// Reads a header that may be truncated or invalid; used for the ids of the answer.
 Header ReadHeader(std::string_view bytes) {
   Header header;
   if (bytes.size() < kHeaderSize) return header;
@@ -46,14 +48,14 @@
 
 }  // namespace
 
-// RFC 6733, section 7.5: the Failed-AVP of an invalid length holds the offending AVP's header, and as its
-// data as many zeros as its type needs at least; what an unknown type needs is nothing.
-std::optional<Avp> AvpReader::Fail(std::size_t least) {
-  std::string failed(rest_.substr(0, std::min(rest_.size(), least)));
-  failed.resize(least);
+// RFC 6733, section 7.5: the Failed-AVP of an invalid length holds the header of the offending AVP, and zeros
+// as data up to the minimum size of its type; none if the type is unknown.
+std::optional<Avp> AvpReader::Fail(std::size_t avp_header_size) {
+  std::string failed(rest_.substr(0, std::min(rest_.size(), avp_header_size)));
+  failed.resize(avp_header_size);
   failed[5] = 0;
   failed[6] = 0;
-  failed[7] = static_cast<char>(least);
+  failed[7] = static_cast<char>(avp_header_size);
   fault_ = MessageError{ResultCode::kInvalidAvpLength, std::move(failed), "an AVP's length is wrong"};
   rest_ = {};
   return std::nullopt;
@@ -61,17 +63,17 @@
 
 std::optional<Avp> AvpReader::Next() {
   if (rest_.empty()) return std::nullopt;
-  if (rest_.size() < kAvpHeader) return Fail(kAvpHeader);
+  if (rest_.size() < kAvpHeaderSize) return Fail(kAvpHeaderSize);
   Avp avp;
   avp.code = ReadU32(rest_, 0);
   avp.flags = static_cast<std::uint8_t>(rest_[4]);
   const std::size_t length = ReadU24(rest_, 5);
-  const std::size_t head = HeaderOf(avp.flags);
-  if (length < head || length > rest_.size()) return Fail(head);
-  if (head == kVendorAvpHeader) avp.vendor = ReadU32(rest_, kAvpHeader);
-  avp.whole = rest_.substr(0, length);
-  avp.data = avp.whole.substr(head);
-  // The last one's padding may not be missing: a message's length is a multiple of four. In a group it may.
+  const std::size_t header_size = AvpHeaderSize(avp.flags);
+  if (length < header_size || length > rest_.size()) return Fail(header_size);
+  if (header_size == kVendorAvpHeaderSize) avp.vendor = ReadU32(rest_, kAvpHeaderSize);
+  avp.encoded = rest_.substr(0, length);
+  avp.data = avp.encoded.substr(header_size);
+  // Only the last AVP of a group may lack its padding, as a message's length is a multiple of four.
   rest_.remove_prefix(std::min(rest_.size(), length + Padding(length)));
   return avp;
 }
@@ -81,10 +83,10 @@
 AvpWriter& AvpWriter::Add(std::uint32_t code, std::string_view data, std::uint8_t flags,
                           std::uint32_t vendor) {
   if (vendor != 0) flags |= kVendorBit;
-  Put(bytes_, code, 4);
-  Put(bytes_, flags, 1);
-  Put(bytes_, HeaderOf(flags) + data.size(), 3);
-  if ((flags & kVendorBit) != 0) Put(bytes_, vendor, 4);
+  AppendBigEndian(bytes_, code, 4);
+  AppendBigEndian(bytes_, flags, 1);
+  AppendBigEndian(bytes_, AvpHeaderSize(flags) + data.size(), 3);
+  if ((flags & kVendorBit) != 0) AppendBigEndian(bytes_, vendor, 4);
   bytes_.append(data);
   Pad();
   return *this;
@@ -101,7 +103,7 @@
 }
 
 AvpWriter& AvpWriter::Copy(const Avp& avp) {
-  bytes_.append(avp.whole);
+  bytes_.append(avp.encoded);
   Pad();
   return *this;
 }
@@ -125,78 +127,78 @@
 
 std::string FromU32(std::uint32_t value) {
   std::string out;
-  Put(out, value, 4);
+  AppendBigEndian(out, value, 4);
   return out;
 }
 
 std::string FromU64(std::uint64_t value) {
   std::string out;
-  Put(out, value, 8);
+  AppendBigEndian(out, value, 8);
   return out;
 }
 
 std::string Encode(const Header& header, std::string_view avps) {
   std::string out;
   out.reserve(kHeaderSize + avps.size());
-  Put(out, kVersion, 1);
-  Put(out, kHeaderSize + avps.size(), 3);
-  Put(out, header.flags, 1);
-  Put(out, header.command, 3);
-  Put(out, header.application, 4);
-  Put(out, header.hop_by_hop, 4);
-  Put(out, header.end_to_end, 4);
+  AppendBigEndian(out, kVersion, 1);
+  AppendBigEndian(out, kHeaderSize + avps.size(), 3);
+  AppendBigEndian(out, header.flags, 1);
+  AppendBigEndian(out, header.command, 3);
+  AppendBigEndian(out, header.application, 4);
+  AppendBigEndian(out, header.hop_by_hop, 4);
+  AppendBigEndian(out, header.end_to_end, 4);
   out.append(avps);
   return out;
 }
 
 std::variant<Message, MalformedMessage> Decode(std::string_view frame) {
   const Header header = ReadHeader(frame);
-  const auto bad = [&](MessageError fault) { return MalformedMessage{header, std::move(fault)}; };
+  const auto error = [&](MessageError fault) { return MalformedMessage{header, std::move(fault)}; };
   if (frame.size() < kHeaderSize || ReadU24(frame, 1) != frame.size() || frame.size() % 4 != 0)
-    return bad({ResultCode::kInvalidMessageLength, {}, "the message's length is wrong"});
-  if (Byte(frame, 0) != kVersion)
-    return bad({ResultCode::kUnsupportedVersion, {}, "not version 1 of Diameter"});
+    return error({ResultCode::kInvalidMessageLength, {}, "the message's length is wrong"});
+  if (ByteAt(frame, 0) != kVersion)
+    return error({ResultCode::kUnsupportedVersion, {}, "not version 1 of Diameter"});
   if ((header.flags & kReservedBits) != 0)
-    return bad({ResultCode::kInvalidBitInHeader, {}, "a reserved bit is set"});
-  // Section 3: E never in a request, T never in an answer.
-  const std::uint8_t wrong = header.request() ? kErrorBit : kRetransmitBit;
-  if ((header.flags & wrong) != 0)
-    return bad({ResultCode::kInvalidHeaderBits, {}, "bits of the header that do not go together"});
+    return error({ResultCode::kInvalidBitInHeader, {}, "a reserved bit is set"});
+  // Section 3: no E bit in requests, no T bit in answers.
+  const std::uint8_t forbidden_bits = header.request() ? kErrorBit : kRetransmitBit;
+  if ((header.flags & forbidden_bits) != 0)
+    return error({ResultCode::kInvalidHeaderBits, {}, "bits of the header that do not go together"});
   AvpReader reader(frame.substr(kHeaderSize));
   while (reader.Next()) continue;
-  if (reader.fault()) return bad(*reader.fault());
+  if (reader.fault()) return error(*reader.fault());
   return Message{header, std::string(frame.substr(kHeaderSize))};
 }
 
 void Framer::Compact() {
-  if (taken_ == buffer_.size()) {
+  if (consumed_ == buffer_.size()) {
     buffer_.clear();
-    if (buffer_.capacity() > kKeptBuffer) buffer_ = std::string();
+    if (buffer_.capacity() > kMaxIdleBuffer) buffer_ = std::string();
   } else {
-    buffer_.erase(0, taken_);
+    buffer_.erase(0, consumed_);
   }
-  taken_ = 0;
+  consumed_ = 0;
 }
 
 void Framer::Feed(std::string_view bytes) {
-  if (broken_) return;
-  if (taken_ > 0) Compact();
+  if (framing_error_) return;
+  if (consumed_ > 0) Compact();
   buffer_.append(bytes);
 }
 
 std::optional<std::string_view> Framer::Next() {
-  const std::string_view rest = std::string_view(buffer_).substr(taken_);
-  if (broken_ || rest.size() < kHeaderSize) return std::nullopt;
+  const std::string_view rest = std::string_view(buffer_).substr(consumed_);
+  if (framing_error_ || rest.size() < kHeaderSize) return std::nullopt;
   const std::size_t length = ReadU24(rest, 1);
-  if (Byte(rest, 0) != kVersion)
-    broken_ = MalformedMessage{ReadHeader(rest),
-                               {ResultCode::kUnsupportedVersion, {}, "not version 1 of Diameter"}};
-  else if (length < kHeaderSize || length % 4 != 0 || length > most_)
-    broken_ =
+  if (ByteAt(rest, 0) != kVersion)
+    framing_error_ = MalformedMessage{ReadHeader(rest),
+                                      {ResultCode::kUnsupportedVersion, {}, "not version 1 of Diameter"}};
+  else if (length < kHeaderSize || length % 4 != 0 || length > max_frame_bytes_)
+    framing_error_ =
         MalformedMessage{ReadHeader(rest),
                          {ResultCode::kInvalidMessageLength, {}, "a message's length is wrong or too large"}};
-  if (broken_ || rest.size() < length) return std::nullopt;
-  taken_ += length;
+  if (framing_error_ || rest.size() < length) return std::nullopt;
+  consumed_ += length;
   return rest.substr(0, length);
 }
 
--- a/src/diameter/codec.hpp
+++ b/src/diameter/codec.hpp
@@ -1,6 +1,5 @@
-// Diameter messages as bytes (RFC 6733, sections 3 and 4): reading, checking their framing, writing. Free of
-// I/O. Nothing here throws, and nothing that a peer sends is trusted: every length is checked against what is
-// there before it is followed.
+// Encoding and decoding of Diameter messages (RFC 6733, sections 3 and 4). Does no I/O and throws nothing;
+// every length is checked before it is used.
 #ifndef MERLINRUN_DIAMETER_CODEC_HPP_
 #define MERLINRUN_DIAMETER_CODEC_HPP_
 
@@ -14,12 +13,12 @@
 namespace merlinrun::diameter {
 
 inline constexpr std::size_t kHeaderSize = 20;
-// The largest that the 24-bit length can say. What is accepted is less, see Framer.
+// Largest message that the 24-bit length field can express. Framer accepts less.
 inline constexpr std::size_t kMaxMessageLength = (std::size_t{1} << 24) - 1;
 
-// Result-Codes (RFC 6733, section 7.1) that this program gives or understands.
+// Result-Codes (RFC 6733, section 7.1) that are sent or interpreted.
 enum class ResultCode : std::uint32_t {
-  kNone = 0,  // no code at all
+  kNone = 0,  // no Result-Code
   kSuccess = 2001,
   kCommandUnsupported = 3001,
   kUnableToDeliver = 3002,
@@ -47,7 +46,7 @@
   kNoCommonSecurity = 5017,
 };
 
-// A protocol error: the answer carries the E bit (RFC 6733, section 7.1.3).
+// Whether it is a protocol error, whose answer carries the E bit (RFC 6733, section 7.1.3).
 inline bool IsProtocolError(ResultCode code) {
   const auto value = static_cast<std::uint32_t>(code);
   return value >= 3000 && value < 4000;
@@ -56,7 +55,7 @@
 inline constexpr std::uint8_t kRequestBit = 0x80;
 inline constexpr std::uint8_t kProxiableBit = 0x40;
 inline constexpr std::uint8_t kErrorBit = 0x20;
-inline constexpr std::uint8_t kRetransmitBit = 0x10;  // T: potentially retransmitted
+inline constexpr std::uint8_t kRetransmitBit = 0x10;  // T bit: potentially retransmitted
 inline constexpr std::uint8_t kReservedBits = 0x0f;
 
 struct Header {
@@ -70,16 +69,15 @@
   bool operator==(const Header&) const = default;
 };
 
-// A message whose framing, its AVPs' lengths included, has been checked. `avps` holds them as they came, with
-// their padding, so that what is not understood can be passed on unchanged.
+// A message with valid framing and AVP lengths. `avps` holds the encoded AVPs with their padding, so that
+// unknown ones can be forwarded unchanged.
 struct Message {
   Header header;
   std::string avps;
   bool operator==(const Message&) const = default;
 };
 
-// What is wrong with a message: the Result-Code of its answer, and the Failed-AVP's content where there is
-// one (whole AVPs, padded).
+// The Result-Code for the error answer and the content of its Failed-AVP, if any (padded AVPs).
 struct MessageError {
   ResultCode code = ResultCode::kNone;
   std::string failed_avp;
@@ -94,29 +92,28 @@
   std::uint32_t vendor = 0;  // 0 = none
   std::uint8_t flags = 0;
   std::string_view data;
-  std::string_view whole;  // header and data, without the padding
+  std::string_view encoded;  // header and data, without padding
 
   bool Is(std::uint32_t other_code, std::uint32_t other_vendor = 0) const {
     return code == other_code && vendor == other_vendor;
   }
 };
 
-// Reads AVPs one after the other. What it reads must outlive it and its AVPs.
+// Iterates over encoded AVPs. The bytes must outlive the reader and the AVPs that it returns.
 class AvpReader {
  public:
   explicit AvpReader(std::string_view bytes) : rest_(bytes) {}
-  // The next one; none at the end, or if its length lies (then `fault` says so).
+  // The next AVP; none at the end or if its length is invalid, which sets `fault`.
   std::optional<Avp> Next();
   const std::optional<MessageError>& fault() const { return fault_; }
 
  private:
-  std::optional<Avp> Fail(std::size_t least);
+  std::optional<Avp> Fail(std::size_t avp_header_size);
   std::string_view rest_;
   std::optional<MessageError> fault_;
 };
 
-// Writes AVPs one after the other, each padded to four bytes. An AVP of more data than the 24-bit length can
-// say is a mistake of the caller's.
+// Encodes AVPs, each padded to four bytes. The data must fit the 24-bit length field.
 class AvpWriter {
  public:
   AvpWriter& Add(std::uint32_t code, std::string_view data, std::uint8_t flags = kMandatoryBit,
@@ -125,7 +122,7 @@
                     std::uint32_t vendor = 0);
   AvpWriter& AddU64(std::uint32_t code, std::uint64_t value, std::uint8_t flags = kMandatoryBit,
                     std::uint32_t vendor = 0);
-  // An AVP as a reader gave it, bit for bit.
+  // Appends an AVP unchanged.
   AvpWriter& Copy(const Avp& avp);
   const std::string& bytes() const { return bytes_; }
   std::string Take() { return std::move(bytes_); }
@@ -135,47 +132,47 @@
   std::string bytes_;
 };
 
-// The first top-level AVP of this code and vendor.
+// The first top-level AVP with this code and vendor.
 std::optional<Avp> Find(std::string_view avps, std::uint32_t code, std::uint32_t vendor = 0);
 
-// Numbers in network byte order; none if the data has another length.
+// Network byte order; none if the size doesn't match.
 std::optional<std::uint32_t> ToU32(std::string_view data);
 std::optional<std::uint64_t> ToU64(std::string_view data);
 std::string FromU32(std::uint32_t value);
 std::string FromU64(std::uint64_t value);
 
-// A whole message of `avps`, which must be whole, padded AVPs.
+// Encodes a message; `avps` must hold complete, padded AVPs.
 std::string Encode(const Header& header, std::string_view avps);
 
-// A message that could not be read. `header` is what could be made out of its header: enough to answer.
+// A message that couldn't be decoded, and what is known of its header, for the answer.
 struct MalformedMessage {
   Header header;
   MessageError fault;
 };
 
-// Reads one frame as Framer gives it.
+// Decodes one frame from a Framer.
 std::variant<Message, MalformedMessage> Decode(std::string_view frame);
 
-// Cuts a stream of bytes into frames.
+// Splits a byte stream into messages.
 class Framer {
  public:
-  // `most`: bytes of the largest message that is taken, at most kMostLength.
-  explicit Framer(std::size_t most) : most_(most) {}
+  // Larger messages are errors; at most kMaxMessageLength.
+  explicit Framer(std::size_t max_frame_bytes) : max_frame_bytes_(max_frame_bytes) {}
   void Feed(std::string_view bytes);
-  // The next whole frame; it is valid until the next call. None if more is needed or the stream is broken.
+  // The next complete frame, valid until the next call. None if bytes are missing or the stream is invalid.
   std::optional<std::string_view> Next();
-  // Why the stream can't be followed any further: another version, or a length that is too small, too large
-  // or no multiple of four. Nothing behind it can be trusted; the connection is to be closed.
-  const std::optional<MalformedMessage>& broken() const { return broken_; }
-  // Bytes that wait for the rest of their message.
-  std::size_t held() const { return buffer_.size() - taken_; }
+  // Set if the stream can't be parsed any further: unsupported version, or a length that is too small, too
+  // large or no multiple of four. The connection must be closed.
+  const std::optional<MalformedMessage>& framing_error() const { return framing_error_; }
+  // Bytes of incomplete messages.
+  std::size_t buffered() const { return buffer_.size() - consumed_; }
 
  private:
   void Compact();
-  std::size_t most_;
+  std::size_t max_frame_bytes_;
   std::string buffer_;
-  std::size_t taken_ = 0;
-  std::optional<MalformedMessage> broken_;
+  std::size_t consumed_ = 0;
+  std::optional<MalformedMessage> framing_error_;
 };
 
 }  // namespace merlinrun::diameter
--- a/src/diameter/dictionary.cpp
+++ b/src/diameter/dictionary.cpp
@@ -25,9 +25,9 @@
     {"Enumerated", Format::kEnumerated},
 }};
 
-constexpr std::size_t kMostIdentity = 255;  // a fully qualified domain name (RFC 1035, section 2.3.4)
+constexpr std::size_t kMaxIdentitySize = 255;  // a fully qualified domain name (RFC 1035, section 2.3.4)
 
-// RFC 3629: shortest forms alone, no surrogates, nothing above U+10FFFF.
+// RFC 3629: no overlong forms, no surrogates, nothing above U+10FFFF.
 bool IsUtf8(std::string_view text) {
   for (std::size_t i = 0; i < text.size();) {
     const auto lead = static_cast<std::uint8_t>(text[i]);
@@ -43,15 +43,15 @@
       if (next >> 6 != 2) return false;
       point = point << 6 | (next & 0x3fU);
     }
-    constexpr std::array<std::uint32_t, 5> kLeast = {0, 0, 0x80, 0x800, 0x10000};
-    if (point < kLeast[size] || point > 0x10ffff || (point >= 0xd800 && point < 0xe000)) return false;
+    constexpr std::array<std::uint32_t, 5> kMinCodePoint = {0, 0, 0x80, 0x800, 0x10000};
+    if (point < kMinCodePoint[size] || point > 0x10ffff || (point >= 0xd800 && point < 0xe000)) return false;
     i += size;
   }
   return true;
 }
 
 bool IsIdentity(std::string_view text) {
-  return !text.empty() && text.size() <= kMostIdentity && text.front() != '.' && text.front() != '-' &&
+  return !text.empty() && text.size() <= kMaxIdentitySize && text.front() != '.' && text.front() != '-' &&
          std::all_of(text.begin(), text.end(), [](char c) {
            return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' || c == '.' || c == '_';
          });
@@ -66,9 +66,9 @@
   return true;
 }
 
-Slot One(std::uint32_t code) { return {code, 0, 1, 1}; }
-Slot Maybe(std::uint32_t code) { return {code, 0, 0, 1}; }
-Slot Some(std::uint32_t code) { return {code, 0, 1, 0}; }
+AvpOccurrence ExactlyOne(std::uint32_t code) { return {code, 0, 1, 1}; }
+AvpOccurrence ZeroOrOne(std::uint32_t code) { return {code, 0, 0, 1}; }
+AvpOccurrence OneOrMore(std::uint32_t code) { return {code, 0, 1, 0}; }
 
 std::vector<AvpRule> BaseAvps() {
   using F = Format;
@@ -89,7 +89,7 @@
       {"Product-Name", avp::kProductName, 0, F::kUtf8, M::kMustNot},
       {"Disconnect-Cause", avp::kDisconnectCause, 0, F::kEnumerated, M::kMust},
       {"Origin-State-Id", avp::kOriginStateId, 0, F::kUnsigned32, M::kMust},
-      {"Failed-AVP", avp::kFailedAvp, 0, F::kOctets, M::kMust},  // its content is wrong by nature
+      {"Failed-AVP", avp::kFailedAvp, 0, F::kOctets, M::kMust},  // its content may be invalid
       {"Proxy-Host", avp::kProxyHost, 0, F::kIdentity, M::kMust},
       {"Error-Message", avp::kErrorMessage, 0, F::kUtf8, M::kMustNot},
       {"Route-Record", avp::kRouteRecord, 0, F::kIdentity, M::kMust},
@@ -103,89 +103,92 @@
 }
 
 std::vector<CommandRule> BaseCommands() {
-  const std::vector<Slot> ce = {
-      One(avp::kOriginHost),  One(avp::kOriginRealm),     Some(avp::kHostIpAddress),    One(avp::kVendorId),
-      One(avp::kProductName), Maybe(avp::kOriginStateId), Maybe(avp::kFirmwareRevision)};
-  const std::vector<Slot> from = {One(avp::kOriginHost), One(avp::kOriginRealm)};
-  const auto with = [](std::vector<Slot> slots, std::initializer_list<Slot> more) {
-    slots.insert(slots.end(), more);
-    return slots;
+  const std::vector<AvpOccurrence> ce = {ExactlyOne(avp::kOriginHost),     ExactlyOne(avp::kOriginRealm),
+                                         OneOrMore(avp::kHostIpAddress),   ExactlyOne(avp::kVendorId),
+                                         ExactlyOne(avp::kProductName),    ZeroOrOne(avp::kOriginStateId),
+                                         ZeroOrOne(avp::kFirmwareRevision)};
+  const std::vector<AvpOccurrence> from = {ExactlyOne(avp::kOriginHost), ExactlyOne(avp::kOriginRealm)};
+  const auto with = [](std::vector<AvpOccurrence> occurrences, std::initializer_list<AvpOccurrence> more) {
+    occurrences.insert(occurrences.end(), more);
+    return occurrences;
   };
-  // An answer with the E bit has fewer AVPs (section 7.2): what a CEA has beside them is not asked of it.
-  const std::vector<Slot> answer = with(from, {One(avp::kResultCode)});
+  // An answer with the E bit has fewer AVPs (section 7.2), so only these are required of a CEA.
+  const std::vector<AvpOccurrence> answer = with(from, {ExactlyOne(avp::kResultCode)});
   return {{"CE", kCapabilitiesExchange, 0, false, ce, answer},
-          {"DW", kDeviceWatchdog, 0, false, with(from, {Maybe(avp::kOriginStateId)}), answer},
-          {"DP", kDisconnectPeer, 0, false, with(from, {One(avp::kDisconnectCause)}), answer}};
+          {"DW", kDeviceWatchdog, 0, false, with(from, {ZeroOrOne(avp::kOriginStateId)}), answer},
+          {"DP", kDisconnectPeer, 0, false, with(from, {ExactlyOne(avp::kDisconnectCause)}), answer}};
 }
 
-std::string Padded(std::string_view whole) {
-  std::string out(whole);
+std::string Padded(std::string_view encoded) {
+  std::string out(encoded);
   out.resize((out.size() + 3) / 4 * 4);
   return out;
 }
 
-// RFC 6733, section 7.5: of an AVP that is missing, one of its code with as many zeros as it needs at least.
-std::string Example(const Slot& slot, const AvpRule* rule) {
+// RFC 6733, section 7.5: represents a missing AVP by its code and a zero value of minimum size.
+std::string PlaceholderAvp(const AvpOccurrence& occurrence, const AvpRule* rule) {
   AvpWriter writer;
-  const std::size_t least = rule == nullptr ? 0 : LeastData(rule->format);
-  writer.Add(slot.code, std::string(least, '\0'), kMandatoryBit, slot.vendor);
+  const std::size_t min_size = rule == nullptr ? 0 : MinDataSize(rule->format);
+  writer.Add(occurrence.code, std::string(min_size, '\0'), kMandatoryBit, occurrence.vendor);
   return writer.Take();
 }
 
-std::optional<MessageError> CheckAvp(const Avp& avp, const Dictionary& dictionary, Reader reader, int depth);
+std::optional<MessageError> ValidateAvp(const Avp& avp, const Dictionary& dictionary, NodeRole role,
+                                        int depth);
 
-std::optional<MessageError> CheckGroup(const Avp& group, const Dictionary& dictionary, Reader reader,
-                                       int depth) {
+std::optional<MessageError> ValidateGroup(const Avp& group, const Dictionary& dictionary, NodeRole role,
+                                          int depth) {
   if (depth >= kMaxGroupDepth)
-    return MessageError{ResultCode::kInvalidAvpValue, Padded(group.whole),
+    return MessageError{ResultCode::kInvalidAvpValue, Padded(group.encoded),
                         "groups within groups without end"};
-  AvpReader inner(group.data);
-  while (const auto avp = inner.Next())
-    if (auto fault = CheckAvp(*avp, dictionary, reader, depth + 1)) return fault;
-  if (inner.fault())
-    return MessageError{ResultCode::kInvalidAvpLength, Padded(group.whole), inner.fault()->text};
+  AvpReader members(group.data);
+  while (const auto avp = members.Next())
+    if (auto fault = ValidateAvp(*avp, dictionary, role, depth + 1)) return fault;
+  if (members.fault())
+    return MessageError{ResultCode::kInvalidAvpLength, Padded(group.encoded), members.fault()->text};
   return std::nullopt;
 }
 
-std::optional<MessageError> CheckAvp(const Avp& avp, const Dictionary& dictionary, Reader reader, int depth) {
-  const auto wrong = [&](ResultCode code, const char* text) {
-    return MessageError{code, Padded(avp.whole), text};
+std::optional<MessageError> ValidateAvp(const Avp& avp, const Dictionary& dictionary, NodeRole role,
+                                        int depth) {
+  const auto error = [&](ResultCode code, const char* text) {
+    return MessageError{code, Padded(avp.encoded), text};
   };
   const AvpRule* const rule = dictionary.FindAvp(avp.code, avp.vendor);
   const bool mandatory = (avp.flags & kMandatoryBit) != 0;
-  if ((avp.flags & kVendorBit) != 0 && avp.vendor == 0)  // section 4.1.1: 0 is the IETF's, which has no V bit
-    return wrong(ResultCode::kInvalidAvpBits, "an AVP with a V bit and no vendor");
+  if ((avp.flags & kVendorBit) != 0 && avp.vendor == 0)  // section 4.1.1: vendor 0 has no V bit
+    return error(ResultCode::kInvalidAvpBits, "an AVP with a V bit and no vendor");
   if (rule == nullptr) {
-    if (mandatory && reader == Reader::kEndpoint)
-      return wrong(ResultCode::kAvpUnsupported, "an unknown AVP that has to be understood");
+    if (mandatory && role == NodeRole::kEndpoint)
+      return error(ResultCode::kAvpUnsupported, "an unknown AVP that has to be understood");
     return std::nullopt;
   }
-  // Where the M bit has to be and is not, or the other way round, sender and dictionary mean different AVPs.
-  if (reader == Reader::kEndpoint && ((rule->mandatory == Mandatory::kMust && !mandatory) ||
+  // A different M bit means that sender and dictionary define the AVP differently.
+  if (role == NodeRole::kEndpoint && ((rule->mandatory == Mandatory::kMust && !mandatory) ||
                                       (rule->mandatory == Mandatory::kMustNot && mandatory)))
-    return wrong(ResultCode::kInvalidAvpBits, "an AVP's M bit does not fit its definition");
-  if (avp.data.size() < LeastData(rule->format)) {
-    AvpWriter failed;  // the AVP with zeros in place of what it lacks
+    return error(ResultCode::kInvalidAvpBits, "an AVP's M bit does not fit its definition");
+  if (avp.data.size() < MinDataSize(rule->format)) {
+    AvpWriter failed;  // the AVP, padded with zeros to its minimum size
     std::string data(avp.data);
-    data.resize(LeastData(rule->format));
+    data.resize(MinDataSize(rule->format));
     failed.Add(avp.code, data, avp.flags, avp.vendor);
     return MessageError{ResultCode::kInvalidAvpLength, failed.Take(), "an AVP is too short for its format"};
   }
-  if (rule->format == Format::kGrouped) return CheckGroup(avp, dictionary, reader, depth);
-  if (!Fits(rule->format, avp.data))
-    return wrong(ResultCode::kInvalidAvpValue, "an AVP's value does not fit its format");
+  if (rule->format == Format::kGrouped) return ValidateGroup(avp, dictionary, role, depth);
+  if (!IsValidData(rule->format, avp.data))
+    return error(ResultCode::kInvalidAvpValue, "an AVP's value does not fit its format");
   return std::nullopt;
 }
 
 }  // namespace
 
-std::optional<Format> FormatOf(std::string_view name) {
+std::optional<Format> ParseFormat(std::string_view name) {
   const auto it =
       std::find_if(kFormats.begin(), kFormats.end(), [&](const auto& f) { return f.first == name; });
   return it == kFormats.end() ? std::nullopt : std::optional(it->second);
 }
 
-std::size_t LeastData(Format format) {
+std::size_t MinDataSize(Format format) {
   switch (format) {
     case Format::kInteger32:
     case Format::kUnsigned32:
@@ -209,7 +212,7 @@
   return 0;
 }
 
-bool Fits(Format format, std::string_view data) {
+bool IsValidData(Format format, std::string_view data) {
   switch (format) {
     case Format::kAddress:
       return IsAddress(data);
@@ -230,7 +233,7 @@
     case Format::kFloat64:
     case Format::kTime:
     case Format::kEnumerated:
-      return data.size() == LeastData(format);
+      return data.size() == MinDataSize(format);
   }
   return false;
 }
@@ -244,20 +247,20 @@
 
 bool Dictionary::Add(AvpRule rule) {
   if (FindAvp(rule.name) != nullptr) return false;
-  if (!avp_at_.emplace(Key(rule.code, rule.vendor), avps_.size()).second) return false;
+  if (!avp_index_.emplace(Key(rule.code, rule.vendor), avps_.size()).second) return false;
   avps_.push_back(std::move(rule));
   return true;
 }
 
 bool Dictionary::Add(CommandRule rule) {
-  if (!command_at_.emplace(Key(rule.code, rule.application), commands_.size()).second) return false;
+  if (!command_index_.emplace(Key(rule.code, rule.application), commands_.size()).second) return false;
   commands_.push_back(std::move(rule));
   return true;
 }
 
 const AvpRule* Dictionary::FindAvp(std::uint32_t code, std::uint32_t vendor) const {
-  const auto it = avp_at_.find(Key(code, vendor));
-  return it == avp_at_.end() ? nullptr : &avps_[it->second];
+  const auto it = avp_index_.find(Key(code, vendor));
+  return it == avp_index_.end() ? nullptr : &avps_[it->second];
 }
 
 const AvpRule* Dictionary::FindAvp(std::string_view name) const {
@@ -266,29 +269,31 @@
 }
 
 const CommandRule* Dictionary::FindCommand(std::uint32_t code, std::uint32_t application) const {
-  const auto it = command_at_.find(Key(code, application));
-  return it == command_at_.end() ? nullptr : &commands_[it->second];
+  const auto it = command_index_.find(Key(code, application));
+  return it == command_index_.end() ? nullptr : &commands_[it->second];
 }
 
-std::optional<MessageError> Check(const Message& message, const Dictionary& dictionary,
-                                  const CommandRule& rule, Reader reader) {
+std::optional<MessageError> ValidateMessage(const Message& message, const Dictionary& dictionary,
+                                            const CommandRule& rule, NodeRole role) {
   if (((message.header.flags & kProxiableBit) != 0) != rule.proxiable)
     return MessageError{ResultCode::kInvalidHeaderBits, {}, "the P bit does not fit the command"};
-  const std::vector<Slot>& slots = message.header.request() ? rule.request : rule.answer;
-  std::vector<std::size_t> seen(slots.size(), 0);
+  const std::vector<AvpOccurrence>& occurrences = message.header.request() ? rule.request : rule.answer;
+  std::vector<std::size_t> counts(occurrences.size(), 0);
   AvpReader avps(message.avps);
   while (const auto avp = avps.Next()) {
-    if (auto fault = CheckAvp(*avp, dictionary, reader, 0)) return fault;
-    for (std::size_t i = 0; i < slots.size(); ++i)
-      if (avp->Is(slots[i].code, slots[i].vendor) && ++seen[i] > slots[i].most && slots[i].most > 0)
-        return MessageError{ResultCode::kAvpOccursTooManyTimes, Padded(avp->whole),
+    if (auto fault = ValidateAvp(*avp, dictionary, role, 0)) return fault;
+    for (std::size_t i = 0; i < occurrences.size(); ++i)
+      if (avp->Is(occurrences[i].code, occurrences[i].vendor) && ++counts[i] > occurrences[i].max_count &&
+          occurrences[i].max_count > 0)
+        return MessageError{ResultCode::kAvpOccursTooManyTimes, Padded(avp->encoded),
                             "an AVP stands there too often"};
   }
-  for (std::size_t i = 0; i < slots.size(); ++i)
-    if (seen[i] < slots[i].least)
-      return MessageError{ResultCode::kMissingAvp,
-                          Example(slots[i], dictionary.FindAvp(slots[i].code, slots[i].vendor)),
-                          "an AVP is missing"};
+  for (std::size_t i = 0; i < occurrences.size(); ++i)
+    if (counts[i] < occurrences[i].min_count)
+      return MessageError{
+          ResultCode::kMissingAvp,
+          PlaceholderAvp(occurrences[i], dictionary.FindAvp(occurrences[i].code, occurrences[i].vendor)),
+          "an AVP is missing"};
   return std::nullopt;
 }
 
--- a/src/diameter/dictionary.hpp
+++ b/src/diameter/dictionary.hpp
@@ -1,5 +1,5 @@
-// What AVPs and commands are called and have to look like, as data (RFC 6733, sections 4.5, 5 and 6). The
-// base protocol's part is built in; an application adds its own.
+// Definitions of AVPs and commands (RFC 6733, sections 4.5, 5 and 6). The base protocol is built in; an
+// application adds its own.
 #ifndef MERLINRUN_DIAMETER_DICTIONARY_HPP_
 #define MERLINRUN_DIAMETER_DICTIONARY_HPP_
 
@@ -14,7 +14,7 @@
 
 namespace merlinrun::diameter {
 
-// Codes of the base protocol's AVPs that this program reads or writes.
+// AVP codes of the base protocol that are used here.
 namespace avp {
 inline constexpr std::uint32_t kProxyState = 33;
 inline constexpr std::uint32_t kEventTimestamp = 55;
@@ -43,12 +43,12 @@
 inline constexpr std::uint32_t kInbandSecurityId = 299;
 }  // namespace avp
 
-// Command codes of the base protocol between two peers.
+// Command codes of the base protocol.
 inline constexpr std::uint32_t kCapabilitiesExchange = 257;
 inline constexpr std::uint32_t kDeviceWatchdog = 280;
 inline constexpr std::uint32_t kDisconnectPeer = 282;
 
-// The relay application (RFC 6733, section 2.4): whoever advertises it has every application in common.
+// Relay application (RFC 6733, section 2.4): has every application in common with its peers.
 inline constexpr std::uint32_t kRelayApplication = 0xffffffff;
 
 // Data formats (RFC 6733, sections 4.2 and 4.3).
@@ -69,13 +69,13 @@
   kEnumerated,
 };
 
-std::optional<Format> FormatOf(std::string_view name);
-// The least data that such an AVP has, in bytes.
-std::size_t LeastData(Format format);
-// True if the data is of the format; groups are looked at by Check.
-bool Fits(Format format, std::string_view data);
+std::optional<Format> ParseFormat(std::string_view name);
+// Minimum size of the data in bytes.
+std::size_t MinDataSize(Format format);
+// Whether the data is valid for the format; members of groups are checked by ValidateMessage.
+bool IsValidData(Format format, std::string_view data);
 
-// Whether the M bit has to be set, may be, or must not.
+// Requirement on the M bit.
 enum class Mandatory { kMust, kMay, kMustNot };
 
 struct AvpRule {
@@ -86,29 +86,29 @@
   Mandatory mandatory = Mandatory::kMust;
 };
 
-// How often an AVP stands in a message.
-struct Slot {
+// How often an AVP may occur in a message.
+struct AvpOccurrence {
   std::uint32_t code = 0;
   std::uint32_t vendor = 0;
-  std::size_t least = 0;
-  std::size_t most = 0;  // 0 = any number
+  std::size_t min_count = 0;
+  std::size_t max_count = 0;  // 0 = unlimited
 };
 
 struct CommandRule {
-  std::string name;  // as the RFC abbreviates it, without the last letter: "CE"
+  std::string name;  // RFC abbreviation without the final R or A: "CE"
   std::uint32_t code = 0;
   std::uint32_t application = 0;
   bool proxiable = false;
-  std::vector<Slot> request;
-  std::vector<Slot> answer;
+  std::vector<AvpOccurrence> request;
+  std::vector<AvpOccurrence> answer;
 };
 
 class Dictionary {
  public:
-  // The base protocol alone.
+  // Only the base protocol.
   static Dictionary Base();
 
-  // False if the code, or the name, is taken already.
+  // False if the code or name is already defined.
   bool Add(AvpRule rule);
   bool Add(CommandRule rule);
   const AvpRule* FindAvp(std::uint32_t code, std::uint32_t vendor = 0) const;
@@ -123,19 +123,19 @@
   }
   std::vector<AvpRule> avps_;
   std::vector<CommandRule> commands_;
-  std::unordered_map<std::uint64_t, std::size_t> avp_at_;
-  std::unordered_map<std::uint64_t, std::size_t> command_at_;
+  std::unordered_map<std::uint64_t, std::size_t> avp_index_;
+  std::unordered_map<std::uint64_t, std::size_t> command_index_;
 };
 
-// Who looks at a message. A relay looks at what it needs and passes on the rest unchanged, also what it does
-// not know (RFC 6733, section 4.1 on the M bit).
-enum class Reader { kEndpoint, kRelay };
+// How strictly a message is validated. A relay checks what it uses and forwards the rest unchanged, including
+// unknown AVPs (RFC 6733, section 4.1 on the M bit).
+enum class NodeRole { kEndpoint, kRelay };
 
-// What is wrong with a message of a known command; none if nothing is. Looks at bits, values, groups down to
-// kMostDepth, and how often each AVP of the command stands in it.
+// Checks header bits, AVP values, groups down to kMaxGroupDepth, and how often each AVP of the command
+// occurs. Returns the first error, if any.
 inline constexpr int kMaxGroupDepth = 8;
-std::optional<MessageError> Check(const Message& message, const Dictionary& dictionary,
-                                  const CommandRule& rule, Reader reader);
+std::optional<MessageError> ValidateMessage(const Message& message, const Dictionary& dictionary,
+                                            const CommandRule& rule, NodeRole role);
 
 }  // namespace merlinrun::diameter
 
--- a/src/diameter/duplicate_cache.cpp
+++ b/src/diameter/duplicate_cache.cpp
@@ -7,9 +7,8 @@
 namespace merlinrun::diameter {
 namespace {
 
-// FNV-1a of 64 bits: it tells a slip of a client's from a resend; it is no guard against a forger, who would
-// have to be a listed peer.
-class Digest {
+// 64-bit FNV-1a. Detects reused ids; not collision resistant, as only listed peers can connect.
+class Fnv1aHash {
  public:
   void Add(std::string_view bytes) {
     for (const char c : bytes) value_ = (value_ ^ static_cast<std::uint8_t>(c)) * 0x100000001b3ULL;
@@ -22,13 +21,13 @@
 
 }  // namespace
 
-std::uint64_t DigestOf(const Message& request) {
-  Digest digest;
+std::uint64_t ComputeDigest(const Message& request) {
+  Fnv1aHash digest;
   digest.Add(FromU32(request.header.command));
   digest.Add(FromU32(request.header.application));
   AvpReader reader(request.avps);
   while (const auto avp = reader.Next())
-    if (!avp->Is(avp::kRouteRecord) && !avp->Is(avp::kProxyInfo)) digest.Add(avp->whole);
+    if (!avp->Is(avp::kRouteRecord) && !avp->Is(avp::kProxyInfo)) digest.Add(avp->encoded);
   return digest.value();
 }
 
@@ -38,35 +37,36 @@
 
 void DuplicateCache::DropAnswer(Entry& entry) {
   if (!std::exchange(entry.has_answer, false)) return;
-  bytes_ -= entry.answer.avps.size();
+  answer_bytes_ -= entry.answer.avps.size();
   entry.answer = {};
 }
 
 void DuplicateCache::Expire(Micros now) {
-  while (!kept_.empty()) {
-    const auto it = entries_.find(kept_.front());
-    if (it->second.until > now) return;
+  while (!completed_.empty()) {
+    const auto it = entries_.find(completed_.front());
+    if (it->second.expires_at > now) return;
     DropAnswer(it->second);
     entries_.erase(it);
-    if (full_ == kept_.begin()) ++full_;
-    kept_.pop_front();
+    if (oldest_answer_ == completed_.begin()) ++oldest_answer_;
+    completed_.pop_front();
   }
 }
 
-DuplicateCache::Found DuplicateCache::Look(Micros now, const RequestKey& key, std::uint64_t digest,
-                                           Waiter waiter, const std::function<bool(std::uint64_t)>& alive) {
+DuplicateCache::LookupResult DuplicateCache::Lookup(Micros now, const RequestKey& key, std::uint64_t digest,
+                                                    Waiter waiter,
+                                                    const std::function<bool(std::uint64_t)>& alive) {
   Expire(now);
   const auto it = entries_.find(key);
-  if (it == entries_.end()) return Found::kNew;
+  if (it == entries_.end()) return LookupResult::kNew;
   Entry& entry = it->second;
-  if (entry.digest != digest) return Found::kOther;
-  if (entry.over) return Found::kAnswered;
-  if (entry.waiters.size() >= limits_.waiters) {
+  if (entry.digest != digest) return LookupResult::kConflict;
+  if (entry.completed) return LookupResult::kAnswered;
+  if (entry.waiters.size() >= limits_.max_waiters) {
     std::erase_if(entry.waiters, [&](const Waiter& w) { return !alive(w.connection); });
-    if (entry.waiters.size() >= limits_.waiters) return Found::kCrowded;
+    if (entry.waiters.size() >= limits_.max_waiters) return LookupResult::kTooManyWaiters;
   }
   entry.waiters.push_back(std::move(waiter));
-  return Found::kPending;
+  return LookupResult::kPending;
 }
 
 std::optional<Message> DuplicateCache::Answer(const RequestKey& key) const {
@@ -77,7 +77,7 @@
 
 bool DuplicateCache::Begin(Micros now, const RequestKey& key, std::uint64_t digest, Waiter waiter) {
   Expire(now);
-  if (entries_.size() >= limits_.entries) return false;
+  if (entries_.size() >= limits_.max_entries) return false;
   Entry entry;
   entry.digest = digest;
   entry.waiters.push_back(std::move(waiter));
@@ -87,22 +87,23 @@
 std::vector<DuplicateCache::Waiter> DuplicateCache::Finish(Micros now, const RequestKey& key,
                                                            const Message& answer, bool keep) {
   const auto it = entries_.find(key);
-  if (it == entries_.end() || it->second.over) return {};
+  if (it == entries_.end() || it->second.completed) return {};
   Entry& entry = it->second;
   std::vector<Waiter> waiters = std::move(entry.waiters);
   if (!keep) {
     entries_.erase(it);
     return waiters;
   }
-  entry.over = true;
+  entry.completed = true;
   entry.waiters = {};
-  entry.until = now + limits_.keep;
+  entry.expires_at = now + limits_.ttl;
   entry.answer = answer;
   entry.has_answer = true;
-  bytes_ += answer.avps.size();
-  kept_.push_back(key);
-  if (full_ == kept_.end()) full_ = std::prev(kept_.end());
-  while (bytes_ > limits_.bytes && full_ != kept_.end()) DropAnswer(entries_.find(*full_++)->second);
+  answer_bytes_ += answer.avps.size();
+  completed_.push_back(key);
+  if (oldest_answer_ == completed_.end()) oldest_answer_ = std::prev(completed_.end());
+  while (answer_bytes_ > limits_.max_answer_bytes && oldest_answer_ != completed_.end())
+    DropAnswer(entries_.find(*oldest_answer_++)->second);
   return waiters;
 }
 
--- a/src/diameter/io/connection.cpp
+++ b/src/diameter/io/connection.cpp
@@ -11,10 +11,9 @@
 namespace merlinrun::diameter {
 namespace {
 
-constexpr std::size_t kReadSize = std::size_t{16} * 1024;
+constexpr std::size_t kReadBufferSize = std::size_t{16} * 1024;
 
-// Waits until there is something to read and only then takes a buffer, one for all: an idle connection holds
-// none.
+// Waits for readability before it uses the shared buffer, so that idle connections have none.
 class PlainConnection : public Connection {
  public:
   PlainConnection(Tcp::socket socket, Limits limits)
@@ -32,7 +31,7 @@
   }
   void ReadSome() override {
     socket_.async_wait(Tcp::socket::wait_read, [self = Self()](ErrorCode error) {
-      static std::array<char, kReadSize> input;  // read and fed in one turn; there is one thread
+      static std::array<char, kReadBufferSize> input;  // single-threaded, consumed in this callback
       std::size_t n = 0;
       if (!error) n = self->socket_.read_some(boost::asio::buffer(input), error);
       if (error == boost::asio::error::would_block) return self->ReadSome();
@@ -43,11 +42,11 @@
     boost::asio::async_write(socket_, boost::asio::buffer(writing()),
                              [self = Self()](ErrorCode error, std::size_t n) { self->OnWritten(error, n); });
   }
-  void Shut() override {
+  void ShutdownSend() override {
     ErrorCode ignored;
     socket_.shutdown(Tcp::socket::shutdown_send, ignored);
   }
-  void Abort(bool reset) override {
+  void CloseSocket(bool reset) override {
     ErrorCode ignored;
     if (reset) socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
     socket_.close(ignored);
@@ -63,7 +62,7 @@
 }
 
 Connection::Connection(const boost::asio::any_io_executor& executor, Limits limits)
-    : limits_(limits), framer_(limits.max_message_bytes), guard_(executor) {}
+    : limits_(limits), framer_(limits.max_message_bytes), timer_(executor) {}
 
 void Connection::Start(Events events) {
   events_ = std::make_shared<const Events>(std::move(events));
@@ -72,8 +71,8 @@
 }
 
 void Connection::MaybeRead() {
-  // A peer that does not read its answers is not asked for more requests: what is kept for it has an end.
-  if (closed_ || reading_ || (!closing_ && queued() > limits_.pause)) return;
+  // Backpressure: no more requests from a peer that doesn't read its answers.
+  if (closed_ || reading_ || (!closing_ && queued() > limits_.read_pause_bytes)) return;
   reading_ = true;
   ReadSome();
 }
@@ -81,12 +80,12 @@
 void Connection::OnRead(const ErrorCode& error, std::string_view bytes) {
   reading_ = false;
   if (closed_) return;
-  if (error) return End();
+  if (error) return Fail();
   if (!closing_) {
     framer_.Feed(bytes);
     Deliver();
   }
-  MaybeRead();  // while it is closing too, so that its end is seen; what comes then is dropped
+  MaybeRead();  // also while closing, to detect the peer's close; the data is dropped
 }
 
 void Connection::Deliver() {
@@ -95,62 +94,62 @@
   while (!closing_ && !closed_) {
     const auto frame = framer_.Next();
     if (!frame) break;
-    const auto events = events_;  // a new owner may take its place while it is called
+    const auto events = events_;  // the callback may install a new owner
     events->on_frame(*frame);
   }
   delivering_ = false;
-  if (framer_.broken() && !closing_ && !closed_) {
+  if (framer_.framing_error() && !closing_ && !closed_) {
     const auto events = events_;
-    events->on_framing_error(*framer_.broken());
+    events->on_framing_error(*framer_.framing_error());
   }
 }
 
 std::uint64_t Connection::Write(std::string_view bytes) {
-  accepted_ += bytes.size();
-  if (closing_ || closed_) return accepted_;
+  enqueued_ += bytes.size();
+  if (closing_ || closed_) return enqueued_;
   pending_.append(bytes);
-  if (queued() > limits_.most_queued) {
-    // Not from in here: whoever writes is in the midst of its own state.
-    boost::asio::post(guard_.get_executor(), [self = shared_from_this()] { self->End(); });
-    return accepted_;
+  if (queued() > limits_.max_queued_bytes) {
+    // Deferred, as the caller may be changing its own state.
+    boost::asio::post(timer_.get_executor(), [self = shared_from_this()] { self->Fail(); });
+    return enqueued_;
   }
   Flush();
-  return accepted_;
+  return enqueued_;
 }
 
-void Connection::Guard(Micros time) {
-  guard_.expires_after(std::chrono::microseconds(time));
-  guard_.async_wait([weak = weak_from_this()](ErrorCode error) {
+void Connection::StartTimer(Micros timeout) {
+  timer_.expires_after(std::chrono::microseconds(timeout));
+  timer_.async_wait([weak = weak_from_this()](ErrorCode error) {
     const auto self = weak.lock();
-    if (!error && self != nullptr) self->End();
+    if (!error && self != nullptr) self->Fail();
   });
 }
 
 void Connection::Flush() {
   if (!writing_.empty() || pending_.empty() || closed_) return;
   writing_.swap(pending_);
-  begun_ = flushed_ + writing_.size();
-  if (!closing_) Guard(limits_.stuck);
+  write_started_ = sent_ + writing_.size();
+  if (!closing_) StartTimer(limits_.write_timeout);
   WriteSome();
 }
 
 void Connection::OnWritten(const ErrorCode& error, std::size_t size) {
-  flushed_ += size;
-  begun_ = flushed_;
+  sent_ += size;
+  write_started_ = sent_;
   writing_.clear();
   if (closed_) return;
-  if (error) return End();
+  if (error) return Fail();
   if (!pending_.empty()) return Flush();
-  if (closing_) return Shut();
-  guard_.cancel();
+  if (closing_) return ShutdownSend();
+  timer_.cancel();
   MaybeRead();
 }
 
-void Connection::End() {
+void Connection::Fail() {
   if (std::exchange(closed_, true)) return;
   const auto self = shared_from_this();
-  guard_.cancel();
-  Abort(/*reset=*/false);
+  timer_.cancel();
+  CloseSocket(/*reset=*/false);
   const auto events = std::exchange(events_, nullptr);
   if (!closing_ && events != nullptr) events->on_closed();
 }
@@ -158,16 +157,16 @@
 void Connection::Reset() {
   events_ = nullptr;
   if (std::exchange(closed_, true)) return;
-  guard_.cancel();
-  Abort(/*reset=*/true);
+  timer_.cancel();
+  CloseSocket(/*reset=*/true);
 }
 
 void Connection::Close() {
   if (closing_ || closed_) return;
   closing_ = true;
   events_ = nullptr;
-  Guard(limits_.linger);
-  if (queued() == 0) Shut();
+  StartTimer(limits_.close_timeout);
+  if (queued() == 0) ShutdownSend();
   MaybeRead();
 }
 
--- a/src/diameter/io/downstream.hpp
+++ b/src/diameter/io/downstream.hpp
@@ -1,6 +1,6 @@
-// Diameter towards the clients: listens, exchanges capabilities, lets in who is listed, and hands requests to
-// the core. What is sent again gets the outcome of the first, see Recall; so a client that leaves does not
-// end its request, which goes on until it has its outcome.
+// Diameter listener for clients: accepts connections, exchanges capabilities, admits listed clients and
+// submits their requests to the core. A retransmission gets the outcome of the first request (see
+// DuplicateCache), so a request continues when its client disconnects.
 #ifndef MERLINRUN_DIAMETER_IO_DOWNSTREAM_HPP_
 #define MERLINRUN_DIAMETER_IO_DOWNSTREAM_HPP_
 
@@ -29,32 +29,31 @@
 class Downstream : public core::ProtocolListener {
  public:
   struct Limits {
-    // Connections that have not said who they are; one more makes the oldest of them go.
-    std::size_t strangers = 32;
-    Micros introduction = 5'000'000;  // for a CER to come
+    // Connections without a CER yet; one more closes the oldest.
+    std::size_t max_unidentified = 32;
+    Micros cer_timeout = 5'000'000;  // for the CER to arrive
     Connection::Limits connection;
   };
-  // Makes a connection of an accepted socket; null if it can't be had.
-  using Wrap = std::function<void(Tcp::socket, std::function<void(ConnectionPtr)>)>;
+  // Creates a connection from an accepted socket; null on failure.
+  using ConnectionFactory = std::function<void(Tcp::socket, std::function<void(ConnectionPtr)>)>;
   struct Listener {
     Tcp::endpoint address;
-    Wrap wrap;
+    ConnectionFactory connection_factory;
   };
 
-  // Throws boost::system::system_error if an address cannot be listened on. All that it is given must outlive
-  // it.
+  // Throws boost::system::system_error if an address can't be bound. The arguments must outlive this object.
   Downstream(boost::asio::io_context& io, core::Loop& loop, const std::vector<Listener>& listeners,
              Limits limits, const Application& application, const Identity& self, net::MemoryBudget& budget,
-             stats::Counters& counters, core::RequestManager& exchanges, Upstream& upstream,
+             stats::Counters& counters, core::RequestManager& request_manager, Upstream& upstream,
              std::uint64_t seed);
   ~Downstream() override;
   Downstream(const Downstream&) = delete;
   Downstream& operator=(const Downstream&) = delete;
 
-  // While it drains, clients that have nothing under way are told that it is busy (RFC 6733, 5.4.3).
+  // While draining, clients without pending requests are disconnected with cause BUSY (RFC 6733, 5.4.3).
   void SetDraining(bool draining) override;
   void StopAccepting() override;
-  // Its listeners are not handed on: it goes on accepting until it stops.
+  // The listeners aren't handed over on an upgrade: accepting continues until StopAccepting.
   void PauseAccepting() override {}
   void ResumeAccepting() override {}
   void CloseIdle(Micros rested) override;
@@ -64,25 +63,25 @@
   std::size_t cached_requests() const { return duplicates_.entries(); }
 
  private:
-  struct Stranger;
+  struct UnidentifiedConnection;
   struct Client;
-  class Caller;
-  struct Port;
+  class ClientResponseSink;
+  struct ListenSocket;
 
-  void Accept(Port& port);
-  void Greet(const ConnectionPtr& connection);
-  void OnIntroduction(std::uint64_t stranger, std::string_view frame);
-  void TurnAway(std::uint64_t stranger, const Header& header, std::string_view avps,
-                const MessageError& fault);
+  void Accept(ListenSocket& listen_socket);
+  void AwaitCer(const ConnectionPtr& connection);
+  void OnFirstMessage(std::uint64_t unidentified, std::string_view frame);
+  void RejectConnection(std::uint64_t unidentified, const Header& header, std::string_view avps,
+                        const MessageError& fault);
   void OnRequest(Client& client, Message request);
-  // Looks whether the request has been here before; true if it has been dealt with by that.
-  bool Recalled(Client& client, const Message& request, const RequestKey& key, std::uint64_t digest,
-                const DuplicateCache::Waiter& waiter);
-  // Answers by this node's own words.
-  void Say(Client& client, const Message& request, ResultCode code, const char* text);
+  // Handles a duplicate of a known request; false if the request is new.
+  bool HandleDuplicate(Client& client, const Message& request, const RequestKey& key, std::uint64_t digest,
+                       const DuplicateCache::Waiter& waiter);
+  // Answers with an error of this node.
+  void SendError(Client& client, const Message& request, ResultCode code, const char* text);
   void Finish(const RequestKey& key, const Message& answer, const std::string& proxy_info, bool keep);
-  void OnChange(Client& client);
-  void PartIfIdle(Client& client);
+  void OnSessionChanged(Client& client);
+  void DisconnectIfIdle(Client& client);
 
   core::Loop& loop_;
   const Limits limits_;
@@ -90,16 +89,16 @@
   const Identity& self_;
   net::MemoryBudget& budget_;
   stats::Counters& counters_;
-  core::RequestManager& exchanges_;
+  core::RequestManager& request_manager_;
   Upstream& upstream_;
   DuplicateCache duplicates_;
   std::uint64_t seed_;
   std::uint64_t last_connection_ = 0;
-  std::list<std::unique_ptr<Port>> ports_;
-  std::map<std::uint64_t, std::unique_ptr<Stranger>> strangers_;      // the oldest first
+  std::list<std::unique_ptr<ListenSocket>> listen_sockets_;
+  std::map<std::uint64_t, std::unique_ptr<UnidentifiedConnection>> unidentified_;  // oldest first
   std::unordered_map<std::string, std::unique_ptr<Client>> clients_;  // by Origin-Host in lower case
-  std::unordered_map<std::uint64_t, Client*> by_connection_;          // those that are open
-  bool parting_ = false;
+  std::unordered_map<std::uint64_t, Client*> by_connection_;          // connected clients
+  bool disconnect_idle_ = false;
   bool stopping_ = false;
 };
 
--- a/src/diameter/io/messages.hpp
+++ b/src/diameter/io/messages.hpp
@@ -1,4 +1,4 @@
-// Diameter's requests and answers as the core holds them.
+// Diameter requests and answers as core messages.
 #ifndef MERLINRUN_DIAMETER_IO_MESSAGES_HPP_
 #define MERLINRUN_DIAMETER_IO_MESSAGES_HPP_
 
@@ -12,13 +12,13 @@
 
 namespace merlinrun::diameter {
 
-// Diameter's number among the fronts (ServerInfo::fronts); HTTP's is 0.
+// Protocol number of Diameter (ServerInfo::protocols); HTTP's is 0.
 inline constexpr int kDiameterProtocol = 1;
 
 struct RequestMessage : core::Message {
   diameter::Message message;
-  std::string from;  // the peer that it came from
-  AvpId deadline;    // the AVP to be told how much time is left
+  std::string from;  // peer that sent it
+  AvpId deadline;    // the AVP that carries the remaining time
   net::MemoryReservation charge;
 };
 
--- a/src/diameter/io/no_tls.cpp
+++ b/src/diameter/io/no_tls.cpp
@@ -1,4 +1,4 @@
-// In a build without TLS: a file that asks for it is told so.
+// Build without TLS: settings that ask for TLS are rejected.
 #include <stdexcept>
 
 #include "diameter/io/tls.hpp"
@@ -12,6 +12,6 @@
 }
 Tls::~Tls() = default;
 Upstream::Connector Tls::Connector() const { return {}; }
-Downstream::Wrap Tls::Wrap() const { return {}; }
+Downstream::ConnectionFactory Tls::ConnectionFactory() const { return {}; }
 
 }  // namespace merlinrun::diameter
--- a/src/diameter/io/node.cpp
+++ b/src/diameter/io/node.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
-// For dialling and the capabilities exchange, where the settings do not say how long a dial may take.
-constexpr Micros kConnect = 2 * kSecond;
-// Descriptors beside the clients' connections: listeners, and a few that are being closed.
+// Timeout for dialling and the capabilities exchange, unless the settings have one.
+constexpr Micros kDefaultConnectTimeout = 2 * kSecond;
+// Descriptors besides client connections: listeners, and connections being closed.
 constexpr std::size_t kOtherSockets = 8;
 
 Tcp::endpoint AddressOf(const std::string& text) {
@@ -28,7 +28,7 @@
   Identity self;
   self.host = application.host;
   self.realm = application.realm;
-  // Section 8.16: it grows with every start.
+  // Section 8.16: increases with every start.
   self.state_id = static_cast<std::uint32_t>(loop.Now() / kSecond);
   const std::string& listen = application.listen.empty() ? application.tls_listen : application.listen;
   const auto address = AddressOf(listen).address();
@@ -49,7 +49,6 @@
   return limits;
 }
 
-// Dials without TLS.
 Upstream::Connector PlainConnector(boost::asio::io_context& io, Connection::Limits limits) {
   return [&io, limits](const Tcp::endpoint& address, const std::string&,
                        std::function<void(ConnectionPtr)> done) {
@@ -64,7 +63,7 @@
   };
 }
 
-Downstream::Wrap PlainWrap(Connection::Limits limits) {
+Downstream::ConnectionFactory PlainConnectionFactory(Connection::Limits limits) {
   return [limits](Tcp::socket socket, const std::function<void(ConnectionPtr)>& done) {
     done(Connection::Plain(std::move(socket), limits));
   };
@@ -81,14 +80,14 @@
       seed_(seed) {
   const Connection::Limits connection = ConnectionLimits(application_);
   if (!application_.listen.empty())
-    listeners_.push_back({AddressOf(application_.listen), PlainWrap(connection)});
+    listeners_.push_back({AddressOf(application_.listen), PlainConnectionFactory(connection)});
   std::optional<Tls> tls;
   if (!application_.tls.certificate.empty()) tls.emplace(io, application_.tls, connection);
   if (!application_.tls_listen.empty())
-    listeners_.push_back({AddressOf(application_.tls_listen), tls->Wrap()});
+    listeners_.push_back({AddressOf(application_.tls_listen), tls->ConnectionFactory()});
   Upstream::Limits upstream;
-  upstream.connect = limits.dial_timeout > 0 ? limits.dial_timeout : kConnect;
-  upstream.connections = limits.server_connections;
+  upstream.connect_timeout = limits.dial_timeout > 0 ? limits.dial_timeout : kDefaultConnectTimeout;
+  upstream.max_connections = limits.server_connections;
   upstream.connection = connection;
   upstream_ =
       std::make_unique<Upstream>(loop, application_, identity_, upstream, seed,
@@ -98,22 +97,25 @@
 
 Node::~Node() = default;
 
-void Node::Listen(net::MemoryBudget& budget, stats::Counters& counters, core::RequestManager& exchanges) {
+void Node::Listen(net::MemoryBudget& budget, stats::Counters& counters,
+                  core::RequestManager& request_manager) {
   Downstream::Limits limits;
   limits.connection = ConnectionLimits(application_);
   downstream_ = std::make_unique<Downstream>(io_, loop_, listeners_, limits, application_, identity_, budget,
-                                             counters, exchanges, *upstream_, seed_);
-  upstream_->CountIn(counters);
+                                             counters, request_manager, *upstream_, seed_);
+  upstream_->SetCounters(counters);
 }
 
-void Node::Apply(bool whole, const std::vector<ServerAddress>& servers) { upstream_->Apply(whole, servers); }
+void Node::Apply(bool is_full_list, const std::vector<ServerAddress>& servers) {
+  upstream_->Apply(is_full_list, servers);
+}
 
 unsigned Node::ProtocolBits(const std::string& server) const {
   return upstream_->Usable(server) ? 1U << kDiameterProtocol : 0U;
 }
 
 std::size_t Node::MaxSockets(const Application& application) {
-  return application.clients.size() + Downstream::Limits{}.strangers + kOtherSockets;
+  return application.clients.size() + Downstream::Limits{}.max_unidentified + kOtherSockets;
 }
 
 }  // namespace merlinrun::diameter
--- a/src/diameter/io/node.hpp
+++ b/src/diameter/io/node.hpp
@@ -1,5 +1,4 @@
-// All of a sidecar's Diameter: the application, this node's identity, the listeners and the connections to
-// servers.
+// The Diameter node of a sidecar: settings, identity, listeners and connections to servers.
 #ifndef MERLINRUN_DIAMETER_IO_NODE_HPP_
 #define MERLINRUN_DIAMETER_IO_NODE_HPP_
 
@@ -18,25 +17,25 @@
 class Node {
  public:
   struct Limits {
-    Micros dial_timeout = 0;  // 0 = not told
+    Micros dial_timeout = 0;  // 0 = default
     std::size_t server_connections = 256;
   };
 
-  // Throws std::invalid_argument, with one plain line, if an address or a certificate can't be used; opens no
-  // socket. `usable_changed` is called from the loop when the answer of Fronts has changed for a server. All
-  // that it is given must outlive it.
+  // Throws std::invalid_argument, with a one-line message, if an address or certificate is unusable; opens no
+  // socket. `usable_changed` is called from the event loop when ProtocolBits changes for a server. The
+  // arguments must outlive this object.
   Node(boost::asio::io_context& io, core::Loop& loop, Application application, Limits limits,
        std::uint64_t seed, std::function<void(const std::string& server)> usable_changed);
   ~Node();
 
-  // Throws boost::system::system_error if an address cannot be listened on.
-  void Listen(net::MemoryBudget& budget, stats::Counters& counters, core::RequestManager& exchanges);
+  // Throws boost::system::system_error if an address can't be bound.
+  void Listen(net::MemoryBudget& budget, stats::Counters& counters, core::RequestManager& request_manager);
 
-  void Apply(bool whole, const std::vector<ServerAddress>& servers);
-  // The bit for ServerInfo::fronts if the server can be reached over Diameter, else 0.
+  void Apply(bool is_full_list, const std::vector<ServerAddress>& servers);
+  // The Diameter bit of ServerInfo::protocols if the server is reachable over Diameter, else 0.
   unsigned ProtocolBits(const std::string& server) const;
 
-  // Descriptors that it may hold beside its connections to servers.
+  // Maximum number of descriptors, without the connections to servers.
   static std::size_t MaxSockets(const Application& application);
   std::size_t max_sockets() const { return MaxSockets(application_); }
 
--- a/src/diameter/io/peer_session.cpp
+++ b/src/diameter/io/peer_session.cpp
@@ -16,27 +16,27 @@
 
 PeerSession::~PeerSession() {
   *alive_ = false;
-  if (give_up_dial_) give_up_dial_();
+  if (cancel_dial_) cancel_dial_();
   for (const ConnectionPtr& connection : connections_)
     if (connection != nullptr) connection->Close();
 }
 
-const ConnectionPtr& PeerSession::open() const {
+const ConnectionPtr& PeerSession::open_connection() const {
   static const ConnectionPtr none;
   if (!peer_.Connected()) return none;
   return connections_[peer_.side() == Side::kInitiator ? 0 : 1];
 }
 
-void PeerSession::Changed() {
-  // The timer is set anew only when it is due earlier: each message moves the watchdog's end a little, and a
-  // timer that comes too early sets itself again.
+void PeerSession::OnPeerChanged() {
+  // Restarted only for an earlier deadline: each message moves the watchdog a little, and a timer that fires
+  // early restarts itself.
   const Micros due = peer_.due();
-  if (due > 0 && (armed_ == 0 || due < armed_)) {
-    armed_ = due;
+  if (due > 0 && (timer_due_ == 0 || due < timer_due_)) {
+    timer_due_ = due;
     timer_->Start(std::max<Micros>(due - loop_.Now(), 0), [this] {
-      armed_ = 0;
+      timer_due_ = 0;
       peer_.OnTimer(loop_.Now());
-      Changed();
+      OnPeerChanged();
     });
   }
   events_.on_change();
@@ -44,100 +44,102 @@
 
 void PeerSession::Start() {
   peer_.Start(loop_.Now());
-  Changed();
+  OnPeerChanged();
 }
 
 void PeerSession::Dial() {
-  give_up_dial_ = dialer_([this, alive = alive_](ConnectionPtr connection) {
+  cancel_dial_ = dialer_([this, alive = alive_](ConnectionPtr connection) {
     if (!*alive) {
       if (connection != nullptr) connection->Close();
       return;
     }
-    give_up_dial_ = nullptr;
+    cancel_dial_ = nullptr;
     if (connection == nullptr) {
       peer_.OnDialFailed(loop_.Now());
-      return Changed();
+      return OnPeerChanged();
     }
-    At(Side::kInitiator) = std::move(connection);
-    Listen(Side::kInitiator);
+    ConnectionAt(Side::kInitiator) = std::move(connection);
+    Attach(Side::kInitiator);
     peer_.OnDialed(loop_.Now());
-    Changed();
+    OnPeerChanged();
   });
 }
 
-void PeerSession::Listen(Side side) {
+void PeerSession::Attach(Side side) {
   Connection::Events events;
   events.on_frame = [this, side, alive = alive_](std::string_view frame) {
     if (*alive) OnFrame(side, frame);
   };
   events.on_framing_error = [this, side, alive = alive_](const MalformedMessage& bad) {
     if (!*alive) return;
-    peer_.OnBad(loop_.Now(), side, bad, /*fatal=*/true);
-    if (*alive) Changed();
+    peer_.OnMalformed(loop_.Now(), side, bad, /*fatal=*/true);
+    if (*alive) OnPeerChanged();
   };
   events.on_closed = [this, side, alive = alive_] {
     if (!*alive) return;
-    At(side) = nullptr;
+    ConnectionAt(side) = nullptr;
     peer_.OnClosed(loop_.Now(), side);
-    Changed();
+    OnPeerChanged();
   };
-  At(side)->Start(std::move(events));
+  ConnectionAt(side)->Start(std::move(events));
 }
 
 void PeerSession::OnFrame(Side side, std::string_view frame) {
   const auto alive = alive_;
   auto decoded = Decode(frame);
   if (const auto* bad = std::get_if<MalformedMessage>(&decoded)) {
-    peer_.OnBad(loop_.Now(), side, *bad, /*fatal=*/false);
+    peer_.OnMalformed(loop_.Now(), side, *bad, /*fatal=*/false);
     events_.on_malformed(*bad);
   } else if (auto message = peer_.OnMessage(loop_.Now(), side, std::move(std::get<Message>(decoded)))) {
     events_.on_message(std::move(*message));
   }
-  if (*alive) Changed();
+  if (*alive) OnPeerChanged();
 }
 
-Peer::Verdict PeerSession::Adopt(const ConnectionPtr& connection, const Message& cer,
-                                 const PeerCapabilities& remote) {
-  replaced_ = std::exchange(At(Side::kResponder), connection);
+Peer::IncomingResult PeerSession::Adopt(const ConnectionPtr& connection, const Message& cer,
+                                        const PeerCapabilities& remote) {
+  replaced_ = std::exchange(ConnectionAt(Side::kResponder), connection);
   adopting_ = true;
-  const Peer::Verdict verdict = peer_.OnIncoming(loop_.Now(), cer, remote);
+  const Peer::IncomingResult result = peer_.OnIncoming(loop_.Now(), cer, remote);
   adopting_ = false;
-  const ConnectionPtr before = std::exchange(replaced_, nullptr);
-  if (verdict == Peer::Verdict::kRejected) {
-    At(Side::kResponder) = before;
-    return verdict;
+  const ConnectionPtr previous = std::exchange(replaced_, nullptr);
+  if (result == Peer::IncomingResult::kRejected) {
+    ConnectionAt(Side::kResponder) = previous;
+    return result;
   }
-  if (At(Side::kResponder) == connection) Listen(Side::kResponder);
-  Changed();
-  return verdict;
+  if (ConnectionAt(Side::kResponder) == connection) Attach(Side::kResponder);
+  OnPeerChanged();
+  return result;
 }
 
 void PeerSession::Stop(DisconnectCause cause) {
   if (!peer_.Open()) return;
   peer_.Stop(loop_.Now(), cause);
-  Changed();
+  OnPeerChanged();
 }
 
 void PeerSession::Drained() {
   if (peer_.state() != Peer::State::kDraining) return;
   peer_.Drained(loop_.Now());
-  Changed();
+  OnPeerChanged();
 }
 
 std::optional<std::uint64_t> PeerSession::Send(const Message& message) {
   if (!peer_.Send(message)) return std::nullopt;
-  return last_end_;
+  return last_write_end_;
 }
 
 void PeerSession::Write(Side side, std::string bytes) {
-  if (const ConnectionPtr& connection = At(side); connection != nullptr) last_end_ = connection->Write(bytes);
+  if (const ConnectionPtr& connection = ConnectionAt(side); connection != nullptr)
+    last_write_end_ = connection->Write(bytes);
 }
 
 void PeerSession::Close(Side side) {
-  if (side == Side::kInitiator && give_up_dial_) std::exchange(give_up_dial_, nullptr)();
-  // While one is adopted, what is closed on its side is the one before it.
-  ConnectionPtr& at = adopting_ && side == Side::kResponder ? replaced_ : At(side);
-  if (const ConnectionPtr connection = std::exchange(at, nullptr); connection != nullptr) connection->Close();
+  if (side == Side::kInitiator && cancel_dial_) std::exchange(cancel_dial_, nullptr)();
+  // During Adopt the connection to close on the responder side is the previous one.
+  ConnectionPtr& slot = adopting_ && side == Side::kResponder ? replaced_ : ConnectionAt(side);
+  if (const ConnectionPtr connection = std::exchange(slot, nullptr); connection != nullptr)
+    connection->Close();
 }
 
 }  // namespace merlinrun::diameter
--- a/src/diameter/io/tls.cpp
+++ b/src/diameter/io/tls.cpp
@@ -19,17 +19,16 @@
 namespace ssl = boost::asio::ssl;
 using Stream = ssl::stream<Tcp::socket>;
 
-constexpr std::size_t kMostHandshakes = 32;
-constexpr auto kHandshake = std::chrono::seconds(5);
-constexpr std::size_t kReadSize = std::size_t{4} * 1024;
+constexpr std::size_t kMaxHandshakes = 32;
+constexpr auto kHandshakeTimeout = std::chrono::seconds(5);
+constexpr std::size_t kReadBufferSize = std::size_t{4} * 1024;
 
 class TlsConnection : public Connection {
  public:
   TlsConnection(std::unique_ptr<Stream> stream, Limits limits)
       : Connection(stream->get_executor(), limits), stream_(std::move(stream)) {}
 
-  // Section 5.2 of RFC 6125 by OpenSSL: names of the certificate, without its common name where there are
-  // any.
+  // RFC 6125 by OpenSSL: subject alternative names, or the common name if there are none.
   bool MatchesHost(const std::string& host) const override {
     X509* const certificate = SSL_get_peer_certificate(stream_->native_handle());
     if (certificate == nullptr) return false;
@@ -53,10 +52,10 @@
     boost::asio::async_write(*stream_, boost::asio::buffer(writing()),
                              [self = Self()](ErrorCode error, std::size_t n) { self->OnWritten(error, n); });
   }
-  void Shut() override {
-    stream_->async_shutdown([self = Self()](ErrorCode) { self->Abort(/*reset=*/false); });
+  void ShutdownSend() override {
+    stream_->async_shutdown([self = Self()](ErrorCode) { self->CloseSocket(/*reset=*/false); });
   }
-  void Abort(bool reset) override {
+  void CloseSocket(bool reset) override {
     ErrorCode ignored;
     auto& socket = stream_->lowest_layer();
     if (reset) socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
@@ -64,19 +63,19 @@
   }
 
   const std::unique_ptr<Stream> stream_;
-  std::array<char, kReadSize> input_{};
+  std::array<char, kReadBufferSize> input_{};
 };
 
-void Check(const ErrorCode& error, const std::string& file) {
+void ThrowOnError(const ErrorCode& error, const std::string& file) {
   if (error) throw std::invalid_argument("diameter: " + file + ": " + error.message());
 }
 
-// A handshake with a bound on its time.
+// A TLS handshake with a timeout.
 struct Handshake : std::enable_shared_from_this<Handshake> {
   Handshake(boost::asio::io_context& io, std::unique_ptr<Stream> with) : stream(std::move(with)), timer(io) {}
 
   void Run(Stream::handshake_type type, std::function<void(bool)> done) {
-    timer.expires_after(kHandshake);
+    timer.expires_after(kHandshakeTimeout);
     timer.async_wait([self = shared_from_this()](ErrorCode stopped) {
       if (!stopped) self->Stop();
     });
@@ -102,7 +101,7 @@
   boost::asio::io_context& io;
   const Connection::Limits limits;
   ssl::context context{ssl::context::tls};
-  std::list<std::shared_ptr<Handshake>> handshakes;  // of those who connected, the oldest first
+  std::list<std::shared_ptr<Handshake>> handshakes;  // of accepted sockets, oldest first
 };
 
 Tls::Tls(boost::asio::io_context& io, const TlsFiles& files, Connection::Limits limits)
@@ -111,11 +110,11 @@
   ErrorCode error;
   SSL_CTX_set_min_proto_version(context.native_handle(), TLS1_2_VERSION);
   context.use_certificate_chain_file(files.certificate, error);
-  Check(error, files.certificate);
+  ThrowOnError(error, files.certificate);
   context.use_private_key_file(files.key, ssl::context::pem, error);
-  Check(error, files.key);
+  ThrowOnError(error, files.key);
   context.load_verify_file(files.authorities, error);
-  Check(error, files.authorities);
+  ThrowOnError(error, files.authorities);
   if (SSL_CTX_check_private_key(context.native_handle()) != 1)
     throw std::invalid_argument("diameter: " + files.key + ": not the key of " + files.certificate);
   ERR_clear_error();
@@ -145,10 +144,10 @@
   };
 }
 
-Downstream::Wrap Tls::Wrap() const {
+Downstream::ConnectionFactory Tls::ConnectionFactory() const {
   return [state = state_](Tcp::socket socket, std::function<void(ConnectionPtr)> done) {
-    // The one that has taken longest makes room: guards against many that connect and shake no hands.
-    if (state->handshakes.size() >= kMostHandshakes) {
+    // Drops the oldest handshake to make room, so that stalled clients don't block new ones.
+    if (state->handshakes.size() >= kMaxHandshakes) {
       state->handshakes.front()->Stop();
       state->handshakes.pop_front();
     }
--- a/src/diameter/io/tls.hpp
+++ b/src/diameter/io/tls.hpp
@@ -1,6 +1,5 @@
-// Diameter over TLS, on a port of its own (RFC 6733, section 13.1): certificates of both sides, checked
-// against the operator's authorities, and the name in them against the Origin-Host. Cryptography is
-// OpenSSL's.
+// Diameter over TLS on its own port (RFC 6733, section 13.1), with OpenSSL. Both sides present certificates,
+// which are checked against the configured CAs and the Origin-Host.
 #ifndef MERLINRUN_DIAMETER_IO_TLS_HPP_
 #define MERLINRUN_DIAMETER_IO_TLS_HPP_
 
@@ -15,19 +14,19 @@
 
 class Tls {
  public:
-  // Throws std::invalid_argument, with one plain line that names the file, if a file can't be used, or if
-  // this program was built without TLS.
+  // Throws std::invalid_argument, with a one-line message, if a file can't be used or the program was built
+  // without TLS.
   Tls(boost::asio::io_context& io, const TlsFiles& files, Connection::Limits limits);
   ~Tls();
   Tls(const Tls&) = delete;
   Tls& operator=(const Tls&) = delete;
 
-  // Dials and shakes hands; the certificate has to be the host's that was asked for. What they give back may
-  // outlive this object.
+  // Connects and performs the handshake; the certificate must be valid for the host. The returned functions
+  // may outlive this object.
   Upstream::Connector Connector() const;
-  // Shakes hands with who has connected. So many at once, and each for so long: a client that connects and
-  // says nothing, or shakes hands without end, holds nobody up.
-  Downstream::Wrap Wrap() const;
+  // Performs the handshake on accepted sockets. Their number and duration are bounded, so that stalled
+  // handshakes don't block others.
+  Downstream::ConnectionFactory ConnectionFactory() const;
 
  private:
   struct State;
--- a/src/diameter/messages.cpp
+++ b/src/diameter/messages.cpp
@@ -6,10 +6,10 @@
 namespace merlinrun::diameter {
 namespace {
 
-constexpr std::uint32_t kNoInbandSecurity = 0;  // section 6.10; TLS is had on a port of its own
-constexpr std::size_t kMostApplications = 64;   // of a peer: more are not kept
+constexpr std::uint32_t kNoInbandSecurity = 0;  // section 6.10; TLS has its own port
+constexpr std::size_t kMaxApplications = 64;    // per peer; further ones are ignored
 
-AvpWriter From(const Identity& self) {
+AvpWriter OriginAvps(const Identity& self) {
   AvpWriter out;
   out.Add(avp::kOriginHost, self.host).Add(avp::kOriginRealm, self.realm);
   return out;
@@ -35,16 +35,16 @@
   return header;
 }
 
-void TakeApplications(std::string_view avps, std::vector<std::uint32_t>& out) {
+void CollectApplications(std::string_view avps, std::vector<std::uint32_t>& out) {
   AvpReader reader(avps);
   while (const auto avp = reader.Next()) {
-    if (avp->Is(avp::kVendorSpecificApplicationId)) TakeApplications(avp->data, out);
+    if (avp->Is(avp::kVendorSpecificApplicationId)) CollectApplications(avp->data, out);
     if (!avp->Is(avp::kAuthApplicationId) && !avp->Is(avp::kAcctApplicationId)) continue;
-    if (const auto id = ToU32(avp->data); id && out.size() < kMostApplications) out.push_back(*id);
+    if (const auto id = ToU32(avp->data); id && out.size() < kMaxApplications) out.push_back(*id);
   }
 }
 
-bool InCommon(const std::vector<std::uint32_t>& ours, const std::vector<std::uint32_t>& theirs) {
+bool ShareApplication(const std::vector<std::uint32_t>& ours, const std::vector<std::uint32_t>& theirs) {
   const auto has = [](const std::vector<std::uint32_t>& list, std::uint32_t id) {
     return std::find(list.begin(), list.end(), id) != list.end();
   };
@@ -52,8 +52,8 @@
   return std::any_of(ours.begin(), ours.end(), [&](std::uint32_t id) { return has(theirs, id); });
 }
 
-// True if the peer takes a connection as it is; no Inband-Security-Id at all says so too.
-bool TakesNoInbandSecurity(std::string_view avps) {
+// Whether the peer accepts a connection without inband security, which is the default without the AVP.
+bool AcceptsNoInbandSecurity(std::string_view avps) {
   bool any = false;
   AvpReader reader(avps);
   while (const auto avp = reader.Next()) {
@@ -64,19 +64,19 @@
   return !any;
 }
 
-char Small(char c) { return static_cast<char>(std::tolower(static_cast<unsigned char>(c))); }
+char ToLower(char c) { return static_cast<char>(std::tolower(static_cast<unsigned char>(c))); }
 
 }  // namespace
 
 std::string LowerName(std::string_view name) {
   std::string out(name);
-  std::transform(out.begin(), out.end(), out.begin(), Small);
+  std::transform(out.begin(), out.end(), out.begin(), ToLower);
   return out;
 }
 
 bool SameName(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                    [](char x, char y) { return Small(x) == Small(y); });
+                    [](char x, char y) { return ToLower(x) == ToLower(y); });
 }
 
 std::string AddressData(std::string_view bytes) {
@@ -86,19 +86,19 @@
 }
 
 Message MakeCer(const Identity& self) {
-  AvpWriter out = From(self);
+  AvpWriter out = OriginAvps(self);
   AddCapabilities(self, out);
   return {RequestHeader(kCapabilitiesExchange), out.Take()};
 }
 
 Message MakeDwr(const Identity& self) {
-  AvpWriter out = From(self);
+  AvpWriter out = OriginAvps(self);
   if (self.state_id != 0) out.AddU32(avp::kOriginStateId, self.state_id);
   return {RequestHeader(kDeviceWatchdog), out.Take()};
 }
 
 Message MakeDpr(const Identity& self, DisconnectCause cause) {
-  AvpWriter out = From(self);
+  AvpWriter out = OriginAvps(self);
   out.AddU32(avp::kDisconnectCause, static_cast<std::uint32_t>(cause));
   return {RequestHeader(kDisconnectPeer), out.Take()};
 }
@@ -123,7 +123,7 @@
 Message MakeError(const Identity& self, const Header& header, std::string_view avps,
                   const MessageError& fault) {
   AvpWriter out;
-  // Section 8.8: Session-Id stands first. What follows an AVP that lies about its length is not read.
+  // Section 8.8: Session-Id comes first. Reading stops at an AVP with an invalid length.
   if (const auto session = Find(avps, avp::kSessionId)) out.Copy(*session);
   out.Add(avp::kOriginHost, self.host).Add(avp::kOriginRealm, self.realm);
   out.AddU32(avp::kResultCode, static_cast<std::uint32_t>(fault.code));
@@ -143,17 +143,17 @@
                                                               const Dictionary& dictionary,
                                                               const Message& message) {
   const CommandRule* const rule = dictionary.FindCommand(kCapabilitiesExchange, 0);
-  if (auto fault = Check(message, dictionary, *rule, Reader::kEndpoint)) return *fault;
+  if (auto fault = ValidateMessage(message, dictionary, *rule, NodeRole::kEndpoint)) return *fault;
   PeerCapabilities remote;
   remote.host = std::string(Find(message.avps, avp::kOriginHost)->data);
   remote.realm = std::string(Find(message.avps, avp::kOriginRealm)->data);
   if (const auto state = Find(message.avps, avp::kOriginStateId)) remote.state_id = *ToU32(state->data);
-  TakeApplications(message.avps, remote.applications);
+  CollectApplications(message.avps, remote.applications);
   if (remote.host == self.host)
     return MessageError{ResultCode::kUnknownPeer, {}, "a peer that goes by this node's name"};
-  if (!InCommon(self.applications, remote.applications))
+  if (!ShareApplication(self.applications, remote.applications))
     return MessageError{ResultCode::kNoCommonApplication, {}, "no application in common"};
-  if (!TakesNoInbandSecurity(message.avps))
+  if (!AcceptsNoInbandSecurity(message.avps))
     return MessageError{ResultCode::kNoCommonSecurity,
                         {},
                         "TLS within a connection is not offered; it has a port of its own"};
--- a/src/diameter/peer.hpp
+++ b/src/diameter/peer.hpp
@@ -1,7 +1,7 @@
-// The peer state machine of RFC 6733, section 5.6, with the watchdog of RFC 3539: no socket, no clock, no
-// thread. Its owner brings it what happens on up to two connections to one peer (the one that this node
-// opened and the one that the peer opened) and carries out what the sink is told. After each call the owner
-// looks at `usable`, `lives` and `due`, which may have changed.
+// The peer state machine of RFC 6733, section 5.6, with the watchdog of RFC 3539. Has no socket, clock or
+// thread. The owner reports events of up to two connections to one peer (one opened by each side) and carries
+// out the calls to the sink. After each call the owner has to look at `usable`, `open_count` and `due`, which
+// may have changed.
 #ifndef MERLINRUN_DIAMETER_PEER_HPP_
 #define MERLINRUN_DIAMETER_PEER_HPP_
 
@@ -14,16 +14,16 @@
 
 namespace merlinrun::diameter {
 
-enum class Side { kInitiator, kResponder };  // who opened the connection: this node, or the peer
+enum class Side { kInitiator, kResponder };  // opened by this node, or by the peer
 
-// What the machine decides. Calls come from inside the machine's; do not call back into it.
+// Actions of the state machine. Implementations must not call back into it.
 class PeerSink {
  public:
   virtual ~PeerSink() = default;
-  // Open the initiator's connection; OnDialed or OnDialFailed follows.
+  // Connect as initiator; OnDialed or OnDialFailed follows.
   virtual void Dial() = 0;
   virtual void Write(Side side, std::string bytes) = 0;
-  // Close the connection once what was written to it is out. Its end is not told to the machine.
+  // Close the connection after pending writes; no OnClosed follows.
   virtual void Close(Side side) = 0;
 };
 
@@ -32,80 +32,79 @@
   enum class State {
     kClosed,
     kWaitConnAck,       // dialling
-    kWaitICea,          // the CER is out
-    kWaitConnAckElect,  // dialling, and the peer has come by itself meanwhile
-    kWaitReturns,       // both connections are there; the election is out
+    kWaitICea,          // CER sent, waiting for the CEA
+    kWaitConnAckElect,  // dialling, and the peer has connected meanwhile
+    kWaitReturns,       // both connections are open; the election is undecided
     kROpen,
     kIOpen,
-    kDraining,  // the peer asked to part; its DPA waits until what was under way is answered
-    kClosing,   // this node asked to part, or has answered the peer's DPR
+    kDraining,  // DPR received; the DPA is sent when pending requests are answered
+    kClosing,   // DPR sent, or the peer's DPR answered
   };
   struct Settings {
-    std::string host;  // the Origin-Host that it has to give; empty: none known before it connects
-    Micros watchdog = 30'000'000;  // see Watchdog
-    Micros connect = 5'000'000;    // from dialling to the CEA
-    Micros drain = 5'000'000;      // how long a DPA is kept back for, or waited for
-    // Whether it has to show that it stays after it was down (RFC 3539's REOPEN) before it is used. A client
-    // need not: nothing is sent to it of this node's own, and its requests would be thrown away meanwhile.
+    std::string host;                       // required Origin-Host; empty if not known in advance
+    Micros watchdog_interval = 30'000'000;  // see Watchdog
+    Micros connect_timeout = 5'000'000;     // for dialling and receiving the CEA
+    Micros drain_timeout = 5'000'000;       // for delaying a DPA, or waiting for one
+    // Whether a reopened connection has to pass the watchdog's REOPEN state (RFC 3539) before it is used.
+    // Clients don't: nothing is sent to them, and their requests would be lost meanwhile.
     bool probation = true;
     std::uint64_t seed = 0;
   };
-  // What becomes of a connection whose CER has been read.
-  enum class Verdict {
-    kTaken,     // it is the responder's connection of this machine from now on
-    kReplaced,  // the same, and the one that was open before is closed
-    kRejected,  // its owner answers 4003 on it and closes it
+  // Result for a connection whose CER has been read.
+  enum class IncomingResult {
+    kAccepted,  // used as the responder connection
+    kReplaced,  // the same, and the previously open connection is closed
+    kRejected,  // the owner answers 4003 and closes it
   };
 
-  // `self` and `dictionary` outlive it.
+  // `self`, `dictionary` and `sink` must outlive the peer.
   Peer(const Identity& self, const Dictionary& dictionary, Settings settings, PeerSink& sink);
   Peer(const Peer&) = delete;
   Peer& operator=(const Peer&) = delete;
 
-  // Dials if it is closed.
+  // Dials if closed.
   void Start(Micros now);
   void OnDialed(Micros now);
   void OnDialFailed(Micros now);
-  // The peer has connected and said who it is; `cer` has been read by ReadCapabilities as `remote`.
-  Verdict OnIncoming(Micros now, const Message& cer, const PeerCapabilities& remote);
-  // A connection ended of itself.
+  // The peer has connected; `remote` is the result of ReadCapabilities for `cer`.
+  IncomingResult OnIncoming(Micros now, const Message& cer, const PeerCapabilities& remote);
+  // A connection was closed by the peer or failed.
   void OnClosed(Micros now, Side side);
-  // A message came. The base protocol's are dealt with; the others are handed back for the application.
+  // Handles messages of the base protocol; returns the others for the application.
   std::optional<Message> OnMessage(Micros now, Side side, Message message);
-  // A message that can't be read; `fatal` if what follows it can't either. A request is answered.
-  void OnBad(Micros now, Side side, const MalformedMessage& bad, bool fatal);
+  // A malformed message; `fatal` if the stream can't be parsed any further. A request is answered.
+  void OnMalformed(Micros now, Side side, const MalformedMessage& bad, bool fatal);
   void OnTimer(Micros now);
   // When OnTimer is due; 0 = never.
   Micros due() const;
 
-  // Asks the peer to part; nothing new is sent from then on, answers still go and come. Does nothing unless
-  // it is open.
+  // Sends a DPR if open. No new requests are sent from then on; answers are still sent and received.
   void Stop(Micros now, DisconnectCause cause);
-  // All that was under way when the peer asked to part has been answered.
+  // All requests pending when the peer's DPR arrived have been answered.
   void Drained(Micros now);
 
-  // Sends a message of the application's. False, with nothing sent, if there is no open connection.
+  // Sends an application message. Returns false, with nothing sent, if there is no suitable connection.
   bool Send(const Message& message);
-  // A hop-by-hop id that none of this node's requests to this peer has at present.
+  // A hop-by-hop id that no pending request to this peer uses.
   std::uint32_t NextHopByHop() { return ++hop_by_hop_; }
 
   State state() const { return state_; }
-  Side side() const { return side_; }  // of the connection that is open
+  Side side() const { return side_; }  // of the open connection
   Watchdog::State watchdog() const { return watchdog_.state(); }
-  // Whether requests may be sent to it.
+  // Whether requests may be sent.
   bool usable() const { return Open() && watchdog_.usable(); }
   bool Open() const { return state_ == State::kROpen || state_ == State::kIOpen; }
-  // Whether a connection stands on which answers may come and go.
+  // Whether there is a connection on which answers may be sent and received.
   bool Connected() const { return Open() || state_ == State::kDraining || state_ == State::kClosing; }
-  // Open connections that it has had so far: what was sent on an earlier one than the last gets no answer.
-  std::uint64_t lives() const { return lives_; }
-  // What the peer said of itself when it was last opened.
+  // Number of connections opened so far; requests sent on an earlier one get no answer.
+  std::uint64_t open_count() const { return open_count_; }
+  // The peer's capabilities when it was last opened.
   const PeerCapabilities& remote() const { return remote_; }
 
  private:
-  void Await(Micros now, Micros time);
-  void GoOpen(Micros now, Side side);
-  void GoClosed();
+  void StartTimeout(Micros now, Micros timeout);
+  void EnterOpen(Micros now, Side side);
+  void EnterClosed();
   void AcceptResponder(Micros now);
   bool WinsElection() const;
   void Elect(Micros now);
@@ -113,8 +112,8 @@
   std::optional<Message> OnOpenMessage(Micros now, Message message);
   bool OnBaseRequest(Micros now, const Message& message);
   void WriteMessage(Side side, const Message& message);
-  void Ask(Side side, Message request);
-  void Obey(Watchdog::Order order);
+  void SendRequest(Side side, Message request);
+  void RunWatchdogAction(Watchdog::Action action);
 
   const Identity& self_;
   const Dictionary& dictionary_;
@@ -124,12 +123,12 @@
   State state_ = State::kClosed;
   Side side_ = Side::kInitiator;  // of the open connection
   PeerCapabilities remote_;
-  Message cer_;  // the peer's, while its CEA is owed; or its DPR while the DPA is
+  Message pending_request_;  // the peer's CER until the CEA is sent, or its DPR until the DPA is sent
   std::uint32_t hop_by_hop_;
   std::uint32_t end_to_end_;
-  std::uint32_t cer_id_ = 0;  // hop-by-hop id of the CER that is out
-  std::uint64_t lives_ = 0;
-  Micros due_ = 0;  // of the state; 0 = none
+  std::uint32_t cer_hop_by_hop_ = 0;  // hop-by-hop id of the pending CER
+  std::uint64_t open_count_ = 0;
+  Micros due_ = 0;  // timeout of the state; 0 = none
 };
 
 }  // namespace merlinrun::diameter
--- a/src/diameter/relay.hpp
+++ b/src/diameter/relay.hpp
@@ -1,4 +1,4 @@
-// What a relay does to the messages that pass it (RFC 6733, sections 6.1 and 6.2). Without I/O.
+// Message processing of a relay (RFC 6733, sections 6.1 and 6.2). Does no I/O.
 #ifndef MERLINRUN_DIAMETER_RELAY_HPP_
 #define MERLINRUN_DIAMETER_RELAY_HPP_
 
@@ -12,35 +12,34 @@
 
 namespace merlinrun::diameter {
 
-// Why a request can't be passed on from here: this node is in its Route-Record already (3005), its realm is
-// not served (3003), or it asks for one host that is not this one, where the choice of the server is not its
-// sender's (3002). The realms and hosts are compared without case.
+// Checks whether a request can be forwarded. Fails on a loop (3005), a realm that isn't served (3003), or a
+// Destination-Host other than this node (3002), as the sender may not choose the server. Names compare
+// without case.
 std::optional<MessageError> CheckRoute(const Identity& self, const std::vector<std::string>& realms,
                                        const Message& request);
 
-// How a request goes on to a server.
-struct Onward {
+// How a request is forwarded to a server.
+struct ForwardOptions {
   std::uint32_t hop_by_hop = 0;
-  std::string_view from;  // the peer that it came from, for the Route-Record
-  bool resend =
-      false;  // an earlier attempt may have run: the T flag is set; it stays where it was set before
-  // The AVP that says how long the answer is waited for, with its new content; a code of 0: none.
+  std::string_view from;    // peer that sent it, for the Route-Record
+  bool retransmit = false;  // sets the T bit, as an earlier attempt may have run
+  // The deadline AVP and its new value in milliseconds; code 0: none.
   std::uint32_t deadline_code = 0;
   std::uint32_t deadline_vendor = 0;
   std::uint32_t deadline = 0;
 };
-// The end-to-end id and all AVPs stay as they came but for the Destination-Host that names this node.
-Message Forward(const Message& request, const Onward& onward);
+// Keeps the end-to-end id and all AVPs except a Destination-Host, which names this node.
+Message Forward(const Message& request, const ForwardOptions& options);
 
-// Whether this is an answer to that request, as it was sent on.
-bool Answers(const Message& answer, const Header& request);
+// Whether this answers the request, as it was forwarded.
+bool IsAnswerTo(const Message& answer, const Header& request);
 
-// A server's answer as it goes back to whoever waits for it.
-Message Backward(const Message& answer, std::uint32_t hop_by_hop);
-// The same for one who sent the request again: his own Proxy-Info instead of the first sender's.
-Message BackwardTo(const Message& answer, std::uint32_t hop_by_hop, std::string_view proxy_info);
+// A server's answer for the sender of the request.
+Message RelayAnswer(const Message& answer, std::uint32_t hop_by_hop);
+// The same for the sender of a retransmission, with its own Proxy-Info.
+Message RelayAnswerTo(const Message& answer, std::uint32_t hop_by_hop, std::string_view proxy_info);
 
-// The request's Proxy-Info AVPs, as they came.
+// The request's Proxy-Info AVPs, unchanged.
 std::string ProxyInfoOf(const Message& request);
 
 }  // namespace merlinrun::diameter
--- a/src/diameter/watchdog.cpp
+++ b/src/diameter/watchdog.cpp
@@ -5,37 +5,37 @@
 namespace merlinrun::diameter {
 namespace {
 
-constexpr Micros kMostJitter = 2'000'000;  // RFC 3539, section 3.4.1: Tw is Twinit and 2 s more or less
+constexpr Micros kMaxJitter = 2'000'000;  // RFC 3539, section 3.4.1: Tw is Twinit +- 2 s
 constexpr int kAnswersToReopen = 3;
 
 }  // namespace
 
-void Watchdog::Set(Micros now) {
-  const Micros jitter = std::min(kMostJitter, interval_ / 3);
+void Watchdog::StartTimer(Micros now) {
+  const Micros jitter = std::min(kMaxJitter, interval_ / 3);
   const double unit = static_cast<double>(random_() >> 11) * 0x1.0p-53;
   due_ = now + interval_ - jitter + static_cast<Micros>(unit * 2 * static_cast<double>(jitter));
 }
 
-Watchdog::Order Watchdog::Ask(Micros now) {
+Watchdog::Action Watchdog::SendRequest(Micros now) {
   pending_ = true;
-  Set(now);
-  return Order::kSend;
+  StartTimer(now);
+  return Action::kSendRequest;
 }
 
-Watchdog::Order Watchdog::OnUp(Micros now) {
+Watchdog::Action Watchdog::OnUp(Micros now) {
   pending_ = false;
   if (state_ == State::kDown) {
     state_ = State::kReopen;
     answers_ = 0;
-    return Ask(now);
+    return SendRequest(now);
   }
   state_ = State::kOkay;
-  Set(now);
-  return Order::kNothing;
+  StartTimer(now);
+  return Action::kNone;
 }
 
 void Watchdog::OnDown() {
-  // One that never was up is not one that went down: it has nothing to make good.
+  // A peer that never was up starts without probation.
   if (state_ != State::kInitial) state_ = State::kDown;
   pending_ = false;
   due_ = 0;
@@ -47,43 +47,43 @@
     case State::kOkay:
     case State::kSuspect:
       state_ = State::kOkay;
-      return Set(now);
+      return StartTimer(now);
     case State::kReopen:
       if (!watchdog_answer) return;
       answers_ = std::max(answers_, 0) + 1;
-      if (answers_ < kAnswersToReopen) return;  // the next is asked for when the interval is over
+      if (answers_ < kAnswersToReopen) return;  // the next DWR is sent when the timer expires
       state_ = State::kOkay;
-      return Set(now);
+      return StartTimer(now);
     case State::kInitial:
     case State::kDown:
       return;
   }
 }
 
-Watchdog::Order Watchdog::OnTimer(Micros now) {
-  if (due_ == 0 || now < due_) return Order::kNothing;
+Watchdog::Action Watchdog::OnTimer(Micros now) {
+  if (due_ == 0 || now < due_) return Action::kNone;
   switch (state_) {
     case State::kOkay:
-      if (!pending_) return Ask(now);
+      if (!pending_) return SendRequest(now);
       state_ = State::kSuspect;
-      Set(now);
-      return Order::kNothing;
+      StartTimer(now);
+      return Action::kNone;
     case State::kReopen:
-      if (!pending_) return Ask(now);
+      if (!pending_) return SendRequest(now);
       if (answers_ >= 0) {
         answers_ = -1;
-        Set(now);
-        return Order::kNothing;
+        StartTimer(now);
+        return Action::kNone;
       }
       break;
     case State::kSuspect:
       break;
     case State::kInitial:
     case State::kDown:
-      return Order::kNothing;
+      return Action::kNone;
   }
   OnDown();
-  return Order::kClose;
+  return Action::kClose;
 }
 
 }  // namespace merlinrun::diameter
--- a/src/fleet/io/udp_report_exchange.cpp
+++ b/src/fleet/io/udp_report_exchange.cpp
@@ -12,65 +12,66 @@
 using ErrorCode = boost::system::error_code;
 
 ReportScheduler::Draw DrawFrom(std::uint64_t seed) {
-  return [random = Random(seed)](std::uint64_t most) mutable { return random.Below(most); };
+  return [random = Random(seed)](std::uint64_t bound) mutable { return random.Below(bound); };
 }
 
 }  // namespace
 
 UdpReportExchange::UdpReportExchange(boost::asio::io_context& io, core::Loop& loop,
-                                     core::RequestManager& exchanges, PeerAddresses peers,
+                                     core::RequestManager& request_manager, PeerAddresses addresses,
                                      ReportSettings settings, std::uint64_t seed,
                                      std::function<std::int64_t()> generation)
     : loop_(loop),
-      exchanges_(exchanges),
-      peers_(std::move(peers)),
+      request_manager_(request_manager),
+      addresses_(std::move(addresses)),
       generation_(std::move(generation)),
       socket_(io),
-      exchange_(settings, exchanges.settings().sidecar_index, exchanges.settings().sidecar_count,
+      exchange_(settings, request_manager.settings().sidecar_index, request_manager.settings().sidecar_count,
                 static_cast<std::uint64_t>(loop.Now() / 1000), loop.Now(), DrawFrom(seed)),
       timer_(loop.NewTimer()) {
-  for (std::uint32_t i = 0; i < peers_.by_number.size(); ++i) numbers_.emplace(peers_.by_number[i], i);
+  for (std::uint32_t i = 0; i < addresses_.by_number.size(); ++i)
+    peer_numbers_.emplace(addresses_.by_number[i], i);
 }
 
-void UdpReportExchange::Start(bool beside) {
-  socket_.open(peers_.listen.protocol());
-  socket_.set_option(Udp::socket::reuse_address(beside));
-  socket_.bind(peers_.listen);
+void UdpReportExchange::Start(bool share_address) {
+  socket_.open(addresses_.listen.protocol());
+  socket_.set_option(Udp::socket::reuse_address(share_address));
+  socket_.bind(addresses_.listen);
   socket_.non_blocking(true);
-  Receive();
+  WaitForDatagrams();
   Tick();
 }
 
-void UdpReportExchange::Receive() {
+void UdpReportExchange::WaitForDatagrams() {
   socket_.async_wait(Udp::socket::wait_read, [this](ErrorCode error) {
-    if (error) return;  // closed with this object
-    Take();
-    Receive();
+    if (error) return;  // closed on destruction
+    ReadDatagrams();
+    WaitForDatagrams();
   });
 }
 
-void UdpReportExchange::Take() {
-  for (int i = 0; i < kMostAtOnce; ++i) {
+void UdpReportExchange::ReadDatagrams() {
+  for (int i = 0; i < kMaxDatagramsPerTurn; ++i) {
     Udp::endpoint from;
     ErrorCode error;
     const std::size_t size = socket_.receive_from(boost::asio::buffer(buffer_), from, 0, error);
-    if (error) return;  // none is left, or the peer's host says that nobody listens there
-    const auto it = numbers_.find(from);
-    exchange_.Hear(loop_.Now(), it == numbers_.end() ? std::nullopt : std::optional(it->second),
-                   {buffer_.data(), size});
+    if (error) return;  // no more data, or an ICMP error
+    const auto it = peer_numbers_.find(from);
+    exchange_.OnDatagram(loop_.Now(), it == peer_numbers_.end() ? std::nullopt : std::optional(it->second),
+                         {buffer_.data(), size});
   }
 }
 
 void UdpReportExchange::Tick() {
-  const std::vector<BalancerSnapshot::Zone> own = exchanges_.TakeZoneSnapshots();
-  for (const BalancerSnapshot::Zone& zone : own)
-    exchanges_.OnZonePeerReport(exchange_.Of(loop_.Now(), zone.zone));
-  // Asked once more: what others say may have moved a zone.
-  const auto saying =
-      exchange_.Say(loop_.Now(), exchanges_.TakeZoneSnapshots(), exchanges_.zones_epoch(), generation_());
-  for (const std::uint32_t to : saying.to) {
-    ErrorCode ignored;  // a word may be lost anywhere
-    socket_.send_to(boost::asio::buffer(saying.bytes), peers_.by_number[to], 0, ignored);
+  const std::vector<BalancerSnapshot::Zone> zones = request_manager_.TakeZoneSnapshots();
+  for (const BalancerSnapshot::Zone& zone : zones)
+    request_manager_.OnZonePeerReport(exchange_.Summarize(loop_.Now(), zone.zone));
+  // A new snapshot, as the peers' reports may have changed a zone.
+  const auto outgoing = exchange_.NextReport(loop_.Now(), request_manager_.TakeZoneSnapshots(),
+                                             request_manager_.zones_epoch(), generation_());
+  for (const std::uint32_t to : outgoing.recipients) {
+    ErrorCode ignored;  // delivery is best effort
+    socket_.send_to(boost::asio::buffer(outgoing.bytes), addresses_.by_number[to], 0, ignored);
   }
   timer_->Start(kTick, [this] { Tick(); });
 }
--- a/src/fleet/io/udp_report_exchange.hpp
+++ b/src/fleet/io/udp_report_exchange.hpp
@@ -1,4 +1,4 @@
-// The fleet's words on a datagram socket. All that is decided is in Conversation.
+// Runs a ReportExchange over a UDP socket.
 #ifndef MERLINRUN_FLEET_IO_UDP_REPORT_EXCHANGE_HPP_
 #define MERLINRUN_FLEET_IO_UDP_REPORT_EXCHANGE_HPP_
 
@@ -21,44 +21,44 @@
 
 struct PeerAddresses {
   Udp::endpoint listen;
-  std::vector<Udp::endpoint> by_number;  // indexed by peer number; includes this sidecar's own
+  std::vector<Udp::endpoint> by_number;  // indexed by peer number, including this sidecar
 };
 
-// Threading: all of it on the thread of `io`. What it is given must outlive it.
+// Threading: everything runs on the thread of `io`. The arguments must outlive this object.
 class UdpReportExchange {
  public:
-  // Binds nothing yet. `generation` tells that of the list in force.
-  UdpReportExchange(boost::asio::io_context& io, core::Loop& loop, core::RequestManager& exchanges,
-                    PeerAddresses peers, ReportSettings settings, std::uint64_t seed,
+  // Doesn't bind yet. `generation` returns the generation of the current endpoint list.
+  UdpReportExchange(boost::asio::io_context& io, core::Loop& loop, core::RequestManager& request_manager,
+                    PeerAddresses addresses, ReportSettings settings, std::uint64_t seed,
                     std::function<std::int64_t()> generation);
   UdpReportExchange(const UdpReportExchange&) = delete;
   UdpReportExchange& operator=(const UdpReportExchange&) = delete;
 
-  // Throws boost::system::system_error if the address cannot be had. `beside`: another process of this
-  // sidecar may hold it too, for as long as an upgrade takes. On Linux what comes goes to the one that bound
-  // it last, and what the older one still says has an older incarnation, which nobody counts any more.
-  void Start(bool beside);
+  // Throws boost::system::system_error if the address can't be bound. With `share_address` another process of
+  // this sidecar may have it bound too, during an upgrade. Linux delivers to the socket that was bound last;
+  // reports that the older process still sends have an older incarnation and are ignored.
+  void Start(bool share_address);
   const ReportExchange& exchange() const { return exchange_; }
 
  private:
-  // Often enough that what others say is acted on within a part of an answer's usual time.
+  // Interval at which peers' reports are applied and own reports considered.
   static constexpr Micros kTick = 50'000;
-  // Datagrams that are taken in one turn of the loop, so that a flood of them delays no request.
-  static constexpr int kMostAtOnce = 64;
+  // Datagrams read per turn of the event loop, so that a flood doesn't delay requests.
+  static constexpr int kMaxDatagramsPerTurn = 64;
 
-  void Receive();
-  void Take();
+  void WaitForDatagrams();
+  void ReadDatagrams();
   void Tick();
 
   core::Loop& loop_;
-  core::RequestManager& exchanges_;
-  const PeerAddresses peers_;
+  core::RequestManager& request_manager_;
+  const PeerAddresses addresses_;
   const std::function<std::int64_t()> generation_;
-  std::map<Udp::endpoint, std::uint32_t> numbers_;
+  std::map<Udp::endpoint, std::uint32_t> peer_numbers_;
   Udp::socket socket_;
   ReportExchange exchange_;
   std::unique_ptr<core::Timer> timer_;
-  // One more than a datagram may have: so one that is too long is seen to be.
+  // One byte more than allowed, to detect datagrams that are too long.
   std::array<char, kMaxDatagramBytes + 1> buffer_;
 };
 
--- a/src/fleet/peer_table.cpp
+++ b/src/fleet/peer_table.cpp
@@ -9,105 +9,110 @@
 namespace merlinrun::fleet {
 namespace {
 
-// Clocks of one platform differ by less. Guards against a word that no later one could replace.
-constexpr std::uint64_t kClocksApartMs = 60'000;
-// A sender under this belief is not counted. It loses kAgainst with each word against everybody and wins
-// kWith back with each other, so that six words in a second silence one that errs, and half a minute of
-// ordinary ones hears it again.
-constexpr double kBelieved = 0.5;
-constexpr double kAgainst = 0.1;
-constexpr double kWith = 0.02;
-// So many dead servers in a row are met by chance in a zone that is well.
-constexpr unsigned kMostByChance = 2;
+// A report from further in the future is dropped, since no later report could replace it.
+constexpr std::uint64_t kMaxClockSkewMs = 60'000;
+// Senders below kMinCredibility aren't counted. Six contradicting reports exclude a sender, and each takes
+// five consistent ones to make up for.
+constexpr double kMinCredibility = 0.5;
+constexpr double kCredibilityLoss = 0.1;
+constexpr double kCredibilityGain = 0.02;
+// Up to this many dead servers in a row are expected in a healthy zone.
+constexpr unsigned kMaxDeadByChance = 2;
 
-enum class Says { kNothing, kLost, kWell };
+enum class Verdict { kNone, kLost, kHealthy };
 
-// What a word said `since` ago says of the zone now.
-Says SaysOf(const ZoneReport& word, Micros since) {
-  if (word.last_ms * 1000 + since >=
-      (zones::IsEjected(word.stage) ? PeerTable::kLeftSpeaksFor : PeerTable::kSpeaksFor))
-    return Says::kNothing;
-  return word.dead > 0 ? Says::kLost : Says::kWell;
+// What a zone report received `since` microseconds ago tells about the zone now.
+Verdict VerdictOf(const ZoneReport& zone_report, Micros since) {
+  if (zone_report.last_ms * 1000 + since >=
+      (zones::IsEjected(zone_report.stage) ? PeerTable::kEjectedEvidenceTtl : PeerTable::kEvidenceTtl))
+    return Verdict::kNone;
+  return zone_report.dead > 0 ? Verdict::kLost : Verdict::kHealthy;
 }
 
 }  // namespace
 
-PeerTable::Heard PeerTable::Hear(Micros now, const PeerReport& words) {
-  if (words.sender == own_) return Heard::kOwn;
-  if (words.incarnation > static_cast<std::uint64_t>(std::max<Micros>(now, 0)) / 1000 + kClocksApartMs)
-    return Heard::kFuture;
-  const auto [it, first] = known_.try_emplace(words.sender);
-  Member& member = it->second;
-  if (!first) {
-    if (std::tie(words.incarnation, words.sequence) <=
-        std::tie(member.words.incarnation, member.words.sequence))
-      return Heard::kOld;
-    if (words.incarnation > member.words.incarnation) ++returns_;
+PeerTable::ReportOutcome PeerTable::OnReport(Micros now, const PeerReport& report) {
+  if (report.sender == self_) return ReportOutcome::kFromSelf;
+  if (report.incarnation > static_cast<std::uint64_t>(std::max<Micros>(now, 0)) / 1000 + kMaxClockSkewMs)
+    return ReportOutcome::kFutureIncarnation;
+  const auto [it, inserted] = peers_.try_emplace(report.sender);
+  Peer& peer = it->second;
+  if (!inserted) {
+    if (std::tie(report.incarnation, report.sequence) <=
+        std::tie(peer.report.incarnation, peer.report.sequence))
+      return ReportOutcome::kStale;
+    if (report.incarnation > peer.report.incarnation) ++restarts_;
   }
-  Forget(now);
-  if (!std::exchange(member.lately, true)) lately_.push_back(&member);
-  member.words = words;
-  member.heard_at = now;
-  Believe(now, member);
-  return Heard::kNew;
+  ExpireRecent(now);
+  if (!std::exchange(peer.recent, true)) recent_.push_back(&peer);
+  peer.report = report;
+  peer.received_at = now;
+  UpdateCredibility(now, peer);
+  return ReportOutcome::kAccepted;
 }
 
-void PeerTable::Forget(Micros now) {
-  std::erase_if(lately_, [&](Member* member) {
-    member->lately = now - member->heard_at < kFresh;
-    return !member->lately;
+void PeerTable::ExpireRecent(Micros now) {
+  std::erase_if(recent_, [&](Peer* peer) {
+    peer->recent = now - peer->received_at < kReportTtl;
+    return !peer->recent;
   });
 }
 
 const PeerReport* PeerTable::LatestReport(std::uint32_t sender) const {
-  const auto it = known_.find(sender);
-  return it == known_.end() ? nullptr : &it->second.words;
+  const auto it = peers_.find(sender);
+  return it == peers_.end() ? nullptr : &it->second.report;
 }
 
 std::size_t PeerTable::RecentPeerCount(Micros now) const {
-  return static_cast<std::size_t>(std::count_if(
-      lately_.begin(), lately_.end(), [&](const Member* member) { return now - member->heard_at < kFresh; }));
+  return static_cast<std::size_t>(std::count_if(recent_.begin(), recent_.end(), [&](const Peer* peer) {
+    return now - peer->received_at < kReportTtl;
+  }));
 }
 
-ZonePeerReport PeerTable::Of(Micros now, int zone) const { return Without(now, zone, nullptr); }
+ZonePeerReport PeerTable::Summarize(Micros now, int zone) const {
+  return SummarizeExcept(now, zone, nullptr);
+}
 
-ZonePeerReport PeerTable::Without(Micros now, int zone, const Member* without) const {
+ZonePeerReport PeerTable::SummarizeExcept(Micros now, int zone, const Peer* excluded) const {
   ZonePeerReport out;
   out.zone = zone;
-  std::vector<Micros> returned;
-  for (const Member* member : lately_) {
-    const Micros since = now - member->heard_at;
-    if (member == without || member->belief < kBelieved || since >= kFresh) continue;
-    const ZoneReport* word = member->words.Of(zone);
-    if (word == nullptr) continue;
+  std::vector<Micros> return_times;
+  for (const Peer* peer : recent_) {
+    const Micros since = now - peer->received_at;
+    if (peer == excluded || peer->credibility < kMinCredibility || since >= kReportTtl) continue;
+    const ZoneReport* zone_report = peer->report.FindZone(zone);
+    if (zone_report == nullptr) continue;
     ++out.reporting;
-    const Says says = SaysOf(*word, since);
-    out.reporting_lost += says == Says::kLost;
-    out.reporting_healthy += says == Says::kWell;
-    if (word->stage == zones::Stage::kReturning) returned.push_back(word->in_stage_ms * 1000 + since);
+    const Verdict verdict = VerdictOf(*zone_report, since);
+    out.reporting_lost += verdict == Verdict::kLost;
+    out.reporting_healthy += verdict == Verdict::kHealthy;
+    if (zone_report->stage == zones::Stage::kReturning)
+      return_times.push_back(zone_report->in_stage_ms * 1000 + since);
   }
-  // What a quorum has outlived: one that lies can't make a cold zone warm.
-  if (returned.size() >= static_cast<std::size_t>(zones::kQuorum)) {
-    std::nth_element(returned.begin(), returned.begin() + zones::kQuorum - 1, returned.end(),
+  // The time that a quorum has been back for, so that one faulty sender can't declare a cold zone warm.
+  if (return_times.size() >= static_cast<std::size_t>(zones::kQuorum)) {
+    std::nth_element(return_times.begin(), return_times.begin() + zones::kQuorum - 1, return_times.end(),
                      std::greater<>());
-    out.returned_for = returned[zones::kQuorum - 1];
+    out.returned_for = return_times[zones::kQuorum - 1];
   }
   return out;
 }
 
-// Against everybody: it calls lost what a quorum was just answered by, and hardly anybody else calls lost; or
-// the reverse. In a fleet that is split into halves nobody is against everybody.
-void PeerTable::Believe(Micros now, Member& member) const {
-  bool against = false;
-  for (const ZoneReport& word : member.words.zones) {
-    const ZonePeerReport others = Without(now, word.zone, &member);
-    const Says says = SaysOf(word, 0);
-    against |= says == Says::kLost && others.reporting_healthy >= zones::kQuorum &&
-               others.reporting_healthy > 4 * others.reporting_lost && word.dead > kMostByChance;
-    against |= says == Says::kWell && others.reporting_lost >= zones::kQuorum &&
-               others.reporting_lost > 4 * others.reporting_healthy;
+// A report contradicts the others if it calls a zone lost that a quorum finds healthy and hardly anyone else
+// finds lost, or the reverse. In a fleet that is split in halves nobody's credibility falls.
+void PeerTable::UpdateCredibility(Micros now, Peer& peer) const {
+  bool contradicts = false;
+  for (const ZoneReport& zone_report : peer.report.zones) {
+    const ZonePeerReport others = SummarizeExcept(now, zone_report.zone, &peer);
+    const Verdict verdict = VerdictOf(zone_report, 0);
+    contradicts |= verdict == Verdict::kLost && others.reporting_healthy >= zones::kQuorum &&
+                   others.reporting_healthy > 4 * others.reporting_lost &&
+                   zone_report.dead > kMaxDeadByChance;
+    contradicts |= verdict == Verdict::kHealthy && others.reporting_lost >= zones::kQuorum &&
+                   others.reporting_lost > 4 * others.reporting_healthy;
   }
-  member.belief = std::clamp(member.belief + (against ? -kAgainst : kWith), 0.0, 1.0);
+  peer.credibility =
+      std::clamp(peer.credibility + (contradicts ? -kCredibilityLoss : kCredibilityGain), 0.0, 1.0);
 }
 
 }  // namespace merlinrun::fleet
--- a/src/fleet/peer_table.hpp
+++ b/src/fleet/peer_table.hpp
@@ -1,8 +1,9 @@
-// Who of the fleet is heard, and what they say together. Free of I/O and clock.
+// Keeps the latest report of each peer and aggregates the recent ones per zone. Does no I/O and reads no
+// clock.
 //
-// Membership is by silence alone: heard lately, not heard, back with a new incarnation. Of each sender the
-// newest word counts and no other, so that the same words leave the same picture in whatever order they come,
-// and however often (a join over incarnation and sequence). Memory: a word a sibling at most.
+// Of each sender only the newest report counts, ordered by incarnation and sequence, so the result doesn't
+// depend on the order or duplication of datagrams. A peer is present while its reports arrive; there is no
+// explicit membership. Memory: at most one report per peer.
 #ifndef MERLINRUN_FLEET_PEER_TABLE_HPP_
 #define MERLINRUN_FLEET_PEER_TABLE_HPP_
 
@@ -16,55 +17,56 @@
 
 class PeerTable {
  public:
-  // A word counts for so long after it came. Guards against old words that hold a decision up, or make one.
-  static constexpr Micros kFresh = 2'500'000;
-  // What a sender met last speaks for so long, whether it was an answer or none: some attempts' distance of a
-  // quiet one. The same for both, or healthy zones with some dead servers would look lost.
-  static constexpr Micros kSpeaksFor = 1'000'000;
-  // One that has left it meets nothing there until its next trial, which comes within this time.
-  static constexpr Micros kLeftSpeaksFor = 4'000'000;
-  // From so many dead servers in a row on a sender tells at once: one is the server's own trouble.
-  static constexpr unsigned kNews = 2;
+  // A report is ignored once it is this old.
+  static constexpr Micros kReportTtl = 2'500'000;
+  // Evidence from a sender's own attempts is ignored once it is this old. The same for healthy and lost,
+  // since otherwise healthy zones with some dead servers would look lost.
+  static constexpr Micros kEvidenceTtl = 1'000'000;
+  // A sender that ejected the zone has new evidence only at its next probe, which comes within this time.
+  static constexpr Micros kEjectedEvidenceTtl = 4'000'000;
+  // A sender reports at once from this many dead servers in a row; a single one may be the server's own
+  // failure.
+  static constexpr unsigned kUrgentDeadServers = 2;
 
-  enum class Heard {
-    kNew,
-    kOld,     // a newer word of this sender has come before, or this one has
-    kFuture,  // it claims to have started later than the clocks' difference can explain
-    kOwn,     // it claims to be this sidecar
+  enum class ReportOutcome {
+    kAccepted,
+    kStale,              // this or a newer report of the sender was already accepted
+    kFutureIncarnation,  // the claimed start time exceeds the permitted clock skew
+    kFromSelf,           // carries this sidecar's own number
   };
 
-  explicit PeerTable(std::uint32_t own) : own_(own) {}
+  explicit PeerTable(std::uint32_t self) : self_(self) {}
   PeerTable(const PeerTable&) = delete;
   PeerTable& operator=(const PeerTable&) = delete;
-  Heard Hear(Micros now, const PeerReport& words);
-  // What others say of the zone now, those alone who are heard and believed.
-  ZonePeerReport Of(Micros now, int zone) const;
-  // Senders heard lately.
+  ReportOutcome OnReport(Micros now, const PeerReport& report);
+  // Aggregates what recent, credible peers report about the zone.
+  ZonePeerReport Summarize(Micros now, int zone) const;
+  // Number of peers with a report younger than kReportTtl.
   std::size_t RecentPeerCount(Micros now) const;
-  // Starts of others that were seen: words of a new incarnation after an older one.
-  std::uint64_t returns() const { return returns_; }
-  std::size_t known() const { return known_.size(); }
-  // The word in force of a sender; null if there is none.
+  // Peer restarts seen: reports with a newer incarnation than the one before.
+  std::uint64_t restarts() const { return restarts_; }
+  std::size_t known_peers() const { return peers_.size(); }
+  // Null if there is no report of this sender.
   const PeerReport* LatestReport(std::uint32_t sender) const;
 
  private:
-  struct Member {
-    PeerReport words;
-    Micros heard_at = 0;
-    double belief = 1;  // falls with each word that goes against what everybody else says
-    bool lately = false;
+  struct Peer {
+    PeerReport report;
+    Micros received_at = 0;
+    double credibility = 1;  // falls with each report that contradicts most others
+    bool recent = false;
   };
-  ZonePeerReport Without(Micros now, int zone, const Member* member) const;
-  void Believe(Micros now, Member& member) const;
+  ZonePeerReport SummarizeExcept(Micros now, int zone, const Peer* peer) const;
+  void UpdateCredibility(Micros now, Peer& peer) const;
 
-  const std::uint32_t own_;
-  void Forget(Micros now);
+  const std::uint32_t self_;
+  void ExpireRecent(Micros now);
 
-  std::map<std::uint32_t, Member> known_;  // its nodes stay put
-  // Those heard lately, and some that were until now: what a look costs follows from the words that come,
-  // which are bounded, and not from the size of the fleet.
-  std::vector<Member*> lately_;
-  std::uint64_t returns_ = 0;
+  std::map<std::uint32_t, Peer> peers_;  // `recent_` points into it
+  // Recent peers, and some that have just expired. Bounds the cost of an aggregation by the rate of reports
+  // instead of the size of the fleet.
+  std::vector<Peer*> recent_;
+  std::uint64_t restarts_ = 0;
 };
 
 }  // namespace merlinrun::fleet
--- a/src/fleet/report_exchange.cpp
+++ b/src/fleet/report_exchange.cpp
@@ -5,76 +5,79 @@
 
 namespace merlinrun::fleet {
 
-ReportExchange::ReportExchange(ReportSettings settings, std::uint32_t own, std::uint32_t siblings,
+ReportExchange::ReportExchange(ReportSettings settings, std::uint32_t self, std::uint32_t sidecar_count,
                                std::uint64_t incarnation, Micros now, ReportScheduler::Draw draw)
-    : own_(own),
-      siblings_(siblings),
+    : self_(self),
+      sidecar_count_(sidecar_count),
       incarnation_(incarnation),
-      peer_table_(own),
-      scheduler_(settings, own, siblings, now, std::move(draw)) {}
+      peer_table_(self),
+      scheduler_(settings, self, sidecar_count, now, std::move(draw)) {}
 
-void ReportExchange::Hear(Micros now, std::optional<std::uint32_t> from, std::string_view bytes) {
+void ReportExchange::OnDatagram(Micros now, std::optional<std::uint32_t> from, std::string_view bytes) {
   if (!from) return void(++counters_.wrong_address);
-  const auto read = Decode(bytes, siblings_);
-  const auto* words = std::get_if<PeerReport>(&read);
-  if (words == nullptr) return void(++counters_.malformed);
-  if (words->sender != *from) return void(++counters_.wrong_address);
-  switch (peer_table_.Hear(now, *words)) {
-    case PeerTable::Heard::kNew:
+  const auto decoded = Decode(bytes, sidecar_count_);
+  const auto* report = std::get_if<PeerReport>(&decoded);
+  if (report == nullptr) return void(++counters_.malformed);
+  if (report->sender != *from) return void(++counters_.wrong_address);
+  switch (peer_table_.OnReport(now, *report)) {
+    case PeerTable::ReportOutcome::kAccepted:
       return void(++counters_.accepted);
-    case PeerTable::Heard::kOld:
+    case PeerTable::ReportOutcome::kStale:
       return void(++counters_.stale);
-    case PeerTable::Heard::kFuture:
+    case PeerTable::ReportOutcome::kFutureIncarnation:
       return void(++counters_.future_incarnation);
-    case PeerTable::Heard::kOwn:
+    case PeerTable::ReportOutcome::kFromSelf:
       return void(++counters_.wrong_address);
   }
 }
 
-ReportExchange::Saying ReportExchange::Say(Micros now, const std::vector<BalancerSnapshot::Zone>& own,
-                                           std::uint64_t epoch, std::int64_t generation) {
-  PeerReport words = Own(own, epoch, generation);
-  const bool news = News(now, words);
-  if (!scheduler_.Due(now, news)) return {};  // twenty times for each that is: nothing is written for it
-  Saying out;
-  out.bytes = Encode(words);
-  out.to = scheduler_.Round(now, news, out.bytes.size());
-  if (out.to.empty()) return out;
+ReportExchange::Outgoing ReportExchange::NextReport(Micros now,
+                                                    const std::vector<BalancerSnapshot::Zone>& zone_snapshots,
+                                                    std::uint64_t epoch, std::int64_t generation) {
+  PeerReport report = MakeReport(zone_snapshots, epoch, generation);
+  const bool urgent = IsUrgent(now, report);
+  if (!scheduler_.Due(now, urgent)) return {};  // most calls end here, before anything is encoded
+  Outgoing out;
+  out.bytes = Encode(report);
+  out.recipients = scheduler_.StartRound(now, urgent, out.bytes.size());
+  if (out.recipients.empty()) return out;
   ++sequence_;
-  counters_.sent += out.to.size();
-  counters_.sent_bytes += out.to.size() * out.bytes.size();
-  said_ = std::move(words);
+  counters_.sent += out.recipients.size();
+  counters_.sent_bytes += out.recipients.size() * out.bytes.size();
+  last_sent_ = std::move(report);
   return out;
 }
 
-PeerReport ReportExchange::Own(const std::vector<BalancerSnapshot::Zone>& own, std::uint64_t epoch,
-                               std::int64_t generation) const {
-  PeerReport words{own_, incarnation_, sequence_ + 1, generation, {}};
-  for (const BalancerSnapshot::Zone& zone : own) {
-    if (words.zones.size() == kMaxZones) break;
-    words.zones.push_back(
+PeerReport ReportExchange::MakeReport(const std::vector<BalancerSnapshot::Zone>& zone_snapshots,
+                                      std::uint64_t epoch, std::int64_t generation) const {
+  PeerReport report{self_, incarnation_, sequence_ + 1, generation, {}};
+  for (const BalancerSnapshot::Zone& zone : zone_snapshots) {
+    if (report.zones.size() == kMaxZones) break;
+    report.zones.push_back(
         {zone.zone, zone.stage, epoch, static_cast<unsigned>(zone.dead_servers),
          zone.since_last_evidence < 0 ? kMaxAgeMs : std::min(zone.since_last_evidence / 1000, kMaxAgeMs),
          std::min(zone.time_in_stage / 1000, kMaxAgeMs)});
   }
-  return words;
+  return report;
 }
 
-bool ReportExchange::News(Micros now, const PeerReport& own) const {
-  if (sequence_ == 0) return true;  // all hear at once that this sidecar is there
-  return std::any_of(own.zones.begin(), own.zones.end(), [&](const ZoneReport& word) {
-    const ZoneReport* before = said_.Of(word.zone);
-    const bool was_lost = before != nullptr && before->dead >= PeerTable::kNews;
-    const bool was_back = before != nullptr && before->stage == zones::Stage::kReturning;
-    const bool lost = word.dead >= PeerTable::kNews;
-    const bool back = word.stage == zones::Stage::kReturning;
-    // A loss is told over and over for a while: most have to hear it from several, and words get lost.
-    const bool still = lost && word.stage != zones::Stage::kProbing && word.last_ms * 1000 < kTellFor;
-    // Whoever sees otherwise says so as loudly. Guards against a zone with some dead servers that looks lost,
-    // as those alone speak up who have just met them.
-    const bool otherwise = word.dead == 0 && word.last_ms * 1000 < PeerTable::kSpeaksFor &&
-                           peer_table_.Of(now, word.zone).reporting_lost >= zones::kQuorum;
-    return still || otherwise || lost != was_lost || (back && !was_back);
+bool ReportExchange::IsUrgent(Micros now, const PeerReport& current) const {
+  if (sequence_ == 0) return true;  // announces this sidecar
+  return std::any_of(current.zones.begin(), current.zones.end(), [&](const ZoneReport& zone_report) {
+    const ZoneReport* previous = last_sent_.FindZone(zone_report.zone);
+    const bool was_lost = previous != nullptr && previous->dead >= PeerTable::kUrgentDeadServers;
+    const bool was_returning = previous != nullptr && previous->stage == zones::Stage::kReturning;
+    const bool lost = zone_report.dead >= PeerTable::kUrgentDeadServers;
+    const bool returning = zone_report.stage == zones::Stage::kReturning;
+    // Repeated because peers need several witnesses and datagrams get lost.
+    const bool repeat_loss =
+        lost && zone_report.stage != zones::Stage::kProbing && zone_report.last_ms * 1000 < kRepeatLossFor;
+    // Answers from a zone that peers call lost are reported as urgently. Otherwise a zone with some dead
+    // servers looks lost, since only those that have just met them would report.
+    const bool contradicts_peers =
+        zone_report.dead == 0 && zone_report.last_ms * 1000 < PeerTable::kEvidenceTtl &&
+        peer_table_.Summarize(now, zone_report.zone).reporting_lost >= zones::kQuorum;
+    return repeat_loss || contradicts_peers || lost != was_lost || (returning && !was_returning);
   });
 }
 
--- a/src/fleet/report_exchange.hpp
+++ b/src/fleet/report_exchange.hpp
@@ -1,5 +1,5 @@
-// A sidecar's part in what the fleet tells one another: puts words, members and speaker together. Free of I/O
-// and clock; what it decides is said by datagrams that it returns, and by what zones are told.
+// Exchange of zone reports with the other sidecars: decodes and aggregates what arrives, decides when to send
+// and to whom. Does no I/O and reads no clock.
 #ifndef MERLINRUN_FLEET_REPORT_EXCHANGE_HPP_
 #define MERLINRUN_FLEET_REPORT_EXCHANGE_HPP_
 
@@ -16,53 +16,53 @@
 
 namespace merlinrun::fleet {
 
-// What became of datagrams that came. Each is counted once.
+// Received datagrams, each counted once, and sent ones.
 struct DatagramCounters {
   std::uint64_t accepted = 0;
-  std::uint64_t stale = 0;          // late, doubled or out of order
-  std::uint64_t wrong_address = 0;  // not from the address of the peer that it names
+  std::uint64_t stale = 0;          // duplicated or out of order
+  std::uint64_t wrong_address = 0;  // source address isn't that of the peer it names
   std::uint64_t future_incarnation = 0;
-  std::uint64_t malformed = 0;  // cut, too long, of another version, or no words at all
+  std::uint64_t malformed = 0;  // not a valid report of this version
   std::uint64_t sent = 0;
   std::uint64_t sent_bytes = 0;
 };
 
 class ReportExchange {
  public:
-  struct Saying {
-    std::vector<std::uint32_t> to;
+  struct Outgoing {
+    std::vector<std::uint32_t> recipients;
     std::string bytes;
   };
 
-  // `incarnation`: Unix time of this start, milliseconds.
-  ReportExchange(ReportSettings settings, std::uint32_t own, std::uint32_t siblings,
+  // `self` is this sidecar's number; `incarnation` its start time, Unix time in milliseconds.
+  ReportExchange(ReportSettings settings, std::uint32_t self, std::uint32_t sidecar_count,
                  std::uint64_t incarnation, Micros now, ReportScheduler::Draw draw);
 
-  // A datagram from the address of that peer; none: from no peer's.
-  void Hear(Micros now, std::optional<std::uint32_t> from, std::string_view bytes);
-  // What is to be said now, given what this sidecar itself has met; nobody to say it to if nothing is.
-  Saying Say(Micros now, const std::vector<BalancerSnapshot::Zone>& own, std::uint64_t epoch,
-             std::int64_t generation);
-  // What others say of a zone.
-  ZonePeerReport Of(Micros now, int zone) const { return peer_table_.Of(now, zone); }
+  // `from` is the peer that the source address belongs to, if any.
+  void OnDatagram(Micros now, std::optional<std::uint32_t> from, std::string_view bytes);
+  // The report to send now and the peers to send it to; no recipients if none is due.
+  Outgoing NextReport(Micros now, const std::vector<BalancerSnapshot::Zone>& zone_snapshots,
+                      std::uint64_t epoch, std::int64_t generation);
+  // What the peers report about a zone.
+  ZonePeerReport Summarize(Micros now, int zone) const { return peer_table_.Summarize(now, zone); }
 
   const PeerTable& peer_table() const { return peer_table_; }
   const DatagramCounters& counters() const { return counters_; }
 
  private:
-  PeerReport Own(const std::vector<BalancerSnapshot::Zone>& own, std::uint64_t epoch,
-                 std::int64_t generation) const;
-  // What others act on: who calls which zone lost, and which stage it is in.
-  bool News(Micros now, const PeerReport& own) const;
-  // A loss is told again and again for so long after its last sign.
-  static constexpr Micros kTellFor = 1'000'000;
+  PeerReport MakeReport(const std::vector<BalancerSnapshot::Zone>& zone_snapshots, std::uint64_t epoch,
+                        std::int64_t generation) const;
+  // Whether the report has a change that peers act on: a zone lost or no longer lost, or returned to.
+  bool IsUrgent(Micros now, const PeerReport& current) const;
+  // A loss is repeated for this long after its last evidence.
+  static constexpr Micros kRepeatLossFor = 1'000'000;
 
-  const std::uint32_t own_;
-  const std::uint32_t siblings_;
+  const std::uint32_t self_;
+  const std::uint32_t sidecar_count_;
   const std::uint64_t incarnation_;
   PeerTable peer_table_;
   ReportScheduler scheduler_;
-  PeerReport said_;
+  PeerReport last_sent_;
   std::uint64_t sequence_ = 0;
   DatagramCounters counters_;
 };
--- a/src/fleet/report_scheduler.hpp
+++ b/src/fleet/report_scheduler.hpp
@@ -1,5 +1,5 @@
-// When a sidecar speaks, and to whom: few random others once in a while, more at once when there is news,
-// under a bound of its own on bytes whatever the size of the fleet. Free of I/O, clock and chance of its own.
+// Decides when reports are sent and to which peers: a few random ones at an interval, more at once for urgent
+// reports, within a token bucket of bytes. Does no I/O and reads no clock.
 #ifndef MERLINRUN_FLEET_REPORT_SCHEDULER_HPP_
 #define MERLINRUN_FLEET_REPORT_SCHEDULER_HPP_
 
@@ -13,36 +13,37 @@
 namespace merlinrun::fleet {
 
 struct ReportSettings {
-  Micros every = 1'000'000;   // between two rounds without news, in the mean
-  std::size_t usual = 4;      // others that a round goes to
-  std::size_t news = 16;      // the same, of a round with news
-  double bytes_per_s = 2000;  // at most, in the long run; a burst of two seconds' worth may come first
+  Micros interval = 1'000'000;     // mean time between regular rounds
+  std::size_t fanout = 4;          // recipients of a regular round
+  std::size_t urgent_fanout = 16;  // recipients of an urgent round
+  double bytes_per_s = 2000;       // token bucket rate; the burst is two seconds' worth
 };
 
 class ReportScheduler {
  public:
-  // Returns a number from 0 to under the given one.
+  // Returns a random number in [0, bound).
   using Draw = std::function<std::uint64_t(std::uint64_t)>;
-  ReportScheduler(ReportSettings settings, std::uint32_t own, std::uint32_t siblings, Micros now, Draw draw);
+  ReportScheduler(ReportSettings settings, std::uint32_t self, std::uint32_t sidecar_count, Micros now,
+                  Draw draw);
 
-  bool Due(Micros now, bool news) const;
-  // A round begins now if it is due. Returns those it goes to, distinct and never this sidecar;
-  // none if it is not due, or the bytes are spent.
-  std::vector<std::uint32_t> Round(Micros now, bool news, std::size_t bytes_each);
+  bool Due(Micros now, bool urgent) const;
+  // Starts a round if one is due. Returns distinct recipients, never this sidecar; none if no round is due or
+  // the bytes are used up.
+  std::vector<std::uint32_t> StartRound(Micros now, bool urgent, std::size_t bytes_each);
 
  private:
-  // Two rounds with news are so far apart at least: what changes within is told together.
-  static constexpr Micros kBreath = 300'000;
-  static constexpr double kBurst = 2;  // seconds
+  // Minimum time between urgent rounds; changes within it go out together.
+  static constexpr Micros kMinUrgentInterval = 300'000;
+  static constexpr double kBurstSeconds = 2;
 
-  const ReportSettings manners_;
-  const std::uint32_t own_;
-  const std::uint32_t siblings_;
+  const ReportSettings settings_;
+  const std::uint32_t self_;
+  const std::uint32_t sidecar_count_;
   const Draw draw_;
-  Micros next_;       // the next round without news
-  Micros last_ = -1;  // the last round; -1 = none yet
-  Micros filled_at_;  // of the purse
-  double purse_;      // bytes that may be spent
+  Micros next_round_;       // next regular round
+  Micros last_round_ = -1;  // last round; -1 if none yet
+  Micros refilled_at_;      // last refill of `tokens_`
+  double tokens_;           // bytes that may be sent
 };
 
 }  // namespace merlinrun::fleet
--- a/src/fleet/settings.cpp
+++ b/src/fleet/settings.cpp
@@ -11,18 +11,18 @@
 
 struct Key {
   std::string_view name;
-  std::int64_t least;
-  std::int64_t most;
+  std::int64_t min_value;
+  std::int64_t max_value;
   void (*set)(ReportSettings& to, std::int64_t value);
 };
 
-// Bounds: a round is to be seen before words are old, and neither rounds nor bytes are to be a load.
+// Bounds keep rounds frequent enough for reports not to expire, and the load small.
 constexpr Key kKeys[] = {
-    {"every_ms", 100, 2000, [](ReportSettings& to, std::int64_t value) { to.every = value * 1000; }},
+    {"every_ms", 100, 2000, [](ReportSettings& to, std::int64_t value) { to.interval = value * 1000; }},
     {"usual", 1, 64,
-     [](ReportSettings& to, std::int64_t value) { to.usual = static_cast<std::size_t>(value); }},
+     [](ReportSettings& to, std::int64_t value) { to.fanout = static_cast<std::size_t>(value); }},
     {"news", 1, 64,
-     [](ReportSettings& to, std::int64_t value) { to.news = static_cast<std::size_t>(value); }},
+     [](ReportSettings& to, std::int64_t value) { to.urgent_fanout = static_cast<std::size_t>(value); }},
     {"bytes_per_s", 256, 1'000'000,
      [](ReportSettings& to, std::int64_t value) { to.bytes_per_s = static_cast<double>(value); }},
 };
@@ -45,10 +45,10 @@
       if (key == nullptr)
         return FormatTomlError(node.source(), file, "'" + std::string(name.str()) + "' is unknown");
       const auto value = node.value<std::int64_t>();
-      if (!node.is_integer() || *value < key->least || *value > key->most)
+      if (!node.is_integer() || *value < key->min_value || *value > key->max_value)
         return FormatTomlError(node.source(), file,
                                std::string(key->name) + ": a whole number from " +
-                                   std::to_string(key->least) + " to " + std::to_string(key->most) +
+                                   std::to_string(key->min_value) + " to " + std::to_string(key->max_value) +
                                    " is needed");
       key->set(out, *value);
     }
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -1,4 +1,4 @@
-// The operator's file on what sidecars tell one another (EDGE_FLEET; deploy/fleet.example.toml).
+// Settings file of the report exchange between sidecars (EDGE_FLEET; deploy/fleet.example.toml).
 #ifndef MERLINRUN_FLEET_SETTINGS_HPP_
 #define MERLINRUN_FLEET_SETTINGS_HPP_
 
@@ -10,7 +10,7 @@
 
 namespace merlinrun::fleet {
 
-// On failure one line: "FILE:LINE:COLUMN: what is wrong".
+// On failure returns one line: "FILE:LINE:COLUMN: reason".
 std::variant<ReportSettings, std::string> ParseReportSettings(std::string_view text, const std::string& file);
 
 }  // namespace merlinrun::fleet
--- a/tests/diameter/application_test.cpp
+++ b/tests/diameter/application_test.cpp
@@ -1,4 +1,5 @@
-// The operator's file: the example passes, and every slip is told with the place where it stands.
+// Tests the settings file: the example is valid, and every error is reported with its position. Tests how
+// requests are read.
 #include "diameter/application.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +14,7 @@
 
 using merlinrun::testing::MakeClass;
 
-Settings FourClasses() {
+Settings TestSettings() {
   Settings settings;
   settings.classes = {MakeClass(RetrySafety::kSafe), MakeClass(RetrySafety::kDeduplicated),
                       MakeClass(RetrySafety::kNever)};
@@ -34,10 +35,10 @@
 class ApplicationTest : public ::testing::Test {
  protected:
   static std::variant<Application, std::string> Parse(const std::string& text) {
-    return ParseApplication(text, "f.toml", FourClasses(), "n7");
+    return ParseApplication(text, "f.toml", TestSettings(), "n7");
   }
-  // What is said of the example with one change.
-  static std::string Said(const std::string& from, const std::string& to) {
+  // The error for the example with one change; empty if there is none.
+  static std::string ErrorFor(const std::string& from, const std::string& to) {
     std::string text = Example();
     const auto at = text.find(from);
     EXPECT_NE(at, std::string::npos) << from;
@@ -48,17 +49,17 @@
   }
 };
 
-TEST_F(ApplicationTest, TheExamplePasses) {
+TEST_F(ApplicationTest, TheExampleIsValid) {
   const auto read = Parse(Example());
   ASSERT_TRUE(std::holds_alternative<Application>(read)) << std::get<std::string>(read);
   const auto& application = std::get<Application>(read);
   EXPECT_EQ(application.host, "n7.sidecars.example");
   EXPECT_EQ(application.clients.size(), 2U);
-  EXPECT_EQ(application.recall.keep, 240'000'000);
+  EXPECT_EQ(application.duplicate_limits.ttl, 240'000'000);
   EXPECT_EQ(application.commands.at(0).deadline.code, 5U);
 }
 
-TEST_F(ApplicationTest, EverySlipIsOneLineWithItsPlace) {
+TEST_F(ApplicationTest, EveryErrorIsOneLineWithItsPosition) {
   const std::tuple<std::string, std::string, std::string> cases[] = {
       {"version = 1", "version = 2", "f.toml:2:11: version: a whole number from 1 to 1"},
       {"version = 1", "version =", "f.toml:2:"},
@@ -88,17 +89,17 @@
       {"key_avp = \"Idempotency-Key\"\n", "", "key_avp is missing"},
       {"[[command]]", "[command]", "command: a list of tables is needed"},
   };
-  for (const auto& [from, to, says] : cases) {
-    const std::string said = Said(from, to);
-    EXPECT_NE(said.find(says), std::string::npos) << "for " << to << ": " << said;
-    EXPECT_EQ(said.rfind("f.toml:", 0), 0U) << said;
-    EXPECT_EQ(said.find('\n'), std::string::npos) << said;
+  for (const auto& [from, to, expected] : cases) {
+    const std::string reported = ErrorFor(from, to);
+    EXPECT_NE(reported.find(expected), std::string::npos) << "for " << to << ": " << reported;
+    EXPECT_EQ(reported.rfind("f.toml:", 0), 0U) << reported;
+    EXPECT_EQ(reported.find('\n'), std::string::npos) << reported;
   }
 }
 
 // ---- Requests ----
 
-class ReadingTest : public ApplicationTest {
+class ReadRequestTest : public ApplicationTest {
  protected:
   Message Request(const std::function<void(AvpWriter&)>& more) const {
     AvpWriter avps;
@@ -112,26 +113,26 @@
     const auto* fault = std::get_if<MessageError>(&read);
     return fault == nullptr ? ResultCode::kSuccess : fault->code;
   }
-  const Settings settings = FourClasses();
+  const Settings settings = TestSettings();
   const Application application = std::get<Application>(Parse(Example()));
 };
 
-TEST_F(ReadingTest, FindsClassTenantKeysAndDeadline) {
+TEST_F(ReadRequestTest, ReadsClassTenantKeysAndDeadline) {
   const auto read = ReadRequest(application, settings, Request([](AvpWriter& avps) {
                                   avps.Add(1, "activate", kMandatoryBit, 32473).Add(2, "group-a", 0, 32473);
                                   avps.Add(3, "6041234567", 0, 32473).Add(4, "k1", 0, 32473);
                                   avps.AddU32(5, 1500, 0, 32473).Add(7, "r-1", 0, 32473);
                                 }));
   ASSERT_TRUE(std::holds_alternative<RequestInfo>(read)) << std::get<MessageError>(read).text;
-  const RequestInfo& reading = std::get<RequestInfo>(read);
-  EXPECT_EQ(reading.request_class, 1);
-  EXPECT_EQ(reading.tenant, 0);
-  EXPECT_EQ(reading.object, "6041234567");
-  EXPECT_EQ(reading.deadline, 1'500'000);
-  EXPECT_EQ(reading.id, "r-1");
+  const RequestInfo& info = std::get<RequestInfo>(read);
+  EXPECT_EQ(info.request_class, 1);
+  EXPECT_EQ(info.tenant, 0);
+  EXPECT_EQ(info.object, "6041234567");
+  EXPECT_EQ(info.deadline, 1'500'000);
+  EXPECT_EQ(info.id, "r-1");
 }
 
-TEST_F(ReadingTest, TurnsAwayWhatDoesNotFit) {
+TEST_F(ReadRequestTest, RejectsInvalidRequests) {
   const auto with = [&](const std::string& name, const std::function<void(AvpWriter&)>& more) {
     return Code(Request([&](AvpWriter& avps) {
       if (!name.empty()) avps.Add(1, name, kMandatoryBit, 32473);
--- a/tests/diameter/dictionary_test.cpp
+++ b/tests/diameter/dictionary_test.cpp
@@ -1,4 +1,4 @@
-// What a message of a known command has to look like, and the code that says what is wrong with it.
+// Tests the validation of messages and the Result-Code of each error.
 #include "diameter/dictionary.hpp"
 
 #include <gtest/gtest.h>
@@ -27,13 +27,13 @@
 
 class CerTest : public ::testing::Test {
  protected:
-  std::optional<MessageError> Judge(const std::string& avps, Reader reader = Reader::kEndpoint) {
+  std::optional<MessageError> Validate(const std::string& avps, NodeRole role = NodeRole::kEndpoint) {
     Message cer = MakeCer(self);
     cer.avps = avps;
-    return Check(cer, base, *base.FindCommand(kCapabilitiesExchange, 0), reader);
+    return ValidateMessage(cer, base, *base.FindCommand(kCapabilitiesExchange, 0), role);
   }
-  ResultCode Code(const std::string& avps, Reader reader = Reader::kEndpoint) {
-    const auto fault = Judge(avps, reader);
+  ResultCode Code(const std::string& avps, NodeRole role = NodeRole::kEndpoint) {
+    const auto fault = Validate(avps, role);
     return fault ? fault->code : ResultCode::kNone;
   }
   const Identity self = Self();
@@ -41,20 +41,21 @@
   const std::string good = MakeCer(Self()).avps;
 };
 
-TEST_F(CerTest, OwnMessagesPass) {
+TEST_F(CerTest, OwnMessagesAreValid) {
   EXPECT_EQ(Code(good), ResultCode::kNone);
   for (const Message& message : {MakeDwr(self), MakeDpr(self, DisconnectCause::kBusy)})
-    EXPECT_FALSE(Check(message, base, *base.FindCommand(message.header.command, 0), Reader::kEndpoint));
+    EXPECT_FALSE(
+        ValidateMessage(message, base, *base.FindCommand(message.header.command, 0), NodeRole::kEndpoint));
 }
 
-TEST_F(CerTest, WhatIsMissingIsNamedByAnExample) {
-  const auto fault = Judge(Without(good, avp::kHostIpAddress));
+TEST_F(CerTest, AMissingAvpIsNamedByAZeroValue) {
+  const auto fault = Validate(Without(good, avp::kHostIpAddress));
   ASSERT_TRUE(fault.has_value());
   EXPECT_EQ(fault->code, ResultCode::kMissingAvp);
   EXPECT_EQ(Find(fault->failed_avp, avp::kHostIpAddress)->data, std::string(6, '\0'));
 }
 
-TEST_F(CerTest, EveryFaultHasItsCodeAndNamesTheAvp) {
+TEST_F(CerTest, EveryErrorHasItsCodeAndNamesTheAvp) {
   const auto more = [&](std::uint32_t code, const std::string& data, std::uint8_t flags = kMandatoryBit,
                         std::uint32_t vendor = 0) {
     return good + AvpWriter().Add(code, data, flags, vendor).Take();
@@ -75,7 +76,7 @@
       {no_vendor, ResultCode::kInvalidAvpBits},
   };
   for (const auto& [avps, code] : cases) {
-    const auto fault = Judge(avps);
+    const auto fault = Validate(avps);
     ASSERT_TRUE(fault.has_value()) << static_cast<int>(code);
     EXPECT_EQ(fault->code, code) << fault->text;
     EXPECT_FALSE(fault->failed_avp.empty());
@@ -83,19 +84,19 @@
   }
 }
 
-TEST_F(CerTest, ARelayLetsPassWhatItDoesNotKnow) {
-  EXPECT_EQ(Code(good + AvpWriter().Add(99999, "x").Take(), Reader::kRelay), ResultCode::kNone);
+TEST_F(CerTest, ARelayAcceptsUnknownAvps) {
+  EXPECT_EQ(Code(good + AvpWriter().Add(99999, "x").Take(), NodeRole::kRelay), ResultCode::kNone);
 }
 
-// Without the bound a message of a few kilobytes would take the stack.
-TEST_F(CerTest, GroupsWithinGroupsHaveAnEnd) {
+// Guards against stack exhaustion by a message of a few kilobytes.
+TEST_F(CerTest, GroupNestingIsBounded) {
   std::string inner;
   for (int depth = 0; depth < 1000; ++depth)
     inner = AvpWriter().Add(avp::kVendorSpecificApplicationId, inner).Take();
   EXPECT_EQ(Code(good + inner), ResultCode::kInvalidAvpValue);
 }
 
-TEST(CapabilitiesTest, WhoHasNothingInCommonIsTurnedAway) {
+TEST(CapabilitiesTest, PeersWithNothingInCommonAreRejected) {
   const Dictionary base = Dictionary::Base();
   Identity other = Self("b.example");
   const auto read = [&](const Identity& from) { return ReadCapabilities(Self(), base, MakeCer(from)); };
@@ -110,7 +111,7 @@
   EXPECT_EQ(std::get<MessageError>(ReadCapabilities(Self(), base, cer)).code, ResultCode::kNoCommonSecurity);
 }
 
-TEST(ErrorAnswerTest, HasWhatTheRfcAsksOfIt) {
+TEST(ErrorAnswerTest, HasTheAvpsThatTheRfcRequires) {
   AvpWriter avps;
   const std::string proxy = AvpWriter().Add(avp::kProxyHost, "p.example").Add(avp::kProxyState, "x").Take();
   avps.Add(avp::kSessionId, "s;1").Add(avp::kProxyInfo, proxy).Add(1, "user");
--- a/tests/diameter/duplicate_cache_test.cpp
+++ b/tests/diameter/duplicate_cache_test.cpp
@@ -1,4 +1,4 @@
-// What is remembered of requests: one outcome, whatever is sent again and whenever, within bounds.
+// Tests duplicate detection (one outcome per request, within bounds) and the relay's message processing.
 #include "diameter/duplicate_cache.hpp"
 
 #include <gtest/gtest.h>
@@ -12,98 +12,100 @@
 constexpr Micros kSec = 1'000'000;
 const RequestKey kKey{"a.example", 7};
 
-DuplicateCache::Limits Small() {
+DuplicateCache::Limits ToLower() {
   DuplicateCache::Limits limits;
-  limits.entries = 3;
-  limits.bytes = 100;
-  limits.keep = 240 * kSec;
-  limits.waiters = 2;
+  limits.max_entries = 3;
+  limits.max_answer_bytes = 100;
+  limits.ttl = 240 * kSec;
+  limits.max_waiters = 2;
   return limits;
 }
 
 Message Answer(const std::string& data) { return {{0, 1, 1, 1, 7}, AvpWriter().Add(1, data).Take()}; }
 
-class RecallTest : public ::testing::Test {
+class DuplicateCacheTest : public ::testing::Test {
  protected:
-  DuplicateCache::Found Look(Micros now, const RequestKey& key, std::uint64_t digest = 1,
-                             std::uint64_t from = 1) {
-    return recall.Look(now, key, digest, {from, 5, ""}, [this](std::uint64_t c) { return c != dead; });
+  DuplicateCache::LookupResult Lookup(Micros now, const RequestKey& key, std::uint64_t digest = 1,
+                                      std::uint64_t from = 1) {
+    return cache.Lookup(now, key, digest, {from, 5, ""},
+                        [this](std::uint64_t c) { return c != closed_connection; });
   }
-  bool Begin(Micros now, const RequestKey& key) { return recall.Begin(now, key, 1, {1, 4, ""}); }
+  bool Begin(Micros now, const RequestKey& key) { return cache.Begin(now, key, 1, {1, 4, ""}); }
 
-  DuplicateCache recall{Small()};
-  std::uint64_t dead = 0;
+  DuplicateCache cache{ToLower()};
+  std::uint64_t closed_connection = 0;
 };
 
-TEST_F(RecallTest, WhoSendsAgainWaitsWithTheFirstAndThenHasTheSameAnswer) {
-  EXPECT_EQ(Look(0, kKey), DuplicateCache::Found::kNew);
+TEST_F(DuplicateCacheTest, ARetransmissionGetsTheAnswerOfTheFirst) {
+  EXPECT_EQ(Lookup(0, kKey), DuplicateCache::LookupResult::kNew);
   ASSERT_TRUE(Begin(0, kKey));
-  EXPECT_EQ(Look(1, kKey), DuplicateCache::Found::kPending);
-  EXPECT_EQ(recall.Finish(2, kKey, Answer("ok"), true).size(), 2U);
-  EXPECT_EQ(Look(3, kKey), DuplicateCache::Found::kAnswered);
-  EXPECT_EQ(recall.Answer(kKey), Answer("ok"));
-  EXPECT_TRUE(recall.Finish(4, kKey, Answer("other"), true).empty());
-  EXPECT_EQ(recall.Answer(kKey), Answer("ok"));
+  EXPECT_EQ(Lookup(1, kKey), DuplicateCache::LookupResult::kPending);
+  EXPECT_EQ(cache.Finish(2, kKey, Answer("ok"), true).size(), 2U);
+  EXPECT_EQ(Lookup(3, kKey), DuplicateCache::LookupResult::kAnswered);
+  EXPECT_EQ(cache.Answer(kKey), Answer("ok"));
+  EXPECT_TRUE(cache.Finish(4, kKey, Answer("other"), true).empty());
+  EXPECT_EQ(cache.Answer(kKey), Answer("ok"));
 }
 
-TEST_F(RecallTest, AnotherRequestUnderTheSameIdIsToldApart) {
+TEST_F(DuplicateCacheTest, ADifferentRequestWithTheSameIdIsAConflict) {
   ASSERT_TRUE(Begin(0, kKey));
-  EXPECT_EQ(Look(1, kKey, 2), DuplicateCache::Found::kOther);
-  recall.Finish(2, kKey, Answer("ok"), true);
-  EXPECT_EQ(Look(3, kKey, 2), DuplicateCache::Found::kOther);
+  EXPECT_EQ(Lookup(1, kKey, 2), DuplicateCache::LookupResult::kConflict);
+  cache.Finish(2, kKey, Answer("ok"), true);
+  EXPECT_EQ(Lookup(3, kKey, 2), DuplicateCache::LookupResult::kConflict);
 }
 
-TEST_F(RecallTest, RemembersForItsTimeAndNoLonger) {
+TEST_F(DuplicateCacheTest, EntriesExpireAfterTheirTtl) {
   Begin(0, kKey);
-  recall.Finish(kSec, kKey, Answer("ok"), true);
-  EXPECT_EQ(Look(240 * kSec, kKey), DuplicateCache::Found::kAnswered);
-  EXPECT_EQ(Look(241 * kSec, kKey), DuplicateCache::Found::kNew);
-  EXPECT_EQ(recall.entries(), 0U);
-  EXPECT_EQ(recall.bytes(), 0U);
+  cache.Finish(kSec, kKey, Answer("ok"), true);
+  EXPECT_EQ(Lookup(240 * kSec, kKey), DuplicateCache::LookupResult::kAnswered);
+  EXPECT_EQ(Lookup(241 * kSec, kKey), DuplicateCache::LookupResult::kNew);
+  EXPECT_EQ(cache.entries(), 0U);
+  EXPECT_EQ(cache.answer_bytes(), 0U);
 }
 
-TEST_F(RecallTest, WhatNeedNotBeKeptIsForgotten) {
+TEST_F(DuplicateCacheTest, AnswersThatNeedNotBeKeptAreRemoved) {
   Begin(0, kKey);
-  EXPECT_EQ(recall.Finish(1, kKey, Answer("refused"), false).size(), 1U);
-  EXPECT_EQ(Look(2, kKey), DuplicateCache::Found::kNew);
+  EXPECT_EQ(cache.Finish(1, kKey, Answer("refused"), false).size(), 1U);
+  EXPECT_EQ(Lookup(2, kKey), DuplicateCache::LookupResult::kNew);
 }
 
-// Full: never a silent second run. What is new is not begun, what is known stays known.
-TEST_F(RecallTest, AFullMemoryBeginsNothingNew) {
+// Guards against running a request twice when the cache is full: new requests are refused, known ones stay
+// known.
+TEST_F(DuplicateCacheTest, AFullCacheRefusesNewRequests) {
   for (std::uint32_t i = 1; i <= 3; ++i) {
     ASSERT_TRUE(Begin(0, {"a.example", i}));
-    recall.Finish(0, {"a.example", i}, Answer("ok"), true);
+    cache.Finish(0, {"a.example", i}, Answer("ok"), true);
   }
   EXPECT_FALSE(Begin(1, {"a.example", 4}));
   for (std::uint32_t i = 1; i <= 3; ++i)
-    EXPECT_EQ(Look(1, {"a.example", i}), DuplicateCache::Found::kAnswered);
+    EXPECT_EQ(Lookup(1, {"a.example", i}), DuplicateCache::LookupResult::kAnswered);
   EXPECT_TRUE(Begin(241 * kSec, {"a.example", 4}));
 }
 
-TEST_F(RecallTest, TooManyAnswersLoseTheOldestAnswerAndNotThatItIsOver) {
+TEST_F(DuplicateCacheTest, TooManyAnswersDropTheOldestAnswerAndKeepItsEntry) {
   for (std::uint32_t i = 1; i <= 3; ++i) {
     Begin(0, {"a.example", i});
-    recall.Finish(i, {"a.example", i}, Answer(std::string(30, 'x')), true);
-    EXPECT_LE(recall.bytes(), 100U);
+    cache.Finish(i, {"a.example", i}, Answer(std::string(30, 'x')), true);
+    EXPECT_LE(cache.answer_bytes(), 100U);
   }
-  EXPECT_EQ(Look(9, {"a.example", 1}), DuplicateCache::Found::kAnswered);
-  EXPECT_FALSE(recall.Answer({"a.example", 1}).has_value());
-  EXPECT_TRUE(recall.Answer({"a.example", 3}).has_value());
-  // The bookkeeping holds as they go.
-  EXPECT_EQ(Look(300 * kSec, {"a.example", 3}), DuplicateCache::Found::kNew);
-  EXPECT_EQ(recall.bytes(), 0U);
+  EXPECT_EQ(Lookup(9, {"a.example", 1}), DuplicateCache::LookupResult::kAnswered);
+  EXPECT_FALSE(cache.Answer({"a.example", 1}).has_value());
+  EXPECT_TRUE(cache.Answer({"a.example", 3}).has_value());
+  // The sizes stay consistent as entries expire.
+  EXPECT_EQ(Lookup(300 * kSec, {"a.example", 3}), DuplicateCache::LookupResult::kNew);
+  EXPECT_EQ(cache.answer_bytes(), 0U);
   Begin(301 * kSec, kKey);
-  recall.Finish(301 * kSec, kKey, Answer("ok"), true);
-  EXPECT_TRUE(recall.Answer(kKey).has_value());
+  cache.Finish(301 * kSec, kKey, Answer("ok"), true);
+  EXPECT_TRUE(cache.Answer(kKey).has_value());
 }
 
-TEST_F(RecallTest, SoManyMayWaitAndTheDeadMakeRoom) {
+TEST_F(DuplicateCacheTest, WaitersAreBoundedAndClosedConnectionsMakeRoom) {
   Begin(0, kKey);
-  EXPECT_EQ(Look(1, kKey, 1, 2), DuplicateCache::Found::kPending);
-  EXPECT_EQ(Look(2, kKey, 1, 3), DuplicateCache::Found::kCrowded);
-  dead = 1;
-  EXPECT_EQ(Look(3, kKey, 1, 3), DuplicateCache::Found::kPending);
-  EXPECT_EQ(recall.Finish(4, kKey, Answer("ok"), true).size(), 2U);
+  EXPECT_EQ(Lookup(1, kKey, 1, 2), DuplicateCache::LookupResult::kPending);
+  EXPECT_EQ(Lookup(2, kKey, 1, 3), DuplicateCache::LookupResult::kTooManyWaiters);
+  closed_connection = 1;
+  EXPECT_EQ(Lookup(3, kKey, 1, 3), DuplicateCache::LookupResult::kPending);
+  EXPECT_EQ(cache.Finish(4, kKey, Answer("ok"), true).size(), 2U);
 }
 
 // ---- Relaying ----
@@ -115,32 +117,32 @@
   return {{kRequestBit | kProxiableBit, 8388000, 16777999, 5, 6}, avps.Take() + more};
 }
 
-TEST(RelayTest, ADigestIsThatOfTheRequestAndNotOfItsWay) {
+TEST(RelayTest, TheDigestIgnoresRouteAndProxyAvps) {
   const std::string way = AvpWriter().Add(avp::kRouteRecord, "r.example").Add(avp::kProxyInfo, "p").Take();
-  EXPECT_EQ(DigestOf(Request()), DigestOf(Request(way)));
-  EXPECT_NE(DigestOf(Request()), DigestOf(Request(AvpWriter().Add(1, "x").Take())));
+  EXPECT_EQ(ComputeDigest(Request()), ComputeDigest(Request(way)));
+  EXPECT_NE(ComputeDigest(Request()), ComputeDigest(Request(AvpWriter().Add(1, "x").Take())));
   Message again = Request();
   again.header.flags |= kRetransmitBit;
   again.header.hop_by_hop = 99;
-  EXPECT_EQ(DigestOf(Request()), DigestOf(again));
+  EXPECT_EQ(ComputeDigest(Request()), ComputeDigest(again));
 }
 
-TEST(RelayTest, PassesOnAllThatItDoesNotKnow) {
+TEST(RelayTest, ForwardsUnknownAvps) {
   AvpWriter budget;
   budget.AddU32(5, 3000, 0, 32473);
-  Onward onward{100, "c.example", true, 5, 32473, 250};
-  const Message sent = Forward(Request(budget.bytes()), onward);
+  ForwardOptions options{100, "c.example", true, 5, 32473, 250};
+  const Message sent = Forward(Request(budget.bytes()), options);
   EXPECT_EQ(sent.header.hop_by_hop, 100U);
   EXPECT_EQ(sent.header.end_to_end, 6U);
   EXPECT_EQ(sent.header.flags, kRequestBit | kProxiableBit | kRetransmitBit);
   EXPECT_EQ(Find(sent.avps, 77777, 999)->data, "unknown");
   EXPECT_EQ(ToU32(Find(sent.avps, 5, 32473)->data), 250U);
   EXPECT_EQ(Find(sent.avps, avp::kRouteRecord)->data, "c.example");
-  onward.resend = false;
-  EXPECT_EQ(Forward(Request(), onward).header.flags & kRetransmitBit, 0);
+  options.retransmit = false;
+  EXPECT_EQ(Forward(Request(), options).header.flags & kRetransmitBit, 0);
 }
 
-TEST(RelayTest, TellsLoopsForeignRealmsAndHostsAskedForByName) {
+TEST(RelayTest, RejectsLoopsUnservedRealmsAndNamedHosts) {
   Identity self;
   self.host = "n0.example";
   const std::vector<std::string> realms = {"activation.example"};
@@ -158,17 +160,17 @@
   EXPECT_EQ(code(Request(AvpWriter().Add(avp::kDestinationHost, "n0.example").Take())), ResultCode::kNone);
 }
 
-TEST(RelayTest, AnAnswerGoesBackUnderTheAskersIds) {
+TEST(RelayTest, AnAnswerIsRelayedUnderTheSendersIds) {
   const Message request = Request();
   Message answer{{kProxiableBit, 8388000, 16777999, 100, 6},
                  AvpWriter().Add(avp::kProxyInfo, "first").Take()};
-  EXPECT_TRUE(Answers(answer, request.header));
-  EXPECT_EQ(Backward(answer, 5).header.hop_by_hop, 5U);
-  EXPECT_EQ(Backward(answer, 5).avps, answer.avps);
+  EXPECT_TRUE(IsAnswerTo(answer, request.header));
+  EXPECT_EQ(RelayAnswer(answer, 5).header.hop_by_hop, 5U);
+  EXPECT_EQ(RelayAnswer(answer, 5).avps, answer.avps);
   const std::string own = AvpWriter().Add(avp::kProxyInfo, "second").Take();
-  EXPECT_EQ(BackwardTo(answer, 5, own).avps, own);
+  EXPECT_EQ(RelayAnswerTo(answer, 5, own).avps, own);
   answer.header.end_to_end = 7;
-  EXPECT_FALSE(Answers(answer, request.header));
+  EXPECT_FALSE(IsAnswerTo(answer, request.header));
 }
 
 }  // namespace
--- a/tests/diameter/oracle_test.cpp
+++ b/tests/diameter/oracle_test.cpp
@@ -1,5 +1,5 @@
-// What this project writes, read by an implementation of others (freeDiameter's libfdproto): field by field,
-// with the dictionary handed over so that it decodes numbers and groups itself.
+// Interoperability test: messages encoded here are decoded by freeDiameter's libfdproto, field by field, with
+// a copy of the dictionary.
 #include <freeDiameter/freeDiameter-host.h>
 #include <freeDiameter/libfdproto.h>
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 namespace merlinrun::diameter {
 namespace {
 
-constexpr std::uint32_t kVendor = 32473;  // RFC 5612: for documentation
+constexpr std::uint32_t kVendor = 32473;  // RFC 5612: reserved for documentation
 
 dict_avp_basetype BaseOf(Format format) {
   switch (format) {
@@ -32,7 +32,7 @@
   }
 }
 
-Dictionary Extended() {
+Dictionary TestDictionary() {
   Dictionary dictionary = Dictionary::Base();
   dictionary.Add(AvpRule{"Own-Bytes", 1, kVendor, Format::kOctets, Mandatory::kMay});
   dictionary.Add(AvpRule{"Own-Number", 2, kVendor, Format::kUnsigned64, Mandatory::kMay});
@@ -41,15 +41,16 @@
   return dictionary;
 }
 
-// Their dictionary, filled from this project's.
-class Oracle {
+// freeDiameter's parser with a dictionary filled from ours.
+class FreeDiameter {
  public:
-  static Oracle& Get() {
-    static Oracle* const oracle = new Oracle;  // lives as long as their library
+  static FreeDiameter& Get() {
+    static FreeDiameter* const oracle =
+        new FreeDiameter;  // never destroyed, as the library keeps global state
     return *oracle;
   }
 
-  // Reads the frame, calls `visit` with the header and returns the AVPs as "code/vendor/M/depth=value" lines.
+  // Decodes the frame and returns its AVPs as "code/vendor/M/depth=value" lines.
   std::string Read(const std::string& frame, Header& header) {
     auto* copy = static_cast<std::uint8_t*>(std::malloc(frame.size()));
     std::memcpy(copy, frame.data(), frame.size());
@@ -71,13 +72,13 @@
   }
 
  private:
-  Oracle() {
+  FreeDiameter() {
     fd_g_debug_lvl = FD_LOG_FATAL + 1;
     EXPECT_EQ(fd_libproto_init(), 0);
     EXPECT_EQ(fd_dict_init(&dictionary_), 0);
     dict_vendor_data vendor = {kVendor, const_cast<char*>("doc")};
     EXPECT_EQ(fd_dict_new(dictionary_, DICT_VENDOR, &vendor, nullptr, nullptr), 0);
-    static const Dictionary ours = Extended();
+    static const Dictionary ours = TestDictionary();
     for (const AvpRule& rule : ours.avps()) {
       dict_avp_data data = {rule.code,
                             rule.vendor,
@@ -129,8 +130,8 @@
   std::vector<std::unique_ptr<std::string>> names_;
 };
 
-// The same lines by this project's own reader.
-void Ours(std::string_view avps, const Dictionary& dictionary, int depth, std::string& out) {
+// The same lines from our decoder.
+void DecodeOurs(std::string_view avps, const Dictionary& dictionary, int depth, std::string& out) {
   AvpReader reader(avps);
   while (const auto avp = reader.Next()) {
     out += std::to_string(avp->code) + "/" + std::to_string(avp->vendor) + "/" +
@@ -146,15 +147,15 @@
     else
       out += avp->data;
     out += "\n";
-    if (base == AVP_TYPE_GROUPED) Ours(avp->data, dictionary, depth + 1, out);
+    if (base == AVP_TYPE_GROUPED) DecodeOurs(avp->data, dictionary, depth + 1, out);
   }
 }
 
 void ExpectSame(const Message& message) {
   Header theirs;
   std::string ours;
-  Ours(message.avps, Extended(), 0, ours);
-  EXPECT_EQ(Oracle::Get().Read(Encode(message.header, message.avps), theirs), ours);
+  DecodeOurs(message.avps, TestDictionary(), 0, ours);
+  EXPECT_EQ(FreeDiameter::Get().Read(Encode(message.header, message.avps), theirs), ours);
   EXPECT_TRUE(theirs == message.header);
 }
 
@@ -168,7 +169,7 @@
   return self;
 }
 
-TEST(OracleTest, ReadsTheBaseProtocolsMessagesAsTheyWereMeant) {
+TEST(FreeDiameterTest, DecodesBaseProtocolMessagesTheSame) {
   const Message cer = MakeCer(Self());
   const Message dpr = MakeDpr(Self(), DisconnectCause::kDoNotWantToTalkToYou);
   for (const Message& message :
@@ -177,13 +178,13 @@
     ExpectSame(message);
 }
 
-RC_GTEST_PROP(OracleProperty, ReadsWhateverIsWrittenTheSame, ()) {
+RC_GTEST_PROP(FreeDiameterProperty, DecodesAnyMessageTheSame, ()) {
   AvpWriter writer;
   const auto some = *rc::gen::container<std::vector<std::pair<std::uint64_t, std::string>>>(
       rc::gen::pair(rc::gen::arbitrary<std::uint64_t>(), rc::gen::arbitrary<std::string>()));
   for (const auto& [number, text] : some) {
     AvpWriter inner;
-    // Their reader takes no AVP without data for one of text.
+    // freeDiameter rejects string AVPs without data.
     inner.Add(1, text + "x", 0, kVendor).AddU64(2, number, kMandatoryBit, kVendor);
     writer.AddU32(4, static_cast<std::uint32_t>(number), 0, kVendor)
         .Add(3, inner.bytes(), kMandatoryBit, kVendor);
@@ -194,8 +195,8 @@
   message.avps += writer.bytes();
   Header theirs;
   std::string ours;
-  Ours(message.avps, Extended(), 0, ours);
-  RC_ASSERT(Oracle::Get().Read(Encode(message.header, message.avps), theirs) == ours);
+  DecodeOurs(message.avps, TestDictionary(), 0, ours);
+  RC_ASSERT(FreeDiameter::Get().Read(Encode(message.header, message.avps), theirs) == ours);
   RC_ASSERT(theirs == message.header);
 }
 
