--- a/tests/diameter/peer_test.cpp
+++ b/tests/diameter/peer_test.cpp
@@ -1,5 +1,4 @@
-// The peer machine and its watchdog in virtual time: two machines over connections that the test cuts, stalls
-// and crosses.
+// Tests the peer state machine and its watchdog in virtual time, with connections that fail, stall and cross.
 #include "diameter/peer.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +13,7 @@
 constexpr Micros kSec = 1'000'000;
 constexpr std::uint32_t kApplication = 16777999;
 
-Identity Named(const std::string& host) {
+Identity MakeIdentity(const std::string& host) {
   Identity self;
   self.host = host;
   self.realm = "example";
@@ -24,11 +23,11 @@
   return self;
 }
 
-// One node with its machine, and what the machine has said.
+// A node with its state machine, recording what it does.
 struct Node : PeerSink {
-  explicit Node(const std::string& host, Micros watchdog = 30 * kSec) : self(Named(host)) {
+  explicit Node(const std::string& host, Micros watchdog = 30 * kSec) : self(MakeIdentity(host)) {
     Peer::Settings settings;
-    settings.watchdog = watchdog;
+    settings.watchdog_interval = watchdog;
     settings.seed = 7;
     peer = std::make_unique<Peer>(self, base, settings, *this);
   }
@@ -38,7 +37,7 @@
   }
   void Close(Side side) override { closed.push_back(side); }
 
-  // The last message written on a side, taken away; the test fails if there is none.
+  // Removes and returns the first message written on a side; fails if there is none.
   Message Take(Side side) {
     for (auto it = written.begin(); it != written.end(); ++it)
       if (it->first == side) {
@@ -49,7 +48,7 @@
     ADD_FAILURE() << "nothing was written";
     return {};
   }
-  // Connected by its own dial to a peer of this name.
+  // Opens the connection as initiator, to a peer with this identity.
   void Open(Micros now, const Identity& other) {
     peer->Start(now);
     peer->OnDialed(now);
@@ -71,13 +70,13 @@
 
 Message AppRequest() { return {{kRequestBit | kProxiableBit, 8388000, kApplication, 1, 2}, {}}; }
 
-PeerCapabilities RemoteOf(const Identity& other) {
+PeerCapabilities CapabilitiesOf(const Identity& other) {
   return {other.host, other.realm, other.state_id, other.applications};
 }
 
-TEST(PeerTest, ComesUpByCapabilitiesAndAnswersWatchdogs) {
+TEST(PeerTest, OpensByCapabilitiesExchangeAndAnswersWatchdogs) {
   Node a("a.example");
-  const Identity b = Named("b.example");
+  const Identity b = MakeIdentity("b.example");
   EXPECT_FALSE(a.peer->Send(AppRequest()));
   a.Open(0, b);
   EXPECT_EQ(a.dials, 1);
@@ -92,32 +91,32 @@
   EXPECT_TRUE(a.Receive(2, AppRequest()).has_value());
 }
 
-TEST(PeerTest, AnyOtherAnswerThanASuccessfulCeaEndsTheDial) {
-  const Identity b = Named("b.example");
-  const auto try_with = [&](const std::function<Message(const Message&)>& answer) {
+TEST(PeerTest, AnyAnswerButASuccessfulCeaFailsTheDial) {
+  const Identity b = MakeIdentity("b.example");
+  const auto fails_with = [&](const std::function<Message(const Message&)>& answer) {
     Node a("a.example");
     a.peer->Start(0);
     a.peer->OnDialed(0);
     a.peer->OnMessage(0, Side::kInitiator, answer(a.Take(Side::kInitiator)));
     return a.peer->state() == Peer::State::kClosed && a.closed == std::vector{Side::kInitiator};
   };
-  EXPECT_TRUE(try_with([&](const Message& cer) {
+  EXPECT_TRUE(fails_with([&](const Message& cer) {
     return MakeError(b, cer, {ResultCode::kUnknownPeer, {}, "who?"});
   }));
-  EXPECT_TRUE(try_with([&](const Message& cer) {
+  EXPECT_TRUE(fails_with([&](const Message& cer) {
     Message cea = MakeCea(b, cer);
     ++cea.header.hop_by_hop;
     return cea;
   }));
-  EXPECT_TRUE(try_with([&](const Message&) { return AppRequest(); }));
-  EXPECT_TRUE(try_with([&](const Message& cer) {
+  EXPECT_TRUE(fails_with([&](const Message&) { return AppRequest(); }));
+  EXPECT_TRUE(fails_with([&](const Message& cer) {
     Identity other = b;
     other.applications = {4};
     return MakeCea(other, cer);
   }));
 }
 
-TEST(PeerTest, APeerThatSaysNothingIsGivenUp) {
+TEST(PeerTest, ASilentPeerTimesOut) {
   Node a("a.example");
   a.peer->Start(0);
   a.peer->OnDialed(0);
@@ -128,8 +127,8 @@
   EXPECT_EQ(a.closed.size(), 1U);
 }
 
-// Both dial at once. Exactly one connection stays, and both keep the same one.
-TEST(PeerTest, WhenBothConnectTheLaterNameKeepsTheOthersConnection) {
+// Both dial at once: exactly one connection remains, and both sides keep the same one.
+TEST(PeerTest, ElectionKeepsTheConnectionOpenedByTheLowerName) {
   Node a("a.example");
   Node b("b.example");
   a.peer->Start(0);
@@ -138,71 +137,71 @@
   b.peer->OnDialed(0);
   const Message from_a = a.Take(Side::kInitiator);
   const Message from_b = b.Take(Side::kInitiator);
-  EXPECT_EQ(a.peer->OnIncoming(1, from_b, RemoteOf(b.self)), Peer::Verdict::kTaken);
-  EXPECT_EQ(b.peer->OnIncoming(1, from_a, RemoteOf(a.self)), Peer::Verdict::kTaken);
-  EXPECT_EQ(b.peer->state(), Peer::State::kROpen);  // b comes later
+  EXPECT_EQ(a.peer->OnIncoming(1, from_b, CapabilitiesOf(b.self)), Peer::IncomingResult::kAccepted);
+  EXPECT_EQ(b.peer->OnIncoming(1, from_a, CapabilitiesOf(a.self)), Peer::IncomingResult::kAccepted);
+  EXPECT_EQ(b.peer->state(), Peer::State::kROpen);  // b sorts higher
   EXPECT_EQ(b.closed, std::vector{Side::kInitiator});
   EXPECT_EQ(a.peer->state(), Peer::State::kWaitReturns);
   a.peer->OnMessage(2, Side::kInitiator, b.Take(Side::kResponder));
   EXPECT_EQ(a.peer->state(), Peer::State::kIOpen);
   EXPECT_EQ(a.closed, std::vector{Side::kResponder});
-  // The same, where a sees the end of b's connection first.
+  // The same, but a sees the close of b's connection first.
   Node c("a.example");
   c.peer->Start(0);
   c.peer->OnDialed(0);
-  c.peer->OnIncoming(1, from_b, RemoteOf(b.self));
+  c.peer->OnIncoming(1, from_b, CapabilitiesOf(b.self));
   c.peer->OnClosed(2, Side::kResponder);
   const Message cer = c.Take(Side::kInitiator);
   c.peer->OnMessage(2, Side::kInitiator, MakeCea(b.self, cer));
   EXPECT_EQ(c.peer->state(), Peer::State::kIOpen);
 }
 
-TEST(PeerTest, AnElectionIsOverWhenTheOtherConnectionFails) {
-  const Identity b = Named("b.example");
+TEST(PeerTest, AnElectionEndsWhenTheOtherConnectionFails) {
+  const Identity b = MakeIdentity("b.example");
   Node a("a.example");
   a.peer->Start(0);
-  EXPECT_EQ(a.peer->OnIncoming(0, MakeCer(b), RemoteOf(b)), Peer::Verdict::kTaken);
+  EXPECT_EQ(a.peer->OnIncoming(0, MakeCer(b), CapabilitiesOf(b)), Peer::IncomingResult::kAccepted);
   EXPECT_EQ(a.peer->state(), Peer::State::kWaitConnAckElect);
-  EXPECT_EQ(a.peer->OnIncoming(0, MakeCer(b), RemoteOf(b)), Peer::Verdict::kRejected);
+  EXPECT_EQ(a.peer->OnIncoming(0, MakeCer(b), CapabilitiesOf(b)), Peer::IncomingResult::kRejected);
   a.peer->OnDialFailed(1);
   EXPECT_EQ(a.peer->state(), Peer::State::kROpen);
   EXPECT_EQ(ResultCodeOf(a.Take(Side::kResponder)), ResultCode::kSuccess);
   Node later("a.example");
   later.peer->Start(0);
   later.peer->OnDialed(0);
-  later.peer->OnIncoming(0, MakeCer(b), RemoteOf(b));
+  later.peer->OnIncoming(0, MakeCer(b), CapabilitiesOf(b));
   later.peer->OnClosed(1, Side::kInitiator);
   EXPECT_EQ(later.peer->state(), Peer::State::kROpen);
 }
 
-TEST(PeerTest, ASecondConnectionIsTurnedAwayUnlessThePeerHasStartedAnew) {
-  Identity b = Named("b.example");
+TEST(PeerTest, ASecondConnectionIsRejectedUnlessThePeerHasRestarted) {
+  Identity b = MakeIdentity("b.example");
   Node a("a.example");
   a.Open(0, b);
-  EXPECT_EQ(a.peer->OnIncoming(1, MakeCer(b), RemoteOf(b)), Peer::Verdict::kRejected);
+  EXPECT_EQ(a.peer->OnIncoming(1, MakeCer(b), CapabilitiesOf(b)), Peer::IncomingResult::kRejected);
   EXPECT_TRUE(a.closed.empty());
-  const auto lives = a.peer->lives();
+  const auto opens_before = a.peer->open_count();
   b.state_id = 2;
-  EXPECT_EQ(a.peer->OnIncoming(2, MakeCer(b), RemoteOf(b)), Peer::Verdict::kReplaced);
+  EXPECT_EQ(a.peer->OnIncoming(2, MakeCer(b), CapabilitiesOf(b)), Peer::IncomingResult::kReplaced);
   EXPECT_EQ(a.closed, std::vector{Side::kInitiator});
   EXPECT_EQ(a.peer->state(), Peer::State::kROpen);
-  EXPECT_EQ(a.peer->lives(), lives + 1);
+  EXPECT_EQ(a.peer->open_count(), opens_before + 1);
   EXPECT_EQ(a.peer->remote().state_id, 2U);
 }
 
-TEST(PeerTest, PartsInOrderWhenThePeerAsks) {
-  const Identity b = Named("b.example");
+TEST(PeerTest, DrainsOnAPeersDpr) {
+  const Identity b = MakeIdentity("b.example");
   Node a("a.example");
   a.Open(0, b);
   ASSERT_TRUE(a.peer->Send(AppRequest()));
   a.Take(Side::kInitiator);
   a.Receive(1, MakeDpr(b, DisconnectCause::kRebooting));
   EXPECT_FALSE(a.peer->usable());
-  EXPECT_FALSE(a.peer->Send(AppRequest()));  // nothing new
-  EXPECT_TRUE(a.written.empty());            // and the DPA waits
+  EXPECT_FALSE(a.peer->Send(AppRequest()));  // no new requests
+  EXPECT_TRUE(a.written.empty());            // the DPA is delayed
   Message answer = AppRequest();
   answer.header.flags = kProxiableBit;
-  EXPECT_TRUE(a.Receive(2, answer).has_value());  // what was out is still answered
+  EXPECT_TRUE(a.Receive(2, answer).has_value());  // pending requests are still answered
   EXPECT_FALSE(a.Receive(3, AppRequest()).has_value());
   EXPECT_EQ(ResultCodeOf(a.Take(Side::kInitiator)), ResultCode::kUnableToDeliver);
   a.peer->Drained(4);
@@ -213,26 +212,26 @@
   EXPECT_EQ(a.peer->state(), Peer::State::kClosed);
 }
 
-TEST(PeerTest, ADrainThatDoesNotEndIsEnded) {
-  const Identity b = Named("b.example");
+TEST(PeerTest, ADrainTimesOut) {
+  const Identity b = MakeIdentity("b.example");
   Node a("a.example");
   a.Open(0, b);
   a.Receive(1, MakeDpr(b, DisconnectCause::kRebooting));
   a.peer->OnTimer(a.peer->due());
   EXPECT_EQ(a.Take(Side::kInitiator).header.command, kDisconnectPeer);
-  a.peer->OnTimer(a.peer->due());  // and the peer never closes
+  a.peer->OnTimer(a.peer->due());  // the peer never closes
   EXPECT_EQ(a.closed, std::vector{Side::kInitiator});
   EXPECT_EQ(a.peer->state(), Peer::State::kClosed);
 }
 
-TEST(PeerTest, PartsByItself) {
-  const Identity b = Named("b.example");
+TEST(PeerTest, DisconnectsByDpr) {
+  const Identity b = MakeIdentity("b.example");
   Node a("a.example");
   a.Open(0, b);
   a.peer->Stop(1, DisconnectCause::kBusy);
   const Message dpr = a.Take(Side::kInitiator);
   EXPECT_EQ(ToU32(Find(dpr.avps, avp::kDisconnectCause)->data), 1U);
-  // The two DPRs cross: both are answered.
+  // Crossing DPRs are both answered.
   a.Receive(2, MakeDpr(b, DisconnectCause::kBusy));
   EXPECT_EQ(ResultCodeOf(a.Take(Side::kInitiator)), ResultCode::kSuccess);
   a.Receive(3, MakeAnswer(b, dpr, ResultCode::kSuccess));
@@ -240,8 +239,8 @@
   EXPECT_EQ(a.peer->state(), Peer::State::kClosed);
 }
 
-TEST(PeerTest, AnswersWhatIsWrongInsteadOfFallingSilent) {
-  const Identity b = Named("b.example");
+TEST(PeerTest, InvalidRequestsAreAnswered) {
+  const Identity b = MakeIdentity("b.example");
   Node a("a.example");
   a.Open(0, b);
   Message unknown = AppRequest();
@@ -253,15 +252,17 @@
   dwr.avps.clear();
   a.Receive(1, dwr);
   EXPECT_EQ(ResultCodeOf(a.Take(Side::kInitiator)), ResultCode::kMissingAvp);
-  a.Receive(1, MakeCer(b));  // twice
+  a.Receive(1, MakeCer(b));  // repeated
   EXPECT_EQ(ResultCodeOf(a.Take(Side::kInitiator)), ResultCode::kSuccess);
-  a.Receive(1, MakeCer(Named("c.example")));
+  a.Receive(1, MakeCer(MakeIdentity("c.example")));
   EXPECT_EQ(ResultCodeOf(a.Take(Side::kInitiator)), ResultCode::kUnknownPeer);
   EXPECT_TRUE(a.peer->usable());
-  a.peer->OnBad(1, Side::kInitiator, {AppRequest().header, {ResultCode::kInvalidAvpLength, {}, ""}}, false);
+  a.peer->OnMalformed(1, Side::kInitiator, {AppRequest().header, {ResultCode::kInvalidAvpLength, {}, ""}},
+                      false);
   EXPECT_EQ(ResultCodeOf(a.Take(Side::kInitiator)), ResultCode::kInvalidAvpLength);
   EXPECT_TRUE(a.peer->usable());
-  a.peer->OnBad(1, Side::kInitiator, {AppRequest().header, {ResultCode::kUnsupportedVersion, {}, ""}}, true);
+  a.peer->OnMalformed(1, Side::kInitiator, {AppRequest().header, {ResultCode::kUnsupportedVersion, {}, ""}},
+                      true);
   EXPECT_EQ(ResultCodeOf(a.Take(Side::kInitiator)), ResultCode::kUnsupportedVersion);
   EXPECT_EQ(a.closed, std::vector{Side::kInitiator});
   EXPECT_EQ(a.peer->state(), Peer::State::kClosed);
@@ -271,7 +272,7 @@
 
 class WatchdogTest : public ::testing::Test {
  protected:
-  WatchdogTest() : a("a.example"), b(Named("b.example")) { a.Open(0, b); }
+  WatchdogTest() : a("a.example"), b(MakeIdentity("b.example")) { a.Open(0, b); }
   Micros Due() {
     const Micros due = a.peer->due();
     a.peer->OnTimer(due);
@@ -284,7 +285,7 @@
   const Identity b;
 };
 
-TEST_F(WatchdogTest, AsksOnlyWhileNothingComesAndWithJitter) {
+TEST_F(WatchdogTest, SendsOnlyWhenIdleAndWithJitter) {
   const Micros first = a.peer->due();
   EXPECT_GE(first, 28 * kSec);
   EXPECT_LE(first, 32 * kSec);
@@ -294,7 +295,7 @@
   EXPECT_EQ(a.Take(Side::kInitiator).header.command, kDeviceWatchdog);
 }
 
-TEST_F(WatchdogTest, ASilentPeerIsSuspectThenDownAndAnAnswerBringsItBack) {
+TEST_F(WatchdogTest, ASilentPeerIsSuspectThenDownAndAnAnswerRestoresIt) {
   Due();
   EXPECT_TRUE(a.peer->usable());
   const Micros late = Due();
@@ -322,7 +323,7 @@
   EXPECT_TRUE(a.peer->usable());
 }
 
-TEST_F(WatchdogTest, AReopenedPeerThatStaysSilentIsClosedAgain) {
+TEST_F(WatchdogTest, AReopenedPeerThatStaysSilentIsClosed) {
   a.peer->OnClosed(kSec, Side::kInitiator);
   a.Open(2 * kSec, b);
   Due();
@@ -338,7 +339,7 @@
   EXPECT_FALSE(a.peer->usable());
 }
 
-TEST_F(WatchdogTest, APeerThatNeverWasUpHasNothingToMakeGood) {
+TEST_F(WatchdogTest, APeerThatNeverWasUpNeedsNoProbation) {
   Node fresh("a.example");
   fresh.peer->Start(0);
   fresh.peer->OnDialFailed(1);
--- a/tests/fleet/report_exchange_test.cpp
+++ b/tests/fleet/report_exchange_test.cpp
@@ -1,4 +1,5 @@
-// When a sidecar speaks and what it counts; and a thousand of them on one clock, whose words decide for all.
+// Tests when reports are sent and how datagrams are counted, and simulates a fleet of up to a thousand
+// sidecars.
 #include "fleet/report_exchange.hpp"
 
 #include <gtest/gtest.h>
@@ -15,205 +16,210 @@
 constexpr Micros kNow = 1'796'000'000'000'000;
 
 ReportScheduler::Draw DrawFrom(std::uint64_t seed) {
-  return [random = Random(seed)](std::uint64_t most) mutable { return random.Below(most); };
+  return [random = Random(seed)](std::uint64_t bound) mutable { return random.Below(bound); };
 }
 
-TEST(SpeakerTest, ARoundGoesToDistinctOthersAndNeverToItself) {
-  ReportScheduler speaker({.usual = 4, .news = 16, .bytes_per_s = 1e6}, 7, 40, kNow, DrawFrom(1));
-  std::set<std::uint32_t> met;
+TEST(ReportSchedulerTest, ARoundHasDistinctRecipientsAndNeverItself) {
+  ReportScheduler scheduler({.fanout = 4, .urgent_fanout = 16, .bytes_per_s = 1e6}, 7, 40, kNow, DrawFrom(1));
+  std::set<std::uint32_t> reached;
   for (Micros at = kNow; at < kNow + 400'000'000; at += 100'000) {
-    const auto round = speaker.Round(at, false, 60);
+    const auto round = scheduler.StartRound(at, false, 60);
     EXPECT_EQ(std::set<std::uint32_t>(round.begin(), round.end()).size(), round.size());
     EXPECT_EQ(std::count(round.begin(), round.end(), 7U), 0);
-    met.insert(round.begin(), round.end());
+    reached.insert(round.begin(), round.end());
   }
-  EXPECT_EQ(met.size(), 39U);  // nobody is left out for ever
-  EXPECT_EQ(*met.rbegin(), 39U);
+  EXPECT_EQ(reached.size(), 39U);  // every peer is reached eventually
+  EXPECT_EQ(*reached.rbegin(), 39U);
 }
 
-TEST(SpeakerTest, BytesStayUnderTheirBoundWhateverTheNewsAndTheSizeOfTheFleet) {
-  for (const std::uint32_t siblings : {2U, 100U, 5000U}) {
-    ReportScheduler speaker({}, 1, siblings, kNow, DrawFrom(2));
+TEST(ReportSchedulerTest, SendRateStaysBoundedForAnyUrgencyAndFleetSize) {
+  for (const std::uint32_t sidecar_count : {2U, 100U, 5000U}) {
+    ReportScheduler scheduler({}, 1, sidecar_count, kNow, DrawFrom(2));
     std::size_t bytes = 0;
     for (Micros at = kNow; at < kNow + 60'000'000; at += 10'000)
-      bytes += 200 * speaker.Round(at, true, 200).size();
-    EXPECT_LE(bytes, 62U * 2000U) << siblings;
-    EXPECT_GT(bytes, siblings > 2 ? 55U * 2000U : 0U);
+      bytes += 200 * scheduler.StartRound(at, true, 200).size();
+    EXPECT_LE(bytes, 62U * 2000U) << sidecar_count;
+    EXPECT_GT(bytes, sidecar_count > 2 ? 55U * 2000U : 0U);
   }
 }
 
-TEST(SpeakerTest, RoundsOfAFleetThatStartedTogetherAreSpread) {
+TEST(ReportSchedulerTest, RoundsOfAFleetThatStartedTogetherAreJittered) {
   std::vector<int> by_tenth(20);
-  for (std::uint32_t own = 0; own < 500; ++own) {
-    ReportScheduler speaker({}, own, 500, kNow, DrawFrom(own));
+  for (std::uint32_t self = 0; self < 500; ++self) {
+    ReportScheduler scheduler({}, self, 500, kNow, DrawFrom(self));
     for (Micros at = kNow; at < kNow + 2'000'000; at += 10'000)
-      if (!speaker.Round(at, false, 60).empty()) ++by_tenth[static_cast<std::size_t>((at - kNow) / 100'000)];
+      if (!scheduler.StartRound(at, false, 60).empty())
+        ++by_tenth[static_cast<std::size_t>((at - kNow) / 100'000)];
   }
-  // 500 rounds a second in the mean: none of its tenths has more than twice its part.
+  // 500 rounds a second on average: no 0.1 s slot gets more than twice its share.
   EXPECT_LE(*std::max_element(by_tenth.begin(), by_tenth.end()), 100);
 }
 
-class ConversationTest : public ::testing::Test {
+class ReportExchangeTest : public ::testing::Test {
  protected:
   std::vector<BalancerSnapshot::Zone> Zones(std::size_t dead, ZoneStage stage = ZoneStage::kServing) {
-    BalancerSnapshot::Zone well;
-    well.zone = 0;
-    well.since_last_evidence = 20'000;
-    BalancerSnapshot::Zone other = well;
+    BalancerSnapshot::Zone healthy;
+    healthy.zone = 0;
+    healthy.since_last_evidence = 20'000;
+    BalancerSnapshot::Zone other = healthy;
     other.zone = 1;
     other.stage = stage;
     other.dead_servers = dead;
-    other.since_last_evidence = since_sign_;
-    return {well, other};
+    other.since_last_evidence = since_evidence_;
+    return {healthy, other};
   }
   std::string Bytes(std::uint32_t sender, std::uint64_t sequence = 1) {
     return Encode({sender, kNow / 1000, sequence, 1, {}});
   }
-  Micros since_sign_ = 20'000;
-  ReportExchange one_{{}, 0, 8, kNow / 1000, kNow, DrawFrom(3)};
+  Micros since_evidence_ = 20'000;
+  ReportExchange exchange_{{}, 0, 8, kNow / 1000, kNow, DrawFrom(3)};
 };
 
-TEST_F(ConversationTest, WhatIsNotFromThePeerThatItNamesIsCountedAndDropped) {
-  one_.Hear(kNow, std::nullopt, Bytes(3));
-  one_.Hear(kNow, 4, Bytes(3));
-  one_.Hear(kNow, 3, "noise");
-  one_.Hear(kNow, 3, std::string(300, 'x'));
-  one_.Hear(kNow, 3, Encode({3, kNow / 1000 + 3'600'000, 1, 1, {}}));
-  one_.Hear(kNow, 3, Bytes(3));
-  one_.Hear(kNow, 3, Bytes(3));
-  EXPECT_EQ(one_.counters().wrong_address, 2U);
-  EXPECT_EQ(one_.counters().malformed, 2U);
-  EXPECT_EQ(one_.counters().future_incarnation, 1U);
-  EXPECT_EQ(one_.counters().accepted, 1U);
-  EXPECT_EQ(one_.counters().stale, 1U);
-  EXPECT_EQ(one_.peer_table().RecentPeerCount(kNow), 1U);
+TEST_F(ReportExchangeTest, InvalidDatagramsAreCountedAndDropped) {
+  exchange_.OnDatagram(kNow, std::nullopt, Bytes(3));
+  exchange_.OnDatagram(kNow, 4, Bytes(3));
+  exchange_.OnDatagram(kNow, 3, "noise");
+  exchange_.OnDatagram(kNow, 3, std::string(300, 'x'));
+  exchange_.OnDatagram(kNow, 3, Encode({3, kNow / 1000 + 3'600'000, 1, 1, {}}));
+  exchange_.OnDatagram(kNow, 3, Bytes(3));
+  exchange_.OnDatagram(kNow, 3, Bytes(3));
+  EXPECT_EQ(exchange_.counters().wrong_address, 2U);
+  EXPECT_EQ(exchange_.counters().malformed, 2U);
+  EXPECT_EQ(exchange_.counters().future_incarnation, 1U);
+  EXPECT_EQ(exchange_.counters().accepted, 1U);
+  EXPECT_EQ(exchange_.counters().stale, 1U);
+  EXPECT_EQ(exchange_.peer_table().RecentPeerCount(kNow), 1U);
 }
 
-TEST_F(ConversationTest, ALossIsToldAtOnceAndForAWhile) {
+TEST_F(ReportExchangeTest, ALossIsReportedAtOnceAndRepeated) {
   Micros now = kNow + 2'000'000;
-  EXPECT_EQ(one_.Say(now, Zones(0), 0, 1).to.size(), 7U);  // the first word goes to many
+  EXPECT_EQ(exchange_.NextReport(now, Zones(0), 0, 1).recipients.size(),
+            7U);  // the first report goes to many
   now += 350'000;
-  EXPECT_EQ(one_.Say(now, Zones(2, ZoneStage::kSuspected), 0, 1).to.size(), 7U);
+  EXPECT_EQ(exchange_.NextReport(now, Zones(2, ZoneStage::kSuspected), 0, 1).recipients.size(), 7U);
   now += 350'000;
-  EXPECT_EQ(one_.Say(now, Zones(3, ZoneStage::kEjected), 1, 1).to.size(), 7U);
-  since_sign_ = 1'100'000;
+  EXPECT_EQ(exchange_.NextReport(now, Zones(3, ZoneStage::kEjected), 1, 1).recipients.size(), 7U);
+  since_evidence_ = 1'100'000;
   now += 350'000;
-  EXPECT_TRUE(one_.Say(now, Zones(3, ZoneStage::kEjected), 1, 1).to.empty());
+  EXPECT_TRUE(exchange_.NextReport(now, Zones(3, ZoneStage::kEjected), 1, 1).recipients.empty());
   now += 350'000;
-  EXPECT_EQ(one_.Say(now, Zones(0, ZoneStage::kReturning), 2, 1).to.size(), 7U);
+  EXPECT_EQ(exchange_.NextReport(now, Zones(0, ZoneStage::kReturning), 2, 1).recipients.size(), 7U);
 }
 
-// A thousand sidecars with a zone that dies at once: each tries it once in 0.7 s in the mean. Returns when
-// half and 99 in 100 of them have left, after the loss, and the bytes that one of them sent a second.
+// Simulates a fleet whose zone 1 fails at once. Each sidecar sends to it every 0.7 s on average. Records the
+// time from the loss until half and 99 % of the sidecars have ejected the zone, and the largest send rate.
 struct Fleet {
-  struct One {
-    One(std::uint32_t own_number, std::uint32_t size, std::uint64_t seed)
-        : own(own_number),
+  struct Sidecar {
+    Sidecar(std::uint32_t number, std::uint32_t size, std::uint64_t seed)
+        : self(number),
           random(seed),
-          zones([this](Micros most) { return random.Upto(most); }, 8'000'000, own_number, size),
-          talk({}, own_number, size, kNow / 1000, kNow, DrawFrom(seed + 1)) {}
-    const std::uint32_t own;
-    bool again = false;
+          zones([this](Micros bound) { return random.Upto(bound); }, 8'000'000, number, size),
+          exchange({}, number, size, kNow / 1000, kNow, DrawFrom(seed + 1)) {}
+    const std::uint32_t self;
+    bool retry = false;
     Random random;
     zones::Zones zones;
-    ReportExchange talk;
+    ReportExchange exchange;
   };
-  Fleet(std::uint32_t size, bool words, double lost_words, std::uint64_t dead_of_eight = 8,
-        Micros longer = 0) {
-    std::vector<std::unique_ptr<One>> all;
-    for (std::uint32_t i = 0; i < size; ++i) all.push_back(std::make_unique<One>(i, size, 1000 + i));
+  Fleet(std::uint32_t size, bool with_reports, double datagram_loss, std::uint64_t dead_count = 8,
+        Micros extra_time = 0) {
+    std::vector<std::unique_ptr<Sidecar>> sidecars;
+    for (std::uint32_t i = 0; i < size; ++i) sidecars.push_back(std::make_unique<Sidecar>(i, size, 1000 + i));
     Random chance(5);
     const zones::Zones::Window window{.here = 8, .elsewhere = 8};
     constexpr Micros kTick = 50'000;
     constexpr Micros kLoss = 3'000'000;
-    std::vector<Micros> left;
-    for (Micros at = 0; at < kLoss + 12'000'000 + longer && (left.size() < size || longer > 0); at += kTick) {
+    std::vector<Micros> ejection_times;
+    for (Micros at = 0;
+         at < kLoss + 12'000'000 + extra_time && (ejection_times.size() < size || extra_time > 0);
+         at += kTick) {
       const Micros now = kNow + at;
-      for (auto& one : all) {
-        const bool was = one->zones.IsZoneEjected(1);
+      for (auto& sidecar : sidecars) {
+        const bool was_ejected = sidecar->zones.IsZoneEjected(1);
         for (const int zone : {0, 1}) {
-          const bool again = one->again && one->random.Unit() < 0.5;
-          if ((!again && one->random.Unit() > 0.07) || !one->zones.MaySend(now, zone)) continue;
-          one->again = false;
-          one->zones.OnSent(now, zone);
-          tries += zone == 1 && at >= kLoss + 12'000'000;
-          const std::uint64_t server = 1 + one->random.Below(8);
-          const bool dead = zone == 1 && at >= kLoss && server <= dead_of_eight;
-          one->again = dead;  // the request is tried again, in either zone
-          one->zones.OnOutcome(now, zone, server,
-                               dead ? zones::Evidence::kNoConnection : zones::Evidence::kResponse, window);
+          const bool retry = sidecar->retry && sidecar->random.Unit() < 0.5;
+          if ((!retry && sidecar->random.Unit() > 0.07) || !sidecar->zones.MaySend(now, zone)) continue;
+          sidecar->retry = false;
+          sidecar->zones.OnSent(now, zone);
+          late_attempts += zone == 1 && at >= kLoss + 12'000'000;
+          const std::uint64_t server = 1 + sidecar->random.Below(8);
+          const bool dead = zone == 1 && at >= kLoss && server <= dead_count;
+          sidecar->retry = dead;  // the request is retried in either zone
+          sidecar->zones.OnOutcome(
+              now, zone, server, dead ? zones::Evidence::kNoConnection : zones::Evidence::kResponse, window);
         }
-        if (words) {
-          for (const int zone : {0, 1}) one->zones.OnPeerReport(now, one->talk.Of(now, zone), window);
-          const auto saying = one->talk.Say(now, one->zones.TakeSnapshot(now), one->zones.epoch(), 1);
-          for (const std::uint32_t to : saying.to)
-            if (chance.Unit() >= lost_words) all[to]->talk.Hear(now, one->own, saying.bytes);
+        if (with_reports) {
+          for (const int zone : {0, 1})
+            sidecar->zones.OnPeerReport(now, sidecar->exchange.Summarize(now, zone), window);
+          const auto outgoing =
+              sidecar->exchange.NextReport(now, sidecar->zones.TakeSnapshot(now), sidecar->zones.epoch(), 1);
+          for (const std::uint32_t to : outgoing.recipients)
+            if (chance.Unit() >= datagram_loss)
+              sidecars[to]->exchange.OnDatagram(now, sidecar->self, outgoing.bytes);
         }
-        if (!was && one->zones.IsZoneEjected(1)) {
-          if (at < kLoss || dead_of_eight < 8) ++wrong;
-          left.push_back(at - kLoss);
+        if (!was_ejected && sidecar->zones.IsZoneEjected(1)) {
+          if (at < kLoss || dead_count < 8) ++wrong_ejections;
+          ejection_times.push_back(at - kLoss);
         }
-        if (one->zones.IsZoneEjected(0)) ++wrong;
+        if (sidecar->zones.IsZoneEjected(0)) ++wrong_ejections;
       }
     }
-    seconds = 3 + static_cast<double>(left.empty() ? 0 : left.back()) / 1e6;
-    if (left.size() < size) return;
-    half = left[size / 2];
-    most = left[size * 99 / 100];
-    for (auto& one : all)
-      bytes = std::max(bytes, static_cast<double>(one->talk.counters().sent_bytes) / seconds);
+    duration_s = 3 + static_cast<double>(ejection_times.empty() ? 0 : ejection_times.back()) / 1e6;
+    if (ejection_times.size() < size) return;
+    median = ejection_times[size / 2];
+    p99 = ejection_times[size * 99 / 100];
+    for (auto& sidecar : sidecars)
+      send_rate =
+          std::max(send_rate, static_cast<double>(sidecar->exchange.counters().sent_bytes) / duration_s);
   }
-  Micros half = 0;
-  Micros most = 0;
-  double bytes = 0;
-  double seconds = 0;
-  int wrong = 0;
-  int tries = 0;  // at the lost zone, later than 12 s after its loss
+  Micros median = 0;
+  Micros p99 = 0;
+  double send_rate = 0;
+  double duration_s = 0;
+  int wrong_ejections = 0;
+  int late_attempts = 0;  // attempts at the lost zone, later than 12 s after its loss
 };
 
-TEST(FleetTest, WithWordsAThousandHaveLeftALostZoneInAThirdOfTheTime) {
-  const Fleet alone(1000, /*words=*/false, 0);
-  const Fleet together(1000, /*words=*/true, 0);
-  EXPECT_EQ(alone.wrong, 0);
-  EXPECT_EQ(together.wrong, 0);
-  // Measured: 0.85 s of 1.65 for half of them, 1.55 s of 6.45 for 99 in 100.
-  EXPECT_LE(10 * together.half, 6 * alone.half) << alone.half;
-  EXPECT_LE(3 * together.most, alone.most) << alone.most;
-  EXPECT_LE(together.bytes, 2.0 * 2000);
+TEST(FleetTest, ReportsCutTheTimeToEjectALostZoneToAThird) {
+  const Fleet alone(1000, /*with_reports=*/false, 0);
+  const Fleet exchanging(1000, /*with_reports=*/true, 0);
+  EXPECT_EQ(alone.wrong_ejections, 0);
+  EXPECT_EQ(exchanging.wrong_ejections, 0);
+  EXPECT_LE(10 * exchanging.median, 6 * alone.median) << alone.median;
+  EXPECT_LE(3 * exchanging.p99, alone.p99) << alone.p99;
+  EXPECT_LE(exchanging.send_rate, 2.0 * 2000);
 }
 
-// Without words each tries by itself, every two seconds in the mean.
-TEST(FleetTest, ALeftZoneIsTriedByFewOfThemAndNotByNobody) {
-  constexpr Micros kLonger = 10'000'000;
-  const Fleet alone(300, /*words=*/false, 0, 8, kLonger);
-  const Fleet together(300, /*words=*/true, 0, 8, kLonger);
-  // Measured: 292 of 1,143, as each comes once in 16 s even if it is never chosen.
-  EXPECT_LE(3 * together.tries, alone.tries) << together.tries;
-  EXPECT_GE(together.tries, 10);
+// Without reports each sidecar probes by itself, every two seconds on average.
+TEST(FleetTest, AnEjectedZoneIsProbedByFewButSome) {
+  constexpr Micros kExtraTime = 10'000'000;
+  const Fleet alone(300, /*with_reports=*/false, 0, 8, kExtraTime);
+  const Fleet exchanging(300, /*with_reports=*/true, 0, 8, kExtraTime);
+  EXPECT_LE(3 * exchanging.late_attempts, alone.late_attempts) << exchanging.late_attempts;
+  EXPECT_GE(exchanging.late_attempts, 10);
 }
 
-TEST(FleetTest, WithEveryWordLostItIsLeftAsWithoutWords) {
-  const Fleet alone(200, /*words=*/false, 0);
-  const Fleet deaf(200, /*words=*/true, 1);
-  EXPECT_EQ(deaf.wrong, 0);
-  EXPECT_EQ(deaf.most, alone.most);
+TEST(FleetTest, LosingEveryReportEqualsSendingNone) {
+  const Fleet alone(200, /*with_reports=*/false, 0);
+  const Fleet all_lost(200, /*with_reports=*/true, 1);
+  EXPECT_EQ(all_lost.wrong_ejections, 0);
+  EXPECT_EQ(all_lost.p99, alone.p99);
 }
 
-TEST(FleetTest, HalfOfTheWordsDoNearlyAsWell) {
-  const Fleet alone(1000, /*words=*/false, 0);
-  const Fleet lossy(1000, /*words=*/true, 0.5);
-  EXPECT_EQ(lossy.wrong, 0);
-  EXPECT_LE(2 * lossy.most, alone.most);
+TEST(FleetTest, HalfOfTheReportsAreEnough) {
+  const Fleet alone(1000, /*with_reports=*/false, 0);
+  const Fleet lossy(1000, /*with_reports=*/true, 0.5);
+  EXPECT_EQ(lossy.wrong_ejections, 0);
+  EXPECT_LE(2 * lossy.p99, alone.p99);
 }
 
-// Those who have just met dead servers speak up, and those who have not say otherwise as loudly. Guards
-// against rumours: before they did, 178 of 500 left a zone with two dead servers in eight, and none by
-// themselves.
-TEST(FleetTest, DeadServersInAZoneThatIsWellLookNoWorseWithWordsThanWithout) {
+// Guards against false ejections: only the sidecars that have just met dead servers would report if healthy
+// evidence weren't reported as urgently.
+TEST(FleetTest, ReportsDontEjectAHealthyZoneWithSomeDeadServers) {
   for (const std::uint64_t dead : {2U, 3U}) {
-    const Fleet alone(300, /*words=*/false, 0, dead);
-    const Fleet together(300, /*words=*/true, 0, dead);
-    EXPECT_LE(together.wrong, alone.wrong + 5) << dead;
+    const Fleet alone(300, /*with_reports=*/false, 0, dead);
+    const Fleet exchanging(300, /*with_reports=*/true, 0, dead);
+    EXPECT_LE(exchanging.wrong_ejections, alone.wrong_ejections + 5) << dead;
   }
 }
 
--- a/tests/fuzz/diameter_fuzz.cpp
+++ b/tests/fuzz/diameter_fuzz.cpp
@@ -1,6 +1,6 @@
-// Fuzz target of the codec and the peer machine (libFuzzer). The input is a script: a byte that says what
-// happens, and for a message its bytes behind a length. What holds whatever comes: nothing is read past the
-// end, what decodes encodes to the same bytes, and an open peer answers or hands over every request.
+// Fuzz target of the codec and the peer state machine (libFuzzer). The input is a script: a byte selects the
+// event, and a message follows with its length. Checks that nothing is read out of bounds, that decoded
+// messages encode to the same bytes, and that an open peer answers or hands over every request.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -12,9 +12,9 @@
 
 using namespace merlinrun::diameter;  // NOLINT(google-build-using-namespace)
 
-void Demand(bool held, const char* what) {
+void Check(bool held, const char* what) {
   if (held) return;
-  std::fprintf(stderr, "does not hold: %s\n", what);
+  std::fprintf(stderr, "violated: %s\n", what);
   std::abort();
 }
 
@@ -22,7 +22,7 @@
   void Dial() override {}
   void Write(Side, std::string bytes) override {
     const auto decoded = Decode(bytes);
-    Demand(std::holds_alternative<Message>(decoded), "what is written can be read");
+    Check(std::holds_alternative<Message>(decoded), "an encoded message decodes");
     answers += std::get<Message>(decoded).header.request() ? 0 : 1;
   }
   void Close(Side) override {}
@@ -47,7 +47,7 @@
   std::size_t at_ = 0;
 };
 
-Identity Named(const char* host) {
+Identity MakeIdentity(const char* host) {
   Identity self;
   self.host = host;
   self.realm = "example";
@@ -59,23 +59,25 @@
 
 void Receive(Peer& peer, Sink& sink, merlinrun::Micros now, Side side, std::string_view frame) {
   auto decoded = Decode(frame);
-  if (const auto* bad = std::get_if<MalformedMessage>(&decoded)) return peer.OnBad(now, side, *bad, false);
+  if (const auto* bad = std::get_if<MalformedMessage>(&decoded))
+    return peer.OnMalformed(now, side, *bad, false);
   Message& message = std::get<Message>(decoded);
-  Demand(Encode(message.header, message.avps) == frame, "what is read is written the same");
-  const bool owed = message.header.request() && peer.Open() &&
-                    (side == Side::kInitiator) == (peer.state() == Peer::State::kIOpen);
-  // A DPR's answer waits for what is under way.
-  const bool parts = message.header.application == 0 && message.header.command == kDisconnectPeer;
+  Check(Encode(message.header, message.avps) == frame, "a decoded message encodes to the same bytes");
+  const bool expects_answer = message.header.request() && peer.Open() &&
+                              (side == Side::kInitiator) == (peer.state() == Peer::State::kIOpen);
+  // A DPA is delayed until pending requests are answered.
+  const bool is_dpr = message.header.application == 0 && message.header.command == kDisconnectPeer;
   const std::size_t before = sink.answers;
-  const bool handed = peer.OnMessage(now, side, std::move(message)).has_value();
-  if (owed) Demand(handed || parts || sink.answers > before, "a request is answered or handed over");
+  const bool handed_over = peer.OnMessage(now, side, std::move(message)).has_value();
+  if (expects_answer)
+    Check(handed_over || is_dpr || sink.answers > before, "a request is answered or handed over");
 }
 
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  static const Identity self = Named("a.example");
-  static const Identity other = Named("b.example");
+  static const Identity self = MakeIdentity("a.example");
+  static const Identity other = MakeIdentity("b.example");
   static const Dictionary base = Dictionary::Base();
   Script script(data, size);
   Sink sink;
@@ -105,8 +107,8 @@
       case 3:
         framer.Feed(script.Bytes(script.Byte() + 1));
         while (const auto frame = framer.Next()) Receive(peer, sink, now, side, *frame);
-        if (framer.broken()) {
-          peer.OnBad(now, side, *framer.broken(), true);
+        if (framer.framing_error()) {
+          peer.OnMalformed(now, side, *framer.framing_error(), true);
           framer = Framer(4096);
         }
         break;
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -1,5 +1,6 @@
-// What parses first of what a stranger sends: request and answer heads, chunks, what is checked of them, and
-// what two processes of one sidecar say. The first byte says which, the second into how many pieces it comes.
+// Fuzz target of what parses untrusted HTTP input first (request and response heads, chunks, their
+// validation) and of the messages between two processes of one sidecar. The first byte selects the parser,
+// the second the size of the pieces that the input arrives in.
 #include <boost/beast/http.hpp>
 #include <cstdint>
 #include <cstdlib>
@@ -12,14 +13,14 @@
 
 using namespace merlinrun::net;  // NOLINT(google-build-using-namespace)
 
-void Require(bool holds) {
+void Check(bool holds) {
   if (!holds) std::abort();
 }
 
-// What came of a message, in pieces of this size, by the sidecar's own limits.
+// Result of parsing a message that arrives in pieces, within the sidecar's limits.
 struct Outcome {
   bool header = false;
-  bool taken = false;
+  bool accepted = false;
   bool done = false;
   std::string target;
   std::string body;
@@ -32,35 +33,35 @@
   parser.header_limit(kMaxHeader);
   parser.body_limit(kMaxStreamedBody);
   Outcome out;
-  std::string held;
+  std::string buffered;
   for (std::size_t at = 0; at < text.size() && !parser.is_done();) {
     const std::size_t n = std::min(piece, text.size() - at);
-    held.append(text, at, n);
+    buffered.append(text, at, n);
     at += n;
-    while (!held.empty() && !parser.is_done()) {
-      const bool had = parser.is_header_done();
+    while (!buffered.empty() && !parser.is_done()) {
+      const bool had_header = parser.is_header_done();
       ErrorCode error;
-      held.erase(0, parser.put(boost::asio::buffer(held), error));
+      buffered.erase(0, parser.put(boost::asio::buffer(buffered), error));
       if (error && error != http::error::need_more) return out;
-      if (!had && parser.is_header_done()) {
+      if (!had_header && parser.is_header_done()) {
         out.header = true;
         if constexpr (kRequest) {
           ConvertToOriginForm(parser.get());
-          const std::string once(ToStringView(parser.get().target()));
-          if (once.front() == '/') ConvertToOriginForm(parser.get());
-          Require(once == ToStringView(parser.get().target()));
-          out.taken = !ValidateRequest(parser.get());
-          // What is passed on has one framing, whoever reads it.
-          if (out.taken)
-            Require(parser.get().count(http::field::content_length) +
-                        parser.get().count(http::field::transfer_encoding) <=
-                    1);
+          const std::string converted(ToStringView(parser.get().target()));
+          if (converted.front() == '/') ConvertToOriginForm(parser.get());
+          Check(converted == ToStringView(parser.get().target()));
+          out.accepted = !ValidateRequest(parser.get());
+          // A forwarded message has one framing only, so that no two parsers disagree about its end.
+          if (out.accepted)
+            Check(parser.get().count(http::field::content_length) +
+                      parser.get().count(http::field::transfer_encoding) <=
+                  1);
         } else {
-          out.taken = IsValidResponse(parser.get());
-          if (IsDelimitedByClose(parser.get())) Require(!parser.content_length());
+          out.accepted = IsValidResponse(parser.get());
+          if (IsDelimitedByClose(parser.get())) Check(!parser.content_length());
         }
         out.target = std::string(ToStringView(parser.get().base()[http::field::host]));
-        if (!out.taken) return out;
+        if (!out.accepted) return out;
         parser.eager(true);
       }
       if (error) break;
@@ -68,17 +69,17 @@
   }
   out.done = parser.is_done();
   out.body = parser.get().body();
-  Require(out.body.size() <= text.size());
+  Check(out.body.size() <= text.size());
   return out;
 }
 
 template <bool kRequest>
-void Same(const std::string& text, std::size_t piece) {
+void ExpectSameResult(const std::string& text, std::size_t piece) {
   const Outcome whole = Parse<kRequest>(text, text.size());
   const Outcome pieces = Parse<kRequest>(text, piece);
-  Require(whole.header == pieces.header && whole.taken == pieces.taken && whole.done == pieces.done &&
-          whole.target == pieces.target);
-  if (whole.done) Require(whole.body == pieces.body);
+  Check(whole.header == pieces.header && whole.accepted == pieces.accepted && whole.done == pieces.done &&
+        whole.target == pieces.target);
+  if (whole.done) Check(whole.body == pieces.body);
 }
 
 }  // namespace
@@ -89,15 +90,15 @@
   const std::size_t piece = 1 + data[1] % 64;
   switch (data[0] % 3) {
     case 0:
-      Same<true>(text, piece);
+      ExpectSameResult<true>(text, piece);
       break;
     case 1:
-      Same<false>(text, piece);
+      ExpectSameResult<false>(text, piece);
       break;
     default: {
       std::string error;
-      const auto held = merlinrun::handover::ParseHeldResources(text, error);
-      Require(held.has_value() == error.empty());
+      const auto resources = merlinrun::handover::ParseHeldResources(text, error);
+      Check(resources.has_value() == error.empty());
     }
   }
   return 0;
--- a/tests/fuzz/words_fuzz.cpp
+++ b/tests/fuzz/words_fuzz.cpp
@@ -1,5 +1,5 @@
-// Any bytes as a word between sidecars: read or dropped, and what is read can be written and read again as
-// the same. Several in a row, each with its length before it, go to one sidecar's members.
+// Fuzz target of the reports between sidecars. The input is a sequence of datagrams, each after its length.
+// Whatever is decoded encodes and decodes to the same report, and the peer table takes it within its bounds.
 #include <cstdint>
 #include <cstdlib>
 #include <string_view>
@@ -12,26 +12,26 @@
 using merlinrun::fleet::PeerReport;
 using merlinrun::fleet::PeerTable;
 
-constexpr std::uint32_t kSiblings = 50;
+constexpr std::uint32_t kSidecarCount = 50;
 
-void Require(bool holds) {
+void Check(bool holds) {
   if (!holds) std::abort();
 }
 
-void TakeOne(PeerTable& members, merlinrun::Micros now, std::string_view bytes) {
-  const auto read = merlinrun::fleet::Decode(bytes, kSiblings);
-  const auto* words = std::get_if<PeerReport>(&read);
-  if (words == nullptr) return;
-  Require(words->sender < kSiblings && words->zones.size() <= merlinrun::fleet::kMaxZones);
-  const std::string again = merlinrun::fleet::Encode(*words);
-  Require(again.size() <= merlinrun::fleet::kMaxDatagramBytes);
-  Require(std::get<PeerReport>(merlinrun::fleet::Decode(again, kSiblings)) == *words);
-  members.Hear(now, *words);
-  Require(members.known() < kSiblings);
-  for (const auto& zone : words->zones) {
-    const merlinrun::ZonePeerReport told = members.Of(now, zone.zone);
-    Require(told.reporting_lost + told.reporting_healthy <= told.reporting &&
-            told.reporting <= static_cast<int>(kSiblings));
+void DecodeAndRecord(PeerTable& peer_table, merlinrun::Micros now, std::string_view bytes) {
+  const auto decoded = merlinrun::fleet::Decode(bytes, kSidecarCount);
+  const auto* report = std::get_if<PeerReport>(&decoded);
+  if (report == nullptr) return;
+  Check(report->sender < kSidecarCount && report->zones.size() <= merlinrun::fleet::kMaxZones);
+  const std::string encoded = merlinrun::fleet::Encode(*report);
+  Check(encoded.size() <= merlinrun::fleet::kMaxDatagramBytes);
+  Check(std::get<PeerReport>(merlinrun::fleet::Decode(encoded, kSidecarCount)) == *report);
+  peer_table.OnReport(now, *report);
+  Check(peer_table.known_peers() < kSidecarCount);
+  for (const auto& zone : report->zones) {
+    const merlinrun::ZonePeerReport summary = peer_table.Summarize(now, zone.zone);
+    Check(summary.reporting_lost + summary.reporting_healthy <= summary.reporting &&
+          summary.reporting <= static_cast<int>(kSidecarCount));
   }
 }
 
@@ -39,11 +39,11 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   std::string_view rest(reinterpret_cast<const char*>(data), size);
-  PeerTable members(0);
+  PeerTable peer_table(0);
   merlinrun::Micros now = 1'796'000'000'000'000;
   while (!rest.empty()) {
     const std::size_t length = std::min<std::size_t>(static_cast<unsigned char>(rest[0]), rest.size() - 1);
-    TakeOne(members, now, rest.substr(1, length));
+    DecodeAndRecord(peer_table, now, rest.substr(1, length));
     rest.remove_prefix(1 + length);
     now += 100'000;
   }
