--- a/model/adapter.cpp
+++ b/model/adapter.cpp
@@ -17,23 +17,22 @@
 namespace merlinrun::model {
 namespace {
 
-// How long a program may take for one reply, and how much it may say in it: guards against one that hangs or
-// never ends. Far above what any batch needs.
-constexpr int kMostWait = 20'000;  // milliseconds
-constexpr std::size_t kMostReply = std::size_t{64} << 20;
-// How long an ended program may take to be gone before it is killed.
-constexpr int kLeaves = 100;  // times 10 ms
+// Limits of one reply; a program that hangs or never ends its reply fails its side.
+constexpr int kReplyTimeoutMs = 20'000;
+constexpr std::size_t kMaxReplyBytes = std::size_t{64} << 20;
+// Wait for the program to exit before it is killed.
+constexpr int kExitPolls = 100;  // times 10 ms
 constexpr std::size_t kChunk = std::size_t{1} << 16;
-constexpr std::string_view kPrefix = "sidecar/";
+constexpr std::string_view kSidecarPrefix = "sidecar/";
 
-std::string Text(double value) {
+std::string FormatNumber(double value) {
   char text[32];
   const auto end =
-      std::to_chars(text, text + sizeof text, value).ptr;  // the shortest that reads back the same
+      std::to_chars(text, text + sizeof text, value).ptr;  // shortest form that parses to the same value
   return std::string(text, end);
 }
 
-const char* Word(RetrySafety repeat) {
+const char* WireName(RetrySafety repeat) {
   switch (repeat) {
     case RetrySafety::kSafe:
       return "idempotent";
@@ -45,7 +44,7 @@
   return "";
 }
 
-const char* Word(DedupScope group) {
+const char* WireName(DedupScope group) {
   switch (group) {
     case DedupScope::kAll:
       return "all";
@@ -57,7 +56,7 @@
   return "";
 }
 
-const char* Word(Result result) {
+const char* WireName(Result result) {
   switch (result) {
     case Result::kSuccess:
       return "success";
@@ -79,7 +78,7 @@
   return "";
 }
 
-const char* Word(ServerInfo::State state) {
+const char* WireName(ServerInfo::State state) {
   switch (state) {
     case ServerInfo::State::kHealthy:
       return "healthy";
@@ -91,7 +90,7 @@
   return "";
 }
 
-const char* Word(ListUpdate::Kind kind) {
+const char* WireName(ListUpdate::Kind kind) {
   switch (kind) {
     case ListUpdate::Kind::kDelta:
       return "D";
@@ -106,30 +105,30 @@
 }
 
 std::string ZoneName(int zone) { return zone < 0 ? "-" : "dc-" + std::to_string(zone); }
-constexpr int kZones = 4;  // as many as a scenario can have
+constexpr int kMaxZones = 4;  // the most a scenario can have
 
-// The program, with a socket for its standard input and output.
+// A child process with a socket as standard input and output.
 class Process {
  public:
   explicit Process(const std::string& program) {
-    int ends[2];
-    if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0) return;
+    int sockets[2];
+    if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, sockets) != 0) return;
     posix_spawn_file_actions_t files;
     ::posix_spawn_file_actions_init(&files);
-    ::posix_spawn_file_actions_adddup2(&files, ends[1], 0);
-    ::posix_spawn_file_actions_adddup2(&files, ends[1], 1);
+    ::posix_spawn_file_actions_adddup2(&files, sockets[1], 0);
+    ::posix_spawn_file_actions_adddup2(&files, sockets[1], 1);
     std::string name = program;
     char* arguments[] = {name.data(), nullptr};
     char* environment[] = {nullptr};
     if (::posix_spawn(&pid_, program.c_str(), &files, nullptr, arguments, environment) != 0) pid_ = -1;
     ::posix_spawn_file_actions_destroy(&files);
-    ::close(ends[1]);
-    socket_ = ends[0];
+    ::close(sockets[1]);
+    socket_ = sockets[0];
   }
   ~Process() {
     if (socket_ >= 0) ::close(socket_);
     if (pid_ <= 0) return;
-    for (int i = 0; i < kLeaves; ++i) {
+    for (int i = 0; i < kExitPolls; ++i) {
       if (::waitpid(pid_, nullptr, WNOHANG) != 0) return;
       ::usleep(10'000);
     }
@@ -139,10 +138,10 @@
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  // False if it can't be done in time.
+  // Returns false on failure or timeout.
   bool Write(std::string_view text) {
     while (!text.empty()) {
-      if (!Ready(POLLOUT)) return false;
+      if (!WaitFor(POLLOUT)) return false;
       const ssize_t sent = ::send(socket_, text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
       if (sent < 0 && (errno == EINTR || errno == EAGAIN)) continue;
       if (sent <= 0) return false;
@@ -150,9 +149,9 @@
     }
     return true;
   }
-  // Appends what has come; false at the end, or if nothing comes in time.
+  // Appends received data; returns false at the end of the stream or on timeout.
   bool Read(std::string& out) {
-    if (!Ready(POLLIN)) return false;
+    if (!WaitFor(POLLIN)) return false;
     char chunk[kChunk];
     const ssize_t got = ::recv(socket_, chunk, sizeof chunk, 0);
     if (got < 0 && errno == EINTR) return true;
@@ -162,11 +161,11 @@
   }
 
  private:
-  bool Ready(short what) const {
+  bool WaitFor(short what) const {
     pollfd entry{socket_, what, 0};
     int ready = 0;
     do {
-      ready = ::poll(&entry, 1, kMostWait);
+      ready = ::poll(&entry, 1, kReplyTimeoutMs);
     } while (ready < 0 && errno == EINTR);
     return socket_ >= 0 && pid_ > 0 && ready > 0;
   }
@@ -174,10 +173,10 @@
   int socket_ = -1;
 };
 
-// The words of a reply's line, from left to right; none when they are at their end.
-class Words {
+// Splits a line into words; returns empty words at the end.
+class WordReader {
  public:
-  explicit Words(std::string_view line) : rest_(line) {}
+  explicit WordReader(std::string_view line) : rest_(line) {}
   std::string_view Next() {
     const auto space = rest_.find(' ');
     const std::string_view word = rest_.substr(0, space);
@@ -192,7 +191,7 @@
     if (read.ec != std::errc() || read.ptr != word.data() + word.size()) return std::nullopt;
     return value;
   }
-  // The same, where nothing at all is 0.
+  // As Number, but 0 if nothing is left.
   template <typename T>
   std::optional<T> OptionalNumber() {
     return rest_.empty() ? std::optional<T>(T{}) : Number<T>();
@@ -216,12 +215,12 @@
     std::string rows;
     for (const ServerInfo& info : update.servers) {
       rows += "ROW kind-" + std::to_string(info.machine_type) + " " + ZoneName(info.zone) + " " +
-              Text(info.weight) + " " + std::to_string(info.started) + " " + std::to_string(info.cell) + " " +
-              info.id + " " + Word(info.state) + "\n";
+              FormatNumber(info.weight) + " " + std::to_string(info.started) + " " +
+              std::to_string(info.cell) + " " + info.id + " " + WireName(info.state) + "\n";
     }
-    if (rows != rows_) batch_ += "TABLE 0 " + std::to_string(update.servers.size()) + "\n" + rows;
-    rows_ = std::move(rows);
-    Line("DISCOVERY", sidecar).Add(Word(update.kind)).Add(std::to_string(update.version)).Add("0").End();
+    if (rows != last_rows_) batch_ += "TABLE 0 " + std::to_string(update.servers.size()) + "\n" + rows;
+    last_rows_ = std::move(rows);
+    Line("DISCOVERY", sidecar).Add(WireName(update.kind)).Add(std::to_string(update.version)).Add("0").End();
   }
   void OnRequest(std::uint32_t sidecar, Micros, const Request& request) override {
     const int options = (request.is_retry ? 2 : 0) + (request.write ? 4 : 0);
@@ -233,7 +232,7 @@
   }
   void OnOutcome(std::uint32_t sidecar, Micros, const Outcome& outcome, std::string_view server) override {
     Line("RESOLVED", sidecar).Add(outcome.request).Add(std::to_string(outcome.attempt)).Add(server);
-    Add(Word(outcome.result))
+    Add(WireName(outcome.result))
         .Add(std::to_string(outcome.elapsed))
         .Add(outcome.request_done ? "1" : "0")
         .Add("-")
@@ -252,15 +251,15 @@
         "BEGIN_BATCH " + std::to_string(now) + "\n" + std::exchange(batch_, "") + "COMMIT\n";
     std::string reply;
     if (!process_.Write(text)) return Fail("its program ended or does not read");
-    while (!Whole(reply)) {
-      if (reply.size() > kMostReply) return Fail("its program's reply has no end");
+    while (!IsComplete(reply)) {
+      if (reply.size() > kMaxReplyBytes) return Fail("its program's reply has no end");
       if (!process_.Read(reply)) return Fail("its program ended or gave no reply in time");
     }
-    CarryOut(reply);
+    ExecuteReply(reply);
   }
 
  private:
-  static bool Whole(std::string_view reply) {
+  static bool IsComplete(std::string_view reply) {
     return reply == "DONE\n" || (reply.size() > 5 && reply.substr(reply.size() - 6) == "\nDONE\n");
   }
   void Fail(std::string what) {
@@ -271,7 +270,7 @@
   AdapterSidecars& Line(std::string_view verb, std::uint32_t sidecar) {
     batch_ += verb;
     batch_ += ' ';
-    batch_ += kPrefix;
+    batch_ += kSidecarPrefix;
     batch_ += std::to_string(sidecar);
     return *this;
   }
@@ -282,51 +281,50 @@
   }
   void End() { batch_ += '\n'; }
 
-  void CarryOut(std::string_view reply) {
+  void ExecuteReply(std::string_view reply) {
     while (!reply.empty() && !failed_) {
       const auto end = reply.find('\n');
       const std::string_view line = reply.substr(0, end);
       reply.remove_prefix(end + 1);
       if (line == "DONE") return;
-      if (!Act(line)) Fail("its program replied '" + std::string(line.substr(0, 80)) + "'");
+      if (!ExecuteLine(line)) Fail("its program replied '" + std::string(line.substr(0, 80)) + "'");
     }
   }
 
-  // False if the line is no action.
-  bool Act(std::string_view line) {
-    Words words(line);
-    const std::string_view verb = words.Next();
-    const std::string_view name = words.Next();
-    if (name.substr(0, kPrefix.size()) != kPrefix) return false;
-    const auto sidecar = Words(name.substr(kPrefix.size())).Number<std::uint32_t>();
+  // Returns false if the line is not a valid action.
+  bool ExecuteLine(std::string_view line) {
+    WordReader reader(line);
+    const std::string_view verb = reader.Next();
+    const std::string_view name = reader.Next();
+    if (name.substr(0, kSidecarPrefix.size()) != kSidecarPrefix) return false;
+    const auto sidecar = WordReader(name.substr(kSidecarPrefix.size())).Number<std::uint32_t>();
     if (!sidecar) return false;
-    if (verb == "TRACE" || verb == "RELEASE" || verb == "OBSERVE")
-      return true;  // nothing that the model follows
+    if (verb == "TRACE" || verb == "RELEASE" || verb == "OBSERVE") return true;  // not used by the model
     if (verb == "FATAL") {
       Fail("its decision code is broken: " + std::string(line.substr(0, 200)));
       return true;
     }
     if (verb == "SLEEP") {
-      const auto delay = words.Number<Micros>();
-      const auto token = words.Number<std::uint64_t>();
+      const auto delay = reader.Number<Micros>();
+      const auto token = reader.Number<std::uint64_t>();
       if (delay && token) actions_.SetTimer(*sidecar, *delay, *token);
       return delay && token;
     }
-    const std::string_view request = words.Next();
+    const std::string_view request = reader.Next();
     if (request.empty()) return false;
     if (verb == "ROUTE") {
-      const std::string_view server = words.Next();
-      const auto timeout = words.OptionalNumber<Micros>();
+      const std::string_view server = reader.Next();
+      const auto timeout = reader.OptionalNumber<Micros>();
       if (timeout) actions_.Send(*sidecar, request, server, *timeout);
       return timeout.has_value();
     }
     if (verb == "RETRACT") {
-      const auto attempt = words.Number<int>();
+      const auto attempt = reader.Number<int>();
       if (attempt) actions_.Cancel(*sidecar, request, *attempt);
       return attempt.has_value();
     }
     if (verb == "TURN_AWAY") {
-      const auto pause = words.OptionalNumber<Micros>();
+      const auto pause = reader.OptionalNumber<Micros>();
       if (pause) actions_.Refuse(*sidecar, request, *pause);
       return pause.has_value();
     }
@@ -336,9 +334,9 @@
 
   Actions& actions_;
   Process process_;
-  std::vector<std::string> classes_;  // names, the same for all sidecars
+  std::vector<std::string> classes_;
   std::string batch_;
-  std::string rows_;  // of the table that the program has
+  std::string last_rows_;  // rows of the last TABLE sent
   bool failed_ = false;
 };
 
@@ -350,12 +348,12 @@
     out += (out.empty() ? "" : " ") + path + "=" + value;
   };
   const auto number = [&](const std::string& path, auto value) {
-    add(path, Text(static_cast<double>(value)));
+    add(path, FormatNumber(static_cast<double>(value)));
   };
   const auto whole = [&](const std::string& path, std::int64_t value) { add(path, std::to_string(value)); };
   const auto flag = [&](const std::string& path, bool value) { add(path, value ? "true" : "false"); };
   std::string zones;
-  for (int i = 0; i < kZones; ++i) zones += (i > 0 ? "," : "") + ZoneName(i);
+  for (int i = 0; i < kMaxZones; ++i) zones += (i > 0 ? "," : "") + ZoneName(i);
   add("azs", zones);
   add("my_zone", ZoneName(s.zone));
   whole("grades.count", static_cast<std::int64_t>(s.classes.size()));
@@ -367,8 +365,8 @@
     whole(at + "hard_limit_us", c.deadline);
     number(at + "importance", c.value);
     number(at + "late_value", c.late_value);
-    add(at + "repeat", Word(c.retry_safety));
-    add(at + "group", Word(c.dedup_scope));
+    add(at + "repeat", WireName(c.retry_safety));
+    add(at + "group", WireName(c.dedup_scope));
     whole(at + "window_us", c.dedup_window);
     flag(at + "stream", false);
   }
@@ -400,7 +398,7 @@
   return out;
 }
 
-std::unique_ptr<Sidecars> Adapter(Actions& actions, const std::string& program) {
+std::unique_ptr<Sidecars> MakeAdapterSidecars(Actions& actions, const std::string& program) {
   return std::make_unique<AdapterSidecars>(actions, program);
 }
 
--- a/model/adapter.hpp
+++ b/model/adapter.hpp
@@ -1,6 +1,6 @@
-// A build's decisions over the wire that src/drill speaks: its adapter program is started, told of each batch
-// and asked for its actions. So an older build can be one side of a comparison. A program that ends, hangs or
-// answers what is no reply is a fault of that side.
+// Sidecars whose decisions come from the adapter program of another build (merlinrun_drill), over the batch
+// protocol of src/drill. An older build can thus be one side of a comparison. A program that exits, hangs or
+// sends an invalid reply fails its side.
 #ifndef MERLINRUN_MODEL_ADAPTER_HPP_
 #define MERLINRUN_MODEL_ADAPTER_HPP_
 
@@ -11,10 +11,10 @@
 
 namespace merlinrun::model {
 
-// `program`: a path. One process for all sidecars of a day.
-std::unique_ptr<Sidecars> Adapter(Actions& actions, const std::string& program);
+// `program`: path of the executable. One process serves all sidecars of a simulated day.
+std::unique_ptr<Sidecars> MakeAdapterSidecars(Actions& actions, const std::string& program);
 
-// Settings as the wire has them: path=value pairs in one line, what ParseSettings of src/drill reads.
+// The settings as one line of path=value pairs, the format that drill::ParseSettings reads.
 std::string SettingsLine(const Settings& settings);
 
 }  // namespace merlinrun::model
--- a/model/compare.cpp
+++ b/model/compare.cpp
@@ -13,114 +13,113 @@
   std::uint64_t seed = 0;
 };
 
-// Plays the jobs on so many threads; days that are known are not played again. The results are those of the
-// jobs that were finished, which are all unless it was stopped.
-class Players {
+// Runs jobs on a pool of threads, skipping days already completed. After a stop some jobs have no result.
+class DayRunner {
  public:
-  Players(const Plan& plan, const Known& known, const Watching& watching)
-      : plan_(plan), played_(known), watching_(watching) {}
+  DayRunner(const ComparisonPlan& plan, const CompletedDays& completed, const RunHooks& hooks)
+      : plan_(plan), completed_(completed), hooks_(hooks) {}
 
-  void Play(const std::vector<Job>& jobs) {
-    std::vector<Job> todo;
-    std::copy_if(jobs.begin(), jobs.end(), std::back_inserter(todo), [&](const Job& job) {
-      return played_.count({job.side, job.seed}) == 0;
+  void Run(const std::vector<Job>& jobs) {
+    std::vector<Job> pending;
+    std::copy_if(jobs.begin(), jobs.end(), std::back_inserter(pending), [&](const Job& job) {
+      return completed_.count({job.side, job.seed}) == 0;
     });
     std::atomic<std::size_t> next = 0;
     const auto work = [&] {
-      for (std::size_t i = next++; i < todo.size() && !Stopped(); i = next++) {
-        DayResult day = PlayDay(plan_.scenario, todo[i].seed, plan_.sides[todo[i].side],
-                                plan_.replay ? &*plan_.replay : nullptr);
+      for (std::size_t i = next++; i < pending.size() && !Stopped(); i = next++) {
+        DayResult day = SimulateDay(plan_.scenario, pending[i].seed, plan_.sides[pending[i].side],
+                                    plan_.replay ? &*plan_.replay : nullptr);
         const std::lock_guard<std::mutex> lock(mutex_);
-        if (watching_.on_day) watching_.on_day(todo[i].side, day);
-        played_[{todo[i].side, todo[i].seed}] = std::move(day);
+        if (hooks_.on_day) hooks_.on_day(pending[i].side, day);
+        completed_[{pending[i].side, pending[i].seed}] = std::move(day);
       }
     };
-    std::vector<std::thread> others;
-    for (unsigned i = 1; i < plan_.threads; ++i) others.emplace_back(work);
+    std::vector<std::thread> workers;
+    for (unsigned i = 1; i < plan_.threads; ++i) workers.emplace_back(work);
     work();
-    for (std::thread& thread : others) thread.join();
+    for (std::thread& thread : workers) thread.join();
   }
-  bool Stopped() const { return watching_.stop != nullptr && *watching_.stop; }
+  bool Stopped() const { return hooks_.stop != nullptr && *hooks_.stop; }
   const DayResult* Find(std::size_t side, std::uint64_t seed) const {
-    const auto it = played_.find({side, seed});
-    return it == played_.end() ? nullptr : &it->second;
+    const auto it = completed_.find({side, seed});
+    return it == completed_.end() ? nullptr : &it->second;
   }
 
  private:
-  const Plan& plan_;
-  Known played_;
-  const Watching& watching_;
+  const ComparisonPlan& plan_;
+  CompletedDays completed_;
+  const RunHooks& hooks_;
   std::mutex mutex_;
 };
 
-std::vector<double> Differences(const Players& players, const Plan& plan, std::size_t side,
-                                std::size_t most) {
+std::vector<double> ServiceDifferences(const DayRunner& runner, const ComparisonPlan& plan, std::size_t side,
+                                       std::size_t max_pairs) {
   std::vector<double> out;
-  for (std::size_t i = 0; i < most; ++i) {
-    const DayResult* const base = players.Find(0, plan.first_seed + i);
-    const DayResult* const its = players.Find(side, plan.first_seed + i);
-    if (base == nullptr || its == nullptr) break;
-    out.push_back(its->service - base->service);
+  for (std::size_t i = 0; i < max_pairs; ++i) {
+    const DayResult* const base = runner.Find(0, plan.first_seed + i);
+    const DayResult* const other = runner.Find(side, plan.first_seed + i);
+    if (base == nullptr || other == nullptr) break;
+    out.push_back(other->service - base->service);
   }
   return out;
 }
 
-// No difference in service is beyond 1, whatever a few values make of their spread.
-Interval Possible(const Interval& interval) {
+// Differences in service lie within [-1, 1]; intervals from few values can exceed that.
+Interval ClampToPossible(const Interval& interval) {
   return {std::max(interval.low, -1.0), std::min(interval.high, 1.0)};
 }
 
-void Describe(const std::vector<double>& differences, double kept_level, const Plan& plan, Difference& out) {
+void FillDifference(const std::vector<double>& differences, double sequential_level,
+                    const ComparisonPlan& plan, Difference& out) {
   out.pairs = differences.size();
   out.mean = Mean(differences);
   if (differences.size() < 2) return;
-  out.t = Possible(TInterval(differences, kUsualLevel));
-  out.bootstrap = Possible(BootstrapInterval(differences, kUsualLevel, plan.first_seed));
-  out.kept = Possible(TInterval(differences, kept_level));
-  out.p = PValue(differences);
+  out.t_interval = ClampToPossible(TInterval(differences, kReportLevel));
+  out.bootstrap_interval = ClampToPossible(BootstrapInterval(differences, kReportLevel, plan.first_seed));
+  out.sequential_interval = ClampToPossible(TInterval(differences, sequential_level));
+  out.p_value = PValue(differences);
 }
 
 }  // namespace
 
-Comparison Compare(const Plan& plan, const Known& known, const Watching& watching) {
-  Players players(plan, known, watching);
-  const std::size_t others = plan.sides.size() - 1;
-  const Looks looks(plan.first_look, plan.most_pairs,
-                    plan.level / static_cast<double>(std::max<std::size_t>(others, 1)));
+Comparison Compare(const ComparisonPlan& plan, const CompletedDays& completed, const RunHooks& hooks) {
+  DayRunner runner(plan, completed, hooks);
+  const std::size_t candidates = plan.sides.size() - 1;
+  const SequentialLooks looks(plan.first_look, plan.max_pairs,
+                              plan.level / static_cast<double>(std::max<std::size_t>(candidates, 1)));
   Comparison out;
-  out.differences.resize(others);
-  std::vector<bool> open(others, true);
-  std::size_t reached = 0;
+  out.differences.resize(candidates);
+  std::vector<bool> undecided(candidates, true);
+  std::size_t pairs_reached = 0;
   for (std::size_t look = 0; look < looks.count(); ++look) {
     std::vector<Job> jobs;
     for (std::size_t i = 0; i < looks.pairs(look); ++i)
       for (std::size_t side = 0; side < plan.sides.size(); ++side)
-        if (side == 0 || open[side - 1]) jobs.push_back({side, plan.first_seed + i});
-    players.Play(jobs);
-    reached = looks.pairs(look);
-    out.stopped = players.Stopped();
+        if (side == 0 || undecided[side - 1]) jobs.push_back({side, plan.first_seed + i});
+    runner.Run(jobs);
+    pairs_reached = looks.pairs(look);
+    out.stopped = runner.Stopped();
     for (std::size_t side = 1; side < plan.sides.size(); ++side) {
-      if (!open[side - 1]) continue;
-      Difference& its = out.differences[side - 1];
-      const auto differences = Differences(players, plan, side, looks.pairs(look));
-      Describe(differences, looks.level(look), plan, its);
-      if (differences.size() < looks.pairs(look)) continue;  // stopped on the way: no look is due
-      its.verdict = Decide(differences, looks.level(look), plan.matters);
-      open[side - 1] = its.verdict == Verdict::kUnclear;
+      if (!undecided[side - 1]) continue;
+      Difference& difference = out.differences[side - 1];
+      const auto differences = ServiceDifferences(runner, plan, side, looks.pairs(look));
+      FillDifference(differences, looks.level(look), plan, difference);
+      if (differences.size() < looks.pairs(look)) continue;  // stopped early: this look is incomplete
+      difference.verdict = Decide(differences, looks.level(look), plan.min_effect);
+      undecided[side - 1] = difference.verdict == Verdict::kUnclear;
     }
-    if (out.stopped || std::none_of(open.begin(), open.end(), [](bool is) { return is; })) break;
+    if (out.stopped || std::none_of(undecided.begin(), undecided.end(), [](bool is) { return is; })) break;
   }
   std::vector<double> p_values;
-  for (const Difference& difference : out.differences) p_values.push_back(difference.p);
-  const std::vector<bool> holds = Holm(p_values, plan.level);
-  for (std::size_t i = 0; i < others; ++i) out.differences[i].holds_after_holm = holds[i];
+  for (const Difference& difference : out.differences) p_values.push_back(difference.p_value);
+  const std::vector<bool> significant = Holm(p_values, plan.level);
+  for (std::size_t i = 0; i < candidates; ++i) out.differences[i].significant_after_holm = significant[i];
   out.days.resize(plan.sides.size());
   for (std::size_t side = 0; side < plan.sides.size(); ++side) {
-    // Days that were known beyond what was looked at are none of this comparison.
-    const std::size_t count = side == 0 ? reached : out.differences[side - 1].pairs;
+    // Resumed days beyond the pairs analysed don't belong to this comparison.
+    const std::size_t count = side == 0 ? pairs_reached : out.differences[side - 1].pairs;
     for (std::size_t i = 0; i < count; ++i)
-      if (const DayResult* const day = players.Find(side, plan.first_seed + i))
-        out.days[side].push_back(*day);
+      if (const DayResult* const day = runner.Find(side, plan.first_seed + i)) out.days[side].push_back(*day);
   }
   return out;
 }
--- a/model/compare.hpp
+++ b/model/compare.hpp
@@ -1,6 +1,6 @@
-// Plays days of one scenario with several sides on all cores, in pairs of the same seed, until it is clear
-// which serves better or that it can't be told. What it says depends on the scenario, the sides and the first
-// seed alone: not on how many threads there are, nor on what was resumed.
+// Simulates days of one scenario with several sides, paired by seed and on several threads, until a
+// sequential test separates the sides or the pair limit is reached. The result depends only on the scenario,
+// the sides and the first seed, not on the number of threads or on resumed days.
 #ifndef MERLINRUN_MODEL_COMPARE_HPP_
 #define MERLINRUN_MODEL_COMPARE_HPP_
 
@@ -13,51 +13,51 @@
 #include <utility>
 #include <vector>
 
-#include "model/judge.hpp"
+#include "model/scoring.hpp"
+#include "model/simulation.hpp"
 #include "model/statistics.hpp"
-#include "model/world.hpp"
 
 namespace merlinrun::model {
 
-struct Plan {
+struct ComparisonPlan {
   Scenario scenario;
-  std::optional<Replay> replay;  // the traffic, in place of the scenario's own
-  std::vector<Side> sides;       // the first is the base, which the others are compared with
+  std::optional<Replay> replay;  // recorded traffic in place of synthetic traffic
+  std::vector<Side> sides;       // the first is the baseline
   std::uint64_t first_seed = 1;
-  std::size_t first_look = 8;  // pairs
-  std::size_t most_pairs = 64;
-  double level = 0.05;     // chance of calling any side different that is not
-  double matters = 0.002;  // a difference in service below it is none
+  std::size_t first_look = 8;  // pairs of days before the first look (interim analysis)
+  std::size_t max_pairs = 64;
+  double level = 0.05;        // family-wise error rate
+  double min_effect = 0.002;  // smaller differences in service count as none
   unsigned threads = 1;
 };
 
-struct Difference {  // of a side to the base
+struct Difference {  // of a side to the baseline
   Verdict verdict = Verdict::kUnclear;
   std::size_t pairs = 0;
   double mean = 0;
-  Interval t;          // 95 in 100, as if no look had been taken before
-  Interval bootstrap;  // the same
-  Interval kept;       // holds through all looks, and for all sides compared, at once
-  double p = 1;
-  bool holds_after_holm = false;  // p, corrected for the number of sides
+  Interval t_interval;           // 95%, not corrected for repeated looks
+  Interval bootstrap_interval;   // likewise
+  Interval sequential_interval;  // valid across all looks and sides
+  double p_value = 1;
+  bool significant_after_holm = false;  // after Holm's correction for the number of sides
 };
 
 struct Comparison {
-  std::vector<std::vector<DayResult>> days;  // by side, in the order of the seeds
-  std::vector<Difference> differences;       // of the sides after the base
-  bool stopped = false;                      // it was asked to end before it was clear
+  std::vector<std::vector<DayResult>> days;  // by side, ordered by seed
+  std::vector<Difference> differences;       // of each side after the first to the baseline
+  bool stopped = false;                      // stopped before a verdict
 };
 
-// Days that were played already, by side and seed.
-using Known = std::map<std::pair<std::size_t, std::uint64_t>, DayResult>;
+// Days already simulated, by side and seed.
+using CompletedDays = std::map<std::pair<std::size_t, std::uint64_t>, DayResult>;
 
-struct Watching {
-  const std::atomic<bool>* stop = nullptr;  // set: ends as soon as the days under way are over
-  // Called for each day as it ends, from one thread at a time, in no particular order.
+struct RunHooks {
+  const std::atomic<bool>* stop = nullptr;  // if set, the run ends after the days in progress
+  // Called for each finished day, from one thread at a time, in no particular order.
   std::function<void(std::size_t side, const DayResult& day)> on_day;
 };
 
-Comparison Compare(const Plan& plan, const Known& known, const Watching& watching);
+Comparison Compare(const ComparisonPlan& plan, const CompletedDays& known, const RunHooks& hooks);
 
 }  // namespace merlinrun::model
 
--- a/model/keys.hpp
+++ b/model/keys.hpp
@@ -1,5 +1,5 @@
-// What requests are about, and what a server has lately met of it: a server that has met a key needs less
-// work for it. Free of the world; time and chance are given.
+// Keys of requests, and each server's cache of recently used keys: a request for a cached key needs less
+// work.
 #ifndef MERLINRUN_MODEL_KEYS_HPP_
 #define MERLINRUN_MODEL_KEYS_HPP_
 
@@ -15,56 +15,58 @@
 
 namespace merlinrun::model {
 
-// Zipf's law: the n-th most popular key is asked for in proportion to n^-skew.
-class KeyLaw {
+// Zipf distribution: the n-th most popular key has a weight of n^-skew.
+class ZipfKeys {
  public:
-  // `distinct`: 0 = requests have no keys.
-  KeyLaw(std::size_t distinct, double skew) {
+  // `key_count` 0: requests have no keys.
+  ZipfKeys(std::size_t key_count, double skew) {
     double sum = 0;
-    for (std::size_t n = 1; n <= distinct; ++n)
-      upto_.push_back(sum += Exp(-skew * Log(static_cast<double>(n))));
+    for (std::size_t n = 1; n <= key_count; ++n)
+      cumulative_.push_back(sum += Exp(-skew * Log(static_cast<double>(n))));
   }
-  bool any() const { return !upto_.empty(); }
-  // The key's rank, from 1; 0 = none.
-  std::uint32_t operator()(Draws& draws) const {
-    if (!any()) return 0;
-    const auto at = std::upper_bound(upto_.begin(), upto_.end(), draws.Unit() * upto_.back());
-    return static_cast<std::uint32_t>(std::min<std::ptrdiff_t>(at - upto_.begin() + 1, std::ssize(upto_)));
+  bool enabled() const { return !cumulative_.empty(); }
+  // The rank of the key drawn, from 1; 0 if requests have no keys.
+  std::uint32_t operator()(RandomStream& draws) const {
+    if (!enabled()) return 0;
+    const auto at =
+        std::upper_bound(cumulative_.begin(), cumulative_.end(), draws.Uniform() * cumulative_.back());
+    return static_cast<std::uint32_t>(
+        std::min<std::ptrdiff_t>(at - cumulative_.begin() + 1, std::ssize(cumulative_)));
   }
 
  private:
-  std::vector<double> upto_;
+  std::vector<double> cumulative_;
 };
 
-// The keys that a server keeps warm: the last `most` that it met, each for `kept` after it was met.
-class WarmKeys {
+// LRU cache of at most `capacity` keys, each valid for `ttl` after its last access.
+class WarmKeyCache {
  public:
-  WarmKeys(std::size_t most, Micros kept) : most_(most), kept_(kept) {}
+  WarmKeyCache(std::size_t capacity, Micros ttl) : capacity_(capacity), ttl_(ttl) {}
 
-  // The server meets the key now. Whether it was warm.
-  bool Meet(std::uint32_t key, Micros now) {
-    const auto known = where_.find(key);
-    const bool warm = known != where_.end() && now - known->second->met <= kept_;
-    if (known != where_.end()) order_.erase(known->second);
-    order_.push_front({key, now});
-    where_[key] = order_.begin();
-    if (order_.size() > most_) {
-      where_.erase(order_.back().key);
-      order_.pop_back();
+  // Records an access; returns whether the key was cached.
+  bool Access(std::uint32_t key, Micros now) {
+    const auto found = index_.find(key);
+    const bool warm = found != index_.end() && now - found->second->accessed_at <= ttl_;
+    if (found != index_.end()) lru_.erase(found->second);
+    lru_.push_front({key, now});
+    index_[key] = lru_.begin();
+    if (lru_.size() > capacity_) {
+      index_.erase(lru_.back().key);
+      lru_.pop_back();
     }
     return warm;
   }
-  std::size_t size() const { return order_.size(); }
+  std::size_t size() const { return lru_.size(); }
 
  private:
-  struct Met {
+  struct Entry {
     std::uint32_t key;
-    Micros met;
+    Micros accessed_at;
   };
-  std::size_t most_;
-  Micros kept_;
-  std::list<Met> order_;  // the latest first
-  std::unordered_map<std::uint32_t, std::list<Met>::iterator> where_;
+  std::size_t capacity_;
+  Micros ttl_;
+  std::list<Entry> lru_;  // most recent first
+  std::unordered_map<std::uint32_t, std::list<Entry>::iterator> index_;
 };
 
 }  // namespace merlinrun::model
--- a/model/random.hpp
+++ b/model/random.hpp
@@ -1,7 +1,7 @@
-// Chance that depends on what it is for and not on how often it was asked: each draw is a function of the
-// day's seed, its purpose and the things it concerns. So two sides of a comparison that act differently still
-// meet the same world. All of it is integer arithmetic and IEEE 754's exact operations, without the C
-// library's logarithms, so that a day is the same to the digit on every machine.
+// Random numbers that are functions of the day's seed, a purpose and the objects concerned, not of the number
+// of previous draws. Sides that act differently therefore see the same random events. Only integer arithmetic
+// and exact IEEE 754 operations are used, not the C library's logarithm, so that results are identical on
+// every machine.
 #ifndef MERLINRUN_MODEL_RANDOM_HPP_
 #define MERLINRUN_MODEL_RANDOM_HPP_
 
@@ -11,7 +11,7 @@
 
 namespace merlinrun::model {
 
-// What a draw is for. The numbers are part of what a seed means: new ones go to the end.
+// The purpose of a random stream. The values are part of the meaning of a seed: add new ones at the end.
 enum class Purpose : std::uint64_t {
   kScenario = 1,
   kServer,
@@ -21,17 +21,17 @@
   kAttempt,
   kRetry,
   kNetwork,
-  kTrouble,
-  kNotice,
-  kShape,
-  kEngine,
+  kIncident,
+  kListDelivery,
+  kLoadPhase,
+  kSidecarSeed,
   kBootstrap,
   kRecording,
   kKey,
   kPause,
 };
 
-// The finishing steps of SplitMix64.
+// The finalizer of SplitMix64.
 constexpr std::uint64_t Mix(std::uint64_t z) {
   z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
   z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
@@ -42,8 +42,8 @@
   return Mix(a + 0x9e3779b97f4a7c15ULL * (b + 1));
 }
 
-// The natural logarithm of a positive normal number, by the series of artanh after reduction to
-// [sqrt(1/2), sqrt(2)): within some units of the last place.
+// Natural logarithm of a positive normal number: artanh series after reduction to [sqrt(1/2), sqrt(2));
+// accurate to a few units in the last place.
 inline double Log(double x) {
   constexpr double kLn2 = 0.6931471805599453094;
   constexpr double kSqrtHalf = 0.7071067811865475244;
@@ -56,7 +56,7 @@
   }
   const double s = (m - 1) / (m + 1);
   const double s2 = s * s;
-  // The odd numbers' reciprocals; the next term is under 1e-17.
+  // Reciprocals of the odd numbers; the next term is below 1e-17.
   constexpr double kTerms[] = {1.0 / 21, 1.0 / 19, 1.0 / 17, 1.0 / 15, 1.0 / 13, 1.0 / 11,
                                1.0 / 9,  1.0 / 7,  1.0 / 5,  1.0 / 3,  1.0};
   double sum = 0;
@@ -64,12 +64,12 @@
   return exponent * kLn2 + 2 * s * sum;
 }
 
-// e to the x, for x within +-700, by Taylor's series after reduction by powers of two.
+// e^x for |x| <= 700: Taylor series after reduction by powers of two.
 inline double Exp(double x) {
   constexpr double kLn2 = 0.6931471805599453094;
   const double k = std::floor(x * (1 / kLn2) + 0.5);
   const double r = x - k * kLn2;
-  // The factorials' reciprocals, from 13 down.
+  // Reciprocals of the factorials, from 13! down.
   constexpr double kTerms[] = {
       1.0 / 6227020800, 1.0 / 479001600, 1.0 / 39916800, 1.0 / 3628800, 1.0 / 362880, 1.0 / 40320, 1.0 / 5040,
       1.0 / 720,        1.0 / 120,       1.0 / 24,       1.0 / 6,       1.0 / 2,      1.0,         1.0};
@@ -78,22 +78,24 @@
   return sum * std::bit_cast<double>(static_cast<std::uint64_t>(1023 + static_cast<std::int64_t>(k)) << 52);
 }
 
-class Draws {
+class RandomStream {
  public:
-  Draws(std::uint64_t seed, Purpose purpose, std::uint64_t a = 0, std::uint64_t b = 0)
+  RandomStream(std::uint64_t seed, Purpose purpose, std::uint64_t a = 0, std::uint64_t b = 0)
       : state_(Hash(Hash(Hash(seed, static_cast<std::uint64_t>(purpose)), a), b)) {}
 
   std::uint64_t Next() { return Mix(state_ += 0x9e3779b97f4a7c15ULL); }
-  double Unit() { return static_cast<double>(Next() >> 11) * 0x1.0p-53; }  // [0, 1)
-  double Between(double low, double high) { return low + (high - low) * Unit(); }
-  std::uint64_t Below(std::uint64_t n) { return static_cast<std::uint64_t>(Unit() * static_cast<double>(n)); }
-  bool Chance(double p) { return Unit() < p; }
-  double Exponential(double mean) { return -mean * Log(1 - Unit()); }
+  double Uniform() { return static_cast<double>(Next() >> 11) * 0x1.0p-53; }  // [0, 1)
+  double UniformBetween(double low, double high) { return low + (high - low) * Uniform(); }
+  std::uint64_t UniformBelow(std::uint64_t n) {
+    return static_cast<std::uint64_t>(Uniform() * static_cast<double>(n));
+  }
+  bool Bernoulli(double p) { return Uniform() < p; }
+  double Exponential(double mean) { return -mean * Log(1 - Uniform()); }
   // Marsaglia's polar method.
   double Normal() {
     for (;;) {
-      const double u = 2 * Unit() - 1;
-      const double v = 2 * Unit() - 1;
+      const double u = 2 * Uniform() - 1;
+      const double v = 2 * Uniform() - 1;
       const double s = u * u + v * v;
       if (s > 0 && s < 1) return u * std::sqrt(-2 * Log(s) / s);
     }
@@ -103,20 +105,20 @@
   std::uint64_t state_;
 };
 
-// A lognormal law by its mean and its coefficient of variation.
+// Lognormal distribution, given its mean and coefficient of variation.
 class Lognormal {
  public:
   Lognormal() = default;
   Lognormal(double mean, double cv)
       : sigma_(std::sqrt(Log(1 + cv * cv))),
         mu_(mean > 0 ? Log(mean) - sigma_ * sigma_ / 2 : 0),
-        zero_(mean <= 0) {}
-  double operator()(Draws& draws) const { return zero_ ? 0 : Exp(mu_ + sigma_ * draws.Normal()); }
+        is_zero_(mean <= 0) {}
+  double operator()(RandomStream& draws) const { return is_zero_ ? 0 : Exp(mu_ + sigma_ * draws.Normal()); }
 
  private:
   double sigma_ = 0;
   double mu_ = 0;
-  bool zero_ = true;
+  bool is_zero_ = true;
 };
 
 }  // namespace merlinrun::model
--- a/model/replay.hpp
+++ b/model/replay.hpp
@@ -1,6 +1,5 @@
-// Traffic from recordings of sidecars, in place of the synthetic one: as it was, scaled, or resampled. A
-// recording holds what clients sent, their retries among it, so that replayed requests are not tried again by
-// the model's clients.
+// Recorded traffic of sidecars in place of synthetic traffic: as recorded, scaled or resampled. Recordings
+// include the clients' retries, so simulated clients don't retry replayed requests.
 #ifndef MERLINRUN_MODEL_REPLAY_HPP_
 #define MERLINRUN_MODEL_REPLAY_HPP_
 
@@ -17,26 +16,25 @@
 struct Replay {
   struct Item {
     Micros at = 0;
-    std::uint32_t its_class = 0;  // of the scenario
+    std::uint32_t class_index = 0;  // index in the scenario's classes
   };
-  // A recording each, in order of time; times count from the recording's first request.
+  // One stream per recording, ordered by time from the recording's first request.
   std::vector<std::vector<Item>> streams;
-  Micros length = 0;  // of the longest
-  double scale = 1;   // so many times the requests, above 0
-  // Each day is put together of pieces of a second, drawn with replacement by its seed: days differ as the
-  // recorded seconds do. Else each day has the requests as they were, and differs in all else.
+  Micros length = 0;  // of the longest recording
+  double scale = 1;   // multiplies the number of requests; above 0
+  // Each day consists of one-second segments drawn with replacement by its seed. Otherwise every day has the
+  // same requests.
   bool resampled = false;
 };
 
-// Takes the recordings' requests. On failure one plain line: a class that the scenario does not have, or
-// nothing recorded.
-std::variant<Replay, std::string> ReplayOf(const std::vector<record::Recording>& recordings,
-                                           const Scenario& scenario);
+// Converts recordings. Returns a one-line error if a class is not in the scenario or nothing was recorded.
+std::variant<Replay, std::string> MakeReplay(const std::vector<record::Recording>& recordings,
+                                             const Scenario& scenario);
 
-// The requests of one sidecar on a day of `length`, in order of time. With fewer recordings than sidecars
-// they are used again, each time from another moment on, so that copies are not in step.
-std::vector<Replay::Item> StreamOf(const Replay& replay, std::uint32_t sidecar, std::uint64_t seed,
-                                   Micros length);
+// The requests of one sidecar for a day of `length`, ordered by time. Recordings are reused if there are
+// fewer than sidecars, each time with another offset.
+std::vector<Replay::Item> SidecarTraffic(const Replay& replay, std::uint32_t sidecar, std::uint64_t seed,
+                                         Micros length);
 
 }  // namespace merlinrun::model
 
--- a/model/report.cpp
+++ b/model/report.cpp
@@ -20,80 +20,84 @@
   return text;
 }
 
-std::vector<double> Of(const std::vector<DayResult>& days,
-                       const std::function<double(const DayResult&)>& figure) {
+std::vector<double> Collect(const std::vector<DayResult>& days,
+                            const std::function<double(const DayResult&)>& metric) {
   std::vector<double> out;
   out.reserve(days.size());
-  for (const DayResult& day : days) out.push_back(figure(day));
+  for (const DayResult& day : days) out.push_back(metric(day));
   return out;
 }
 
-double MeanOf(const std::vector<DayResult>& days, const std::function<double(const DayResult&)>& figure) {
-  return Mean(Of(days, figure));
+double MeanOver(const std::vector<DayResult>& days, const std::function<double(const DayResult&)>& metric) {
+  return Mean(Collect(days, metric));
 }
 
-std::uint64_t Broken(const std::vector<DayResult>& days) {
+std::uint64_t DaysWithViolations(const std::vector<DayResult>& days) {
   return static_cast<std::uint64_t>(std::count_if(days.begin(), days.end(), [](const DayResult& day) {
-    return std::any_of(day.broken.begin(), day.broken.end(), [](auto n) { return n > 0; });
+    return std::any_of(day.violations.begin(), day.violations.end(), [](auto n) { return n > 0; });
   }));
 }
 
-std::uint64_t Faults(const std::vector<DayResult>& days) {
+std::uint64_t DaysWithFault(const std::vector<DayResult>& days) {
   return static_cast<std::uint64_t>(
       std::count_if(days.begin(), days.end(), [](const DayResult& day) { return !day.fault.empty(); }));
 }
 
-// The first line that says why a side's days count for nothing; empty if none does.
-std::string Why(const std::vector<DayResult>& days) {
+// The first reason why a day of this side scores zero; empty if there is none.
+std::string FirstFailure(const std::vector<DayResult>& days) {
   for (const DayResult& day : days) {
     if (!day.fault.empty()) return "seed " + std::to_string(day.seed) + ": " + day.fault;
-    if (!day.lines.empty()) return "seed " + std::to_string(day.seed) + ": " + day.lines.front();
+    if (!day.violation_messages.empty())
+      return "seed " + std::to_string(day.seed) + ": " + day.violation_messages.front();
   }
   return "";
 }
 
-struct Part {  // a difference of a window or a class
+struct PartDifference {  // the difference in one window or class
   std::string name;
   double mean = 0;
-  Interval bar;
+  Interval interval;
 };
 
-using Shares = std::vector<Share> DayResult::*;
+using ShareListMember = std::vector<ServiceShare> DayResult::*;
 
-// The differences by window or by class, with their usual intervals; not corrected for their number.
-std::vector<Part> Parts(const Comparison& comparison, std::size_t side, Shares shares,
-                        const std::function<std::string(std::size_t)>& name) {
-  std::vector<Part> out;
+// Differences by window or class with 95% intervals, not corrected for multiple comparisons.
+std::vector<PartDifference> PartDifferences(const Comparison& comparison, std::size_t side,
+                                            ShareListMember shares,
+                                            const std::function<std::string(std::size_t)>& name) {
+  std::vector<PartDifference> out;
   const auto& base = comparison.days[0];
-  const auto& its = comparison.days[side];
-  const std::size_t pairs = std::min(base.size(), its.size());
+  const auto& other = comparison.days[side];
+  const std::size_t pairs = std::min(base.size(), other.size());
   if (pairs < 2) return out;
   std::size_t count = (base[0].*shares).size();
   for (std::size_t i = 0; i < pairs; ++i)
-    count = std::min({count, (base[i].*shares).size(), (its[i].*shares).size()});
+    count = std::min({count, (base[i].*shares).size(), (other[i].*shares).size()});
   for (std::size_t part = 0; part < count; ++part) {
     std::vector<double> differences;
     for (std::size_t i = 0; i < pairs; ++i)
-      differences.push_back((its[i].*shares)[part].of() - (base[i].*shares)[part].of());
-    out.push_back({name(part), Mean(differences), TInterval(differences, kUsualLevel)});
+      differences.push_back((other[i].*shares)[part].ratio() - (base[i].*shares)[part].ratio());
+    out.push_back({name(part), Mean(differences), TInterval(differences, kReportLevel)});
   }
   return out;
 }
 
-std::vector<Part> ByWindow(const Plan& plan, const Comparison& comparison, std::size_t side) {
-  return Parts(comparison, side, &DayResult::windows, [&](std::size_t i) {
+std::vector<PartDifference> ByWindow(const ComparisonPlan& plan, const Comparison& comparison,
+                                     std::size_t side) {
+  return PartDifferences(comparison, side, &DayResult::windows, [&](std::size_t i) {
     return Format("%.0f s", static_cast<double>(i) * plan.scenario.window_s.low);
   });
 }
-std::vector<Part> ByClass(const Plan& plan, const Comparison& comparison, std::size_t side) {
-  return Parts(comparison, side, &DayResult::classes,
-               [&](std::size_t i) { return plan.scenario.classes[i].name; });
+std::vector<PartDifference> ByClass(const ComparisonPlan& plan, const Comparison& comparison,
+                                    std::size_t side) {
+  return PartDifferences(comparison, side, &DayResult::classes,
+                         [&](std::size_t i) { return plan.scenario.classes[i].name; });
 }
 
-std::string Verdicts(const Difference& d) {
+std::string VerdictText(const Difference& d) {
   std::string out = NameOf(d.verdict);
   if (d.verdict == Verdict::kBetter || d.verdict == Verdict::kWorse)
-    out += d.holds_after_holm ? "" : " (not after correction for the number of sides)";
+    out += d.significant_after_holm ? "" : " (not after correction for the number of sides)";
   return out;
 }
 
@@ -120,7 +124,7 @@
   return out;
 }
 
-// A frame with a value axis; `y` maps a value to its place.
+// An SVG plot with a value axis.
 struct Plot {
   double low;
   double high;
@@ -157,7 +161,7 @@
                                 "#b71c1c", "#00695c", "#5d4037", "#455a64"};
 const char* Colour(std::size_t side) { return kColours[side % std::size(kColours)]; }
 
-std::string ServiceOverTime(const Plan& plan, const Comparison& comparison) {
+std::string ServiceOverTime(const ComparisonPlan& plan, const Comparison& comparison) {
   std::vector<std::vector<double>> lines(plan.sides.size());
   double low = 1;
   std::size_t windows = 0;
@@ -166,7 +170,7 @@
     std::size_t count = days.empty() ? 0 : days[0].windows.size();
     for (const DayResult& day : days) count = std::min(count, day.windows.size());
     for (std::size_t w = 0; w < count; ++w) {
-      lines[side].push_back(MeanOf(days, [w](const DayResult& day) { return day.windows[w].of(); }));
+      lines[side].push_back(MeanOver(days, [w](const DayResult& day) { return day.windows[w].ratio(); }));
       low = std::min(low, lines[side].back());
     }
     windows = std::max(windows, count);
@@ -189,15 +193,15 @@
   return plot.Svg();
 }
 
-std::string Bars(const std::vector<Part>& parts, std::size_t side) {
-  double reach = 0.005;  // no finer: else chance would fill the picture
-  for (const Part& part : parts) reach = std::max({reach, -part.bar.low, part.bar.high});
-  Plot plot{-reach, reach, ""};
+std::string DifferencePlot(const std::vector<PartDifference>& parts, std::size_t side) {
+  double range = 0.005;  // minimum range, so that noise doesn't fill the plot
+  for (const PartDifference& part : parts) range = std::max({range, -part.interval.low, part.interval.high});
+  Plot plot{-range, range, ""};
   plot.Axis();
   for (std::size_t i = 0; i < parts.size(); ++i) {
     const double x = plot.X(i, parts.size());
     plot.body += Format("<line x1='%.1f' x2='%.1f' y1='%.1f' y2='%.1f' stroke='%s' stroke-width='2'/>", x, x,
-                        plot.Y(parts[i].bar.low), plot.Y(parts[i].bar.high), Colour(side));
+                        plot.Y(parts[i].interval.low), plot.Y(parts[i].interval.high), Colour(side));
     plot.body +=
         Format("<circle cx='%.1f' cy='%.1f' r='4' fill='%s'/>", x, plot.Y(parts[i].mean), Colour(side));
     if (parts.size() <= 20 || i % (parts.size() / 10) == 0) plot.Label(i, parts.size(), parts[i].name);
@@ -205,21 +209,22 @@
   return plot.Svg();
 }
 
-nlohmann::json PartsJson(const std::vector<Part>& parts) {
+nlohmann::json PartsJson(const std::vector<PartDifference>& parts) {
   nlohmann::json out = nlohmann::json::array();
-  for (const Part& part : parts)
-    out.push_back({{"name", part.name}, {"mean", part.mean}, {"low", part.bar.low}, {"high", part.bar.high}});
+  for (const PartDifference& part : parts)
+    out.push_back(
+        {{"name", part.name}, {"mean", part.mean}, {"low", part.interval.low}, {"high", part.interval.high}});
   return out;
 }
 
-nlohmann::json SharesJson(const std::vector<Share>& shares) {
+nlohmann::json SharesJson(const std::vector<ServiceShare>& shares) {
   nlohmann::json out = nlohmann::json::array();
-  for (const Share& share : shares) out.push_back({share.asked, share.served});
+  for (const ServiceShare& share : shares) out.push_back({share.requested, share.served});
   return out;
 }
 
-std::vector<Share> SharesFrom(const nlohmann::json& json) {
-  std::vector<Share> out;
+std::vector<ServiceShare> SharesFrom(const nlohmann::json& json) {
+  std::vector<ServiceShare> out;
   for (const auto& item : json) out.push_back({item.at(0).get<double>(), item.at(1).get<double>()});
   return out;
 }
@@ -240,77 +245,79 @@
   return "";
 }
 
-std::string TextReport(const Plan& plan, const Comparison& comparison) {
+std::string TextReport(const ComparisonPlan& plan, const Comparison& comparison) {
   std::string out = Format("scenario %s, seeds from %lu\n\n", plan.scenario.name.c_str(), plan.first_seed);
   out += Format("%-16s %5s %8s %8s %8s %8s %7s %6s %8s\n", "side", "days", "service", "whole", "window",
                 "class", "tries", "rules", "att/req");
   for (std::size_t side = 0; side < plan.sides.size(); ++side) {
     const auto& days = comparison.days[side];
-    const auto per_asked = [](std::uint64_t n, const DayResult& day) {
-      return static_cast<double>(n) / static_cast<double>(std::max<std::uint64_t>(day.asked, 1));
+    const auto per_request = [](std::uint64_t n, const DayResult& day) {
+      return static_cast<double>(n) / static_cast<double>(std::max<std::uint64_t>(day.requests, 1));
     };
     out += Format("%-16s %5zu %8.4f %8.4f %8.4f %8.4f %7.3f %6lu %8.3f\n", plan.sides[side].name.c_str(),
-                  days.size(), MeanOf(days, [](const DayResult& d) { return d.service; }),
-                  MeanOf(days, [](const DayResult& d) { return d.whole.of(); }),
-                  MeanOf(days, [](const DayResult& d) { return Least(d.windows); }),
-                  MeanOf(days, [](const DayResult& d) { return Least(d.classes); }),
-                  MeanOf(days, [&](const DayResult& d) { return per_asked(d.tries, d); }), Broken(days),
-                  MeanOf(days, [&](const DayResult& d) { return per_asked(d.attempts, d); }));
+                  days.size(), MeanOver(days, [](const DayResult& d) { return d.service; }),
+                  MeanOver(days, [](const DayResult& d) { return d.total.ratio(); }),
+                  MeanOver(days, [](const DayResult& d) { return LowestRatio(d.windows); }),
+                  MeanOver(days, [](const DayResult& d) { return LowestRatio(d.classes); }),
+                  MeanOver(days, [&](const DayResult& d) { return per_request(d.tries, d); }),
+                  DaysWithViolations(days),
+                  MeanOver(days, [&](const DayResult& d) { return per_request(d.attempts, d); }));
   }
   for (std::size_t side = 0; side < plan.sides.size(); ++side) {
-    const std::string why = Why(comparison.days[side]);
-    if (!why.empty())
+    const std::string failure = FirstFailure(comparison.days[side]);
+    if (!failure.empty())
       out += Format("%s: %lu days failed, %lu broke a rule; ", plan.sides[side].name.c_str(),
-                    Faults(comparison.days[side]), Broken(comparison.days[side])) +
-             why + "\n";
+                    DaysWithFault(comparison.days[side]), DaysWithViolations(comparison.days[side])) +
+             failure + "\n";
   }
   for (std::size_t side = 1; side < plan.sides.size(); ++side) {
     const Difference& d = comparison.differences[side - 1];
-    out += "\n" + plan.sides[side].name + " against " + plan.sides[0].name + ": " + Verdicts(d) + "\n";
-    out += Format("  difference in service %+.4f, %zu pairs, p %.2g\n", d.mean, d.pairs, d.p);
+    out += "\n" + plan.sides[side].name + " against " + plan.sides[0].name + ": " + VerdictText(d) + "\n";
+    out += Format("  difference in service %+.4f, %zu pairs, p %.2g\n", d.mean, d.pairs, d.p_value);
     out += Format(
         "  95 in 100: t %+.4f to %+.4f, bootstrap %+.4f to %+.4f; kept through all looks and sides: %+.4f to "
         "%+.4f\n",
-        d.t.low, d.t.high, d.bootstrap.low, d.bootstrap.high, d.kept.low, d.kept.high);
-    for (const Part& part : ByClass(plan, comparison, side))
-      out += Format("  %-16s %+.4f  (%+.4f to %+.4f)\n", part.name.c_str(), part.mean, part.bar.low,
-                    part.bar.high);
+        d.t_interval.low, d.t_interval.high, d.bootstrap_interval.low, d.bootstrap_interval.high,
+        d.sequential_interval.low, d.sequential_interval.high);
+    for (const PartDifference& part : ByClass(plan, comparison, side))
+      out += Format("  %-16s %+.4f  (%+.4f to %+.4f)\n", part.name.c_str(), part.mean, part.interval.low,
+                    part.interval.high);
   }
   if (comparison.stopped) out += "\nstopped before it was clear\n";
   return out;
 }
 
-std::string JsonReport(const Plan& plan, const Comparison& comparison) {
+std::string JsonReport(const ComparisonPlan& plan, const Comparison& comparison) {
   nlohmann::json out = {{"format", "fennelhollow-model-report"},
                         {"version", 1},
                         {"scenario", PrintScenario(plan.scenario)},
                         {"first_seed", plan.first_seed},
                         {"level", plan.level},
-                        {"matters", plan.matters},
+                        {"matters", plan.min_effect},
                         {"stopped", comparison.stopped}};
   for (std::size_t side = 0; side < plan.sides.size(); ++side) {
-    nlohmann::json its = {{"name", plan.sides[side].name}, {"days", nlohmann::json::array()}};
-    for (const DayResult& day : comparison.days[side]) its["days"].push_back(ToJson(day));
+    nlohmann::json side_json = {{"name", plan.sides[side].name}, {"days", nlohmann::json::array()}};
+    for (const DayResult& day : comparison.days[side]) side_json["days"].push_back(ToJson(day));
     if (side > 0) {
       const Difference& d = comparison.differences[side - 1];
       const auto pair = [](const Interval& i) { return nlohmann::json::array({i.low, i.high}); };
-      its["difference"] = {{"verdict", NameOf(d.verdict)},
-                           {"pairs", d.pairs},
-                           {"mean", d.mean},
-                           {"t", pair(d.t)},
-                           {"p", d.p},
-                           {"bootstrap", pair(d.bootstrap)},
-                           {"kept", pair(d.kept)},
-                           {"holds_after_correction", d.holds_after_holm},
-                           {"by_class", PartsJson(ByClass(plan, comparison, side))},
-                           {"by_window", PartsJson(ByWindow(plan, comparison, side))}};
+      side_json["difference"] = {{"verdict", NameOf(d.verdict)},
+                                 {"pairs", d.pairs},
+                                 {"mean", d.mean},
+                                 {"t", pair(d.t_interval)},
+                                 {"p", d.p_value},
+                                 {"bootstrap", pair(d.bootstrap_interval)},
+                                 {"kept", pair(d.sequential_interval)},
+                                 {"holds_after_correction", d.significant_after_holm},
+                                 {"by_class", PartsJson(ByClass(plan, comparison, side))},
+                                 {"by_window", PartsJson(ByWindow(plan, comparison, side))}};
     }
-    out["sides"].push_back(std::move(its));
+    out["sides"].push_back(std::move(side_json));
   }
   return out.dump(1) + "\n";
 }
 
-std::string HtmlReport(const Plan& plan, const Comparison& comparison) {
+std::string HtmlReport(const ComparisonPlan& plan, const Comparison& comparison) {
   std::string out =
       "<!DOCTYPE html>\n<html lang='en'><head><meta charset='utf-8'><title>" + Escape(plan.scenario.name) +
       "</title><style>body{font:15px sans-serif;max-width:720px;margin:2em auto}svg text{font:11px "
@@ -319,8 +326,9 @@
   out += "<h2>Service over time</h2>\n" + ServiceOverTime(plan, comparison);
   for (std::size_t side = 1; side < plan.sides.size(); ++side) {
     out += "<h2>" + Escape(plan.sides[side].name) + " less " + Escape(plan.sides[0].name) +
-           "</h2>\n<h3>by window (95 in 100)</h3>\n" + Bars(ByWindow(plan, comparison, side), side) +
-           "<h3>by class (95 in 100)</h3>\n" + Bars(ByClass(plan, comparison, side), side);
+           "</h2>\n<h3>by window (95 in 100)</h3>\n" +
+           DifferencePlot(ByWindow(plan, comparison, side), side) + "<h3>by class (95 in 100)</h3>\n" +
+           DifferencePlot(ByClass(plan, comparison, side), side);
   }
   return out + "</body></html>\n";
 }
@@ -330,10 +338,10 @@
           {"service", day.service},
           {"windows", SharesJson(day.windows)},
           {"classes", SharesJson(day.classes)},
-          {"broken", day.broken},
-          {"lines", day.lines},
+          {"broken", day.violations},
+          {"lines", day.violation_messages},
           {"fault", day.fault},
-          {"asked", day.asked},
+          {"asked", day.requests},
           {"tries", day.tries},
           {"served", day.served},
           {"late", day.late},
@@ -341,10 +349,10 @@
           {"failed", day.failed},
           {"attempts", day.attempts},
           {"connections", day.connections},
-          {"crossings", day.crossings},
-          {"fell", day.fell},
+          {"crossings", day.cross_zone_attempts},
+          {"fell", day.overload_crashes},
           {"events", day.events},
-          {"whole", {day.whole.asked, day.whole.served}}};
+          {"whole", {day.total.requested, day.total.served}}};
 }
 
 DayResult FromJson(const nlohmann::json& json) {
@@ -353,10 +361,10 @@
   json.at("service").get_to(day.service);
   day.windows = SharesFrom(json.at("windows"));
   day.classes = SharesFrom(json.at("classes"));
-  json.at("broken").get_to(day.broken);
-  json.at("lines").get_to(day.lines);
+  json.at("broken").get_to(day.violations);
+  json.at("lines").get_to(day.violation_messages);
   json.at("fault").get_to(day.fault);
-  json.at("asked").get_to(day.asked);
+  json.at("asked").get_to(day.requests);
   json.at("tries").get_to(day.tries);
   json.at("served").get_to(day.served);
   json.at("late").get_to(day.late);
@@ -364,10 +372,10 @@
   json.at("failed").get_to(day.failed);
   json.at("attempts").get_to(day.attempts);
   json.at("connections").get_to(day.connections);
-  json.at("crossings").get_to(day.crossings);
-  json.at("fell").get_to(day.fell);
+  json.at("crossings").get_to(day.cross_zone_attempts);
+  json.at("fell").get_to(day.overload_crashes);
   json.at("events").get_to(day.events);
-  day.whole = {json.at("whole").at(0).get<double>(), json.at("whole").at(1).get<double>()};
+  day.total = {json.at("whole").at(0).get<double>(), json.at("whole").at(1).get<double>()};
   return day;
 }
 
--- a/model/report.hpp
+++ b/model/report.hpp
@@ -1,5 +1,4 @@
-// What a comparison came to, for people (text, one HTML page without anything from elsewhere) and for
-// programs (JSON). The same comparison gives the same bytes.
+// Reports of a comparison as text, as one self-contained HTML page and as JSON. The output is deterministic.
 #ifndef MERLINRUN_MODEL_REPORT_HPP_
 #define MERLINRUN_MODEL_REPORT_HPP_
 
@@ -10,13 +9,13 @@
 
 namespace merlinrun::model {
 
-std::string TextReport(const Plan& plan, const Comparison& comparison);
-std::string JsonReport(const Plan& plan, const Comparison& comparison);
-std::string HtmlReport(const Plan& plan, const Comparison& comparison);
+std::string TextReport(const ComparisonPlan& plan, const Comparison& comparison);
+std::string JsonReport(const ComparisonPlan& plan, const Comparison& comparison);
+std::string HtmlReport(const ComparisonPlan& plan, const Comparison& comparison);
 
 const char* NameOf(Verdict verdict);
 
-// A day as JSON, and back. FromJson throws nlohmann::json::exception on what is no day.
+// JSON form of a day's result. FromJson throws nlohmann::json::exception if the input is invalid.
 nlohmann::json ToJson(const DayResult& day);
 DayResult FromJson(const nlohmann::json& json);
 
--- a/model/server.hpp
+++ b/model/server.hpp
@@ -1,5 +1,5 @@
-// A modelled activation server: slots, a queue, cores that are shared evenly among what wants them, a cold
-// start, and the ways in which it grows slow. It knows attempts by number alone; who they are is the world's.
+// A simulated activation server: request slots, a bounded queue, processor sharing among its cores, a cold
+// start, and several ways to slow down under load. It knows attempts only by number.
 #ifndef MERLINRUN_MODEL_SERVER_HPP_
 #define MERLINRUN_MODEL_SERVER_HPP_
 
@@ -12,8 +12,8 @@
 
 namespace merlinrun::model {
 
-// Times in microseconds.
-struct ServerFigures {
+// Times are in microseconds.
+struct ServerParameters {
   double cores = 4;
   double speed = 1;
   std::size_t slots = 68;
@@ -21,97 +21,98 @@
   double thrash = 0;
   double thrash_at = 0;
   double cold_share = 1;
-  Micros cold_for = 0;
+  Micros warmup_time = 0;
   std::uint32_t connections = 76;
   bool chokes = false;
-  double choke_at = 0;  // requests that wait for each core
-  Micros choke_over = 0;
-  double choke_slower = 1;
-  Micros choke_rest = 0;
-  double choke_below = 0;  // requests held for each core
-  Micros choke_most = 0;
+  double choke_at = 0;  // waiting requests per core
+  Micros choke_after = 0;
+  double choke_slowdown = 1;
+  Micros choke_recovery = 0;
+  double choke_below = 0;  // requests in the server per core
+  Micros choke_max = 0;
 };
 
 class Server {
  public:
-  explicit Server(const ServerFigures& figures, Micros started) : figures_(figures), started_(started) {}
+  explicit Server(const ServerParameters& parameters, Micros started)
+      : parameters_(parameters), started_at_(started) {}
 
-  // Warmth and capacity: of its full speed, 0 to 1; standard core microseconds a microsecond.
-  double Warmth(Micros now) const;
-  double Capacity(Micros now) const { return figures_.cores * figures_.speed * Warmth(now); }
+  // The share of full speed reached since the start, 0 to 1.
+  double WarmupFactor(Micros now) const;
+  double Capacity(Micros now) const { return parameters_.cores * parameters_.speed * WarmupFactor(now); }
 
-  enum class Place { kSlot, kQueue, kNone };
-  // An attempt has arrived. kNone: it is full, and keeps nothing of it.
-  Place Take(Micros now, std::uint64_t attempt);
-  // An attempt that has a slot wants the cores for `work`, in microseconds of a standard one.
-  void Work(Micros now, std::uint64_t attempt, double work);
-  // An attempt leaves its slot, on the cores or not. The one that gets the slot, if one waits for it; `alive`
-  // says whether a waiting one is still wanted.
-  template <typename Alive>
-  std::optional<std::uint64_t> Leave(Micros now, bool on_cores, const Alive& alive) {
+  enum class Admission { kSlot, kQueue, kRejected };
+  // Admits an attempt to a slot or the queue; kRejected when both are full.
+  Admission Admit(Micros now, std::uint64_t attempt);
+  // An attempt in a slot starts `work` microseconds of work on a standard core.
+  void StartWork(Micros now, std::uint64_t attempt, double work);
+  // Frees an attempt's slot and gives it to the next live attempt in the queue, if any, which is returned.
+  // `on_core`: the attempt was running.
+  template <typename IsLive>
+  std::optional<std::uint64_t> ReleaseSlot(Micros now, bool on_core, const IsLive& is_live) {
     Advance(now);
-    --held_;
-    if (on_cores) --on_cores_;
+    --slots_in_use_;
+    if (on_core) --running_;
     std::optional<std::uint64_t> next;
     while (!queue_.empty() && !next) {
-      if (alive(queue_.front())) next = queue_.front();
+      if (is_live(queue_.front())) next = queue_.front();
       queue_.pop_front();
     }
     if (next) {
-      --queued_;
-      ++held_;
+      --waiting_;
+      ++slots_in_use_;
     }
-    Reckon(now);
+    UpdateRate(now);
     return next;
   }
-  // A waiting attempt is not wanted any more; Leave passes over it when its turn comes.
-  void LeaveQueue(Micros now);
-  // What the cores have finished by now. Calls Leave for none of them.
-  template <typename Alive>
-  void Finished(Micros now, const Alive& alive, std::vector<std::uint64_t>& out) {
+  // A queued attempt was cancelled. ReleaseSlot skips it later.
+  void AbandonQueue(Micros now);
+  // Appends the attempts whose work is complete. Doesn't release their slots.
+  template <typename IsLive>
+  void CollectFinished(Micros now, const IsLive& is_live, std::vector<std::uint64_t>& finished) {
     Advance(now);
-    while (!work_.empty() && (work_.front().end <= done_ + kEnough || !alive(work_.front().attempt))) {
-      if (alive(work_.front().attempt)) out.push_back(work_.front().attempt);
+    while (!work_.empty() &&
+           (work_.front().finish <= work_per_item_ + kWorkTolerance || !is_live(work_.front().attempt))) {
+      if (is_live(work_.front().attempt)) finished.push_back(work_.front().attempt);
       PopWork();
     }
   }
-  // When Finished is next worth a call; 0 = never, unless something changes.
-  Micros due(Micros now) const;
-  // It stands still until then: nothing on its cores goes on. A longer standstill under way is kept. Refresh
-  // it when it is over.
+  // When CollectFinished should be called next; 0 if not before the state changes.
+  Micros NextCompletion(Micros now) const;
+  // Stops all work until `until`, or until a longer pause in progress ends. Call Refresh at the end.
   void Pause(Micros now, Micros until);
-  // Its speed changes by itself while it is cold or choked: brings it up to date.
+  // Recomputes the speed, which changes with time while the server is cold or choked.
   void Refresh(Micros now);
   bool choked() const { return choked_; }
-  std::size_t held() const { return held_ + queued_; }
+  std::size_t occupancy() const { return slots_in_use_ + waiting_; }
 
-  const ServerFigures& figures() const { return figures_; }
-  Micros started() const { return started_; }
+  const ServerParameters& parameters() const { return parameters_; }
+  Micros started() const { return started_at_; }
 
  private:
-  struct Item {
-    double end = 0;  // it is done when each has been given so much work
+  struct WorkItem {
+    double finish = 0;  // value of work_per_item_ at which it is complete
     std::uint64_t attempt = 0;
   };
-  static constexpr double kEnough = 1e-3;  // a nanosecond of work: what rounding may leave
+  static constexpr double kWorkTolerance = 1e-3;  // tolerance for rounding: a nanosecond of work
 
   void Advance(Micros now);
-  void Reckon(Micros now);
-  void Choke(Micros now);
+  void UpdateRate(Micros now);
+  void UpdateChoke(Micros now);
   void PopWork();
 
-  const ServerFigures figures_;
-  const Micros started_;
+  const ServerParameters parameters_;
+  const Micros started_at_;
   std::deque<std::uint64_t> queue_;
-  std::size_t queued_ = 0;  // of them, those that are still wanted
-  std::size_t held_ = 0;    // slots in use
-  std::size_t on_cores_ = 0;
-  std::vector<Item> work_;  // a heap, the earliest end first
-  double done_ = 0;         // work that each on the cores has been given since the start
-  double rate_ = 0;         // ... a microsecond
-  Micros at_ = 0;
-  Micros crowded_since_ = -1;  // -1 = is not
-  Micros calm_since_ = -1;
+  std::size_t waiting_ = 0;  // live attempts in queue_
+  std::size_t slots_in_use_ = 0;
+  std::size_t running_ = 0;
+  std::vector<WorkItem> work_;  // min-heap by finish
+  double work_per_item_ = 0;    // work done so far per running item (virtual time of processor sharing)
+  double rate_ = 0;             // rate of work_per_item_ per microsecond
+  Micros updated_at_ = 0;
+  Micros crowded_since_ = -1;  // -1 if it is not
+  Micros idle_since_ = -1;
   Micros choked_at_ = 0;
   bool choked_ = false;
   Micros paused_until_ = 0;
--- a/model/side.hpp
+++ b/model/side.hpp
@@ -1,4 +1,4 @@
-// A side of a comparison as it is named on the command line.
+// Parses sides of a comparison from the command line.
 #ifndef MERLINRUN_MODEL_SIDE_HPP_
 #define MERLINRUN_MODEL_SIDE_HPP_
 
@@ -6,15 +6,15 @@
 #include <string_view>
 #include <variant>
 
-#include "model/world.hpp"
+#include "model/simulation.hpp"
 
 namespace merlinrun::model {
 
-// "NAME" or "NAME:setting=value,...": this build's module with its tuning changed, or with
-// program=PATH another build's. On failure one plain line.
+// "NAME" or "NAME:setting=value,...": the balancer of this build with changed tuning, or with program=PATH
+// another build. Returns a one-line error on failure.
 std::variant<Side, std::string> ParseSide(std::string_view text);
 
-// What can be set, a line each, with its default and meaning.
+// Help text of all settings, one per line, with defaults.
 std::string SideSettings();
 
 }  // namespace merlinrun::model
--- a/model/sidecars.hpp
+++ b/model/sidecars.hpp
@@ -1,6 +1,5 @@
-// The sidecars of one day, as one side of a comparison runs them. The world tells them what happens and is
-// told what they do. Two ways: the module of this build within the process, or a build's adapter program over
-// the bench's wire.
+// Interface between the simulation and the sidecars of one side. Implementations: the balancer of this build
+// in the process, or the adapter program of another build.
 #ifndef MERLINRUN_MODEL_SIDECARS_HPP_
 #define MERLINRUN_MODEL_SIDECARS_HPP_
 
@@ -15,7 +14,7 @@
 
 namespace merlinrun::model {
 
-// What sidecars do. Called from within the calls to Sidecars, or from its Flush.
+// Actions of sidecars, called during calls to Sidecars or from its Flush.
 class Actions {
  public:
   virtual ~Actions() = default;
@@ -25,32 +24,32 @@
   virtual void Refuse(std::uint32_t sidecar, std::string_view request, Micros retry_after) = 0;
   virtual void Fail(std::uint32_t sidecar, std::string_view request) = 0;
   virtual void SetTimer(std::uint32_t sidecar, Micros delay, std::uint64_t token) = 0;
-  // The decision code is broken: the day is over for this side. One line.
-  virtual void Fault(std::string what) = 0;
+  // The decision code failed, which ends the day for this side. `message`: one line.
+  virtual void Fault(std::string message) = 0;
 };
 
 class Sidecars {
  public:
   virtual ~Sidecars() = default;
-  // Settings of the sidecar: its rank and zone are set.
+  // `settings` has the sidecar's index and zone.
   virtual void Start(std::uint32_t sidecar, const Settings& settings, std::uint64_t seed, Micros now) = 0;
   virtual void Stop(std::uint32_t sidecar, Micros now) = 0;
   virtual void OnServers(std::uint32_t sidecar, Micros now, const ListUpdate& update) = 0;
   virtual void OnRequest(std::uint32_t sidecar, Micros now, const Request& request) = 0;
-  // `server`: where the attempt was sent.
+  // `server`: the target of the attempt.
   virtual void OnOutcome(std::uint32_t sidecar, Micros now, const Outcome& outcome,
                          std::string_view server) = 0;
   virtual void OnClientGone(std::uint32_t sidecar, Micros now, std::string_view request) = 0;
   virtual void OnTimer(std::uint32_t sidecar, Micros now, std::uint64_t token) = 0;
-  // All that happened at `now` has been told.
+  // Ends a batch: all events at `now` were delivered.
   virtual void Flush(Micros now) = 0;
 };
 
-// Makes the sidecars of a day for an Actions that outlives them.
-using MakeSidecars = std::function<std::unique_ptr<Sidecars>(Actions&)>;
+// Creates the sidecars of a day. The Actions must outlive them.
+using SidecarsFactory = std::function<std::unique_ptr<Sidecars>(Actions&)>;
 
-// This build's module, with its tuning in the settings.
-std::unique_ptr<Sidecars> InProcess(Actions& actions);
+// The balancer of this build, with the tuning in its settings.
+std::unique_ptr<Sidecars> MakeInProcessSidecars(Actions& actions);
 
 }  // namespace merlinrun::model
 
--- a/model/statistics.cpp
+++ b/model/statistics.cpp
@@ -12,22 +12,21 @@
 namespace {
 
 constexpr std::size_t kResamples = 2'000;
-// Below this a spread is rounding and no chance; guards against dividing by it.
-constexpr double kNoSpread = 1e-12;
+// A smaller standard error is rounding; avoids dividing by it.
+constexpr double kMinSpread = 1e-12;
 
-// The standard error of the mean.
-double ErrorOf(const std::vector<double>& values, double mean) {
+double StandardError(const std::vector<double>& values, double mean) {
   double sum = 0;
   for (const double value : values) sum += (value - mean) * (value - mean);
   const auto n = static_cast<double>(values.size());
   return std::sqrt(sum / (n - 1) / n);
 }
 
-double At(const std::vector<double>& sorted, double q) {
-  const double place = q * static_cast<double>(sorted.size() - 1);
-  const auto below = static_cast<std::size_t>(place);
-  const std::size_t above = std::min(below + 1, sorted.size() - 1);
-  return sorted[below] + (place - static_cast<double>(below)) * (sorted[above] - sorted[below]);
+double Quantile(const std::vector<double>& sorted, double probability) {
+  const double position = probability * static_cast<double>(sorted.size() - 1);
+  const auto lower = static_cast<std::size_t>(position);
+  const std::size_t upper = std::min(lower + 1, sorted.size() - 1);
+  return sorted[lower] + (position - static_cast<double>(lower)) * (sorted[upper] - sorted[lower]);
 }
 
 }  // namespace
@@ -39,35 +38,37 @@
 
 Interval TInterval(const std::vector<double>& values, double level) {
   const double mean = Mean(values);
-  const boost::math::students_t law(static_cast<double>(values.size() - 1));
-  const double reach = boost::math::quantile(boost::math::complement(law, level / 2)) * ErrorOf(values, mean);
-  return {mean - reach, mean + reach};
+  const boost::math::students_t distribution(static_cast<double>(values.size() - 1));
+  const double half_width =
+      boost::math::quantile(boost::math::complement(distribution, level / 2)) * StandardError(values, mean);
+  return {mean - half_width, mean + half_width};
 }
 
 Interval BootstrapInterval(const std::vector<double>& values, double level, std::uint64_t seed) {
   const double mean = Mean(values);
-  const double error = ErrorOf(values, mean);
-  if (error < kNoSpread) return {mean, mean};
-  Draws draws(seed, Purpose::kBootstrap, values.size());
+  const double error = StandardError(values, mean);
+  if (error < kMinSpread) return {mean, mean};
+  RandomStream draws(seed, Purpose::kBootstrap, values.size());
   std::vector<double> studentized;
   std::vector<double> sample(values.size());
   while (studentized.size() < kResamples) {
-    for (double& value : sample) value = values[draws.Below(values.size())];
-    const double its_mean = Mean(sample);
-    const double its_error = ErrorOf(sample, its_mean);
-    // One value drawn each time: it has no spread to divide by. Rare, and drawn again.
-    if (its_error >= kNoSpread) studentized.push_back((its_mean - mean) / its_error);
+    for (double& value : sample) value = values[draws.UniformBelow(values.size())];
+    const double sample_mean = Mean(sample);
+    const double sample_error = StandardError(sample, sample_mean);
+    // A sample of one repeated value has no spread to divide by: drawn again.
+    if (sample_error >= kMinSpread) studentized.push_back((sample_mean - mean) / sample_error);
   }
   std::sort(studentized.begin(), studentized.end());
-  return {mean - error * At(studentized, 1 - level / 2), mean - error * At(studentized, level / 2)};
+  return {mean - error * Quantile(studentized, 1 - level / 2),
+          mean - error * Quantile(studentized, level / 2)};
 }
 
 double PValue(const std::vector<double>& values) {
   const double mean = Mean(values);
-  const double error = ErrorOf(values, mean);
-  if (error < kNoSpread) return std::fabs(mean) < kNoSpread ? 1 : 0;
-  const boost::math::students_t law(static_cast<double>(values.size() - 1));
-  return 2 * boost::math::cdf(boost::math::complement(law, std::fabs(mean) / error));
+  const double error = StandardError(values, mean);
+  if (error < kMinSpread) return std::fabs(mean) < kMinSpread ? 1 : 0;
+  const boost::math::students_t distribution(static_cast<double>(values.size() - 1));
+  return 2 * boost::math::cdf(boost::math::complement(distribution, std::fabs(mean) / error));
 }
 
 std::vector<bool> Holm(const std::vector<double>& p_values, double level) {
@@ -83,25 +84,27 @@
   return out;
 }
 
-Looks::Looks(std::size_t first, std::size_t most, double level) {
-  for (std::size_t n = std::max<std::size_t>(first, 2); n < most; n += std::max<std::size_t>(n / 2, 1))
+SequentialLooks::SequentialLooks(std::size_t first_look, std::size_t max_pairs, double level) {
+  for (std::size_t n = std::max<std::size_t>(first_look, 2); n < max_pairs;
+       n += std::max<std::size_t>(n / 2, 1))
     pairs_.push_back(n);
-  pairs_.push_back(std::max<std::size_t>(most, 2));
-  const boost::math::normal law;
-  const double z = boost::math::quantile(boost::math::complement(law, level / 2));
-  double spent = 0;
+  pairs_.push_back(std::max<std::size_t>(max_pairs, 2));
+  const boost::math::normal distribution;
+  const double z = boost::math::quantile(boost::math::complement(distribution, level / 2));
+  double spent_level = 0;
   for (const std::size_t n : pairs_) {
-    const double part = static_cast<double>(n) / static_cast<double>(pairs_.back());
-    const double upto = 2 * boost::math::cdf(boost::math::complement(law, z / std::sqrt(part)));
-    levels_.push_back(std::max(upto - spent, 1e-12));
-    spent = upto;
+    const double information = static_cast<double>(n) / static_cast<double>(pairs_.back());
+    const double cumulative_level =
+        2 * boost::math::cdf(boost::math::complement(distribution, z / std::sqrt(information)));
+    levels_.push_back(std::max(cumulative_level - spent_level, 1e-12));
+    spent_level = cumulative_level;
   }
 }
 
-Verdict Decide(const std::vector<double>& differences, double level, double matters) {
+Verdict Decide(const std::vector<double>& differences, double level, double min_effect) {
   if (PValue(differences) < level) return Mean(differences) > 0 ? Verdict::kBetter : Verdict::kWorse;
   const Interval interval = TInterval(differences, level);
-  return interval.low > -matters && interval.high < matters ? Verdict::kSame : Verdict::kUnclear;
+  return interval.low > -min_effect && interval.high < min_effect ? Verdict::kSame : Verdict::kUnclear;
 }
 
 }  // namespace merlinrun::model
--- a/model/store.cpp
+++ b/model/store.cpp
@@ -12,7 +12,7 @@
 namespace merlinrun::model {
 namespace {
 
-std::uint64_t HashOf(const std::string& text) {
+std::uint64_t HashText(const std::string& text) {
   std::uint64_t hash = text.size();
   for (const char c : text) hash = Hash(hash, static_cast<unsigned char>(c));
   return hash;
@@ -22,11 +22,12 @@
 
 std::string SideKey(const Scenario& scenario, const std::string& side, const std::string& program) {
   char text[20];
-  std::snprintf(text, sizeof text, "%016lx", HashOf(PrintScenario(scenario) + "\n" + side + "\n" + program));
+  std::snprintf(text, sizeof text, "%016lx",
+                HashText(PrintScenario(scenario) + "\n" + side + "\n" + program));
   return text;
 }
 
-Store::Store(const std::string& file, std::vector<std::string> keys) : keys_(std::move(keys)) {
+DayStore::DayStore(const std::string& file, std::vector<std::string> keys) : keys_(std::move(keys)) {
   std::ifstream in(file);
   for (std::string line; std::getline(in, line);) {
     const auto json = nlohmann::json::parse(line, nullptr, /*allow_exceptions=*/false);
@@ -36,7 +37,7 @@
         if (json["key"] != keys_[side]) continue;
         DayResult day = FromJson(json["day"]);
         const std::uint64_t seed = day.seed;
-        known_[{side, seed}] = std::move(day);
+        completed_[{side, seed}] = std::move(day);
       }
     } catch (const nlohmann::json::exception&) {
       continue;
@@ -44,10 +45,10 @@
   }
   file_.reset(std::fopen(file.c_str(), "a"));
   if (file_ == nullptr) throw std::runtime_error(file + ": can't be written to");
-  std::fputc('\n', file_.get());  // ends a line that was cut off
+  std::fputc('\n', file_.get());  // terminates a truncated line
 }
 
-void Store::Add(std::size_t side, const DayResult& day) {
+void DayStore::Add(std::size_t side, const DayResult& day) {
   const std::string line = nlohmann::json{{"key", keys_[side]}, {"day", ToJson(day)}}.dump() + "\n";
   std::fwrite(line.data(), 1, line.size(), file_.get());
   std::fflush(file_.get());
--- a/model/store.hpp
+++ b/model/store.hpp
@@ -1,6 +1,5 @@
-// Days that were played, in a file that a later run goes on from: a line each, as soon as it is over, so that
-// an end at any moment loses the days under way at most. A line that is cut off or of another comparison is
-// passed over.
+// File of finished days from which a later run resumes. Each day is one JSON line, flushed at once. Truncated
+// lines and lines of other comparisons are skipped.
 #ifndef MERLINRUN_MODEL_STORE_HPP_
 #define MERLINRUN_MODEL_STORE_HPP_
 
@@ -12,15 +11,15 @@
 
 namespace merlinrun::model {
 
-// What days depend on beside their seed: the scenario, the side, and the program that played them.
+// Hash of everything besides the seed that determines a day: scenario, side and program.
 std::string SideKey(const Scenario& scenario, const std::string& side, const std::string& program);
 
-class Store {
+class DayStore {
  public:
-  // `keys`: of the sides. Throws std::runtime_error, with one plain line, if the file can't be had.
-  Store(const std::string& file, std::vector<std::string> keys);
+  // `keys`: of the sides. Throws std::runtime_error if the file can't be opened.
+  DayStore(const std::string& file, std::vector<std::string> keys);
 
-  const Known& known() const { return known_; }
+  const CompletedDays& completed() const { return completed_; }
   void Add(std::size_t side, const DayResult& day);
 
  private:
@@ -28,7 +27,7 @@
     void operator()(std::FILE* file) const { std::fclose(file); }
   };
   const std::vector<std::string> keys_;
-  Known known_;
+  CompletedDays completed_;
   std::unique_ptr<std::FILE, Close> file_;
 };
 
--- a/tests/model/scenario_test.cpp
+++ b/tests/model/scenario_test.cpp
@@ -1,4 +1,4 @@
-// The scenario file: it is read back as it was printed, and each slip gets one line that says where.
+// Scenario files and the command-line syntax of sides: round trip, defaults, error positions.
 #include "model/scenario.hpp"
 
 #include <gtest/gtest.h>
@@ -8,30 +8,30 @@
 namespace merlinrun::model {
 namespace {
 
-std::string Error(const std::string& text) {
+std::string ParseErrorOf(const std::string& text) {
   const auto read = ParseScenario(text, "day.toml");
   const auto* const error = std::get_if<std::string>(&read);
   return error == nullptr ? "" : *error;
 }
 
-TEST(ScenarioTest, IsReadBackAsItWasPrinted) {
+TEST(ScenarioTest, RoundTrips) {
   Scenario scenario = DefaultScenario();
   scenario.name = "launch";
   scenario.requests_per_s = {2'900, 3'100.5};
-  Trouble dear;
-  dear.kind = Trouble::Kind::kClassDear;
-  dear.of_class = "activate";
-  dear.size = {12, 28};
-  Trouble lost;
-  scenario.troubles = {dear, lost};
+  Incident expensive;
+  expensive.kind = Incident::Kind::kClassExpensive;
+  expensive.target_class = "activate";
+  expensive.size = {12, 28};
+  Incident lost;
+  scenario.incidents = {expensive, lost};
   const std::string printed = PrintScenario(scenario);
   const auto read = ParseScenario(printed, "day.toml");
   ASSERT_TRUE(std::holds_alternative<Scenario>(read)) << std::get<std::string>(read);
   EXPECT_EQ(PrintScenario(std::get<Scenario>(read)), printed);
-  EXPECT_EQ(std::get<Scenario>(read).troubles[0].of_class, "activate");
+  EXPECT_EQ(std::get<Scenario>(read).incidents[0].target_class, "activate");
 }
 
-TEST(ScenarioTest, WhatIsLeftOutKeepsItsDefault) {
+TEST(ScenarioTest, OmittedParametersKeepDefaults) {
   const auto read = ParseScenario("[fleet]\nservers = 5\n", "day.toml");
   ASSERT_TRUE(std::holds_alternative<Scenario>(read));
   EXPECT_EQ(std::get<Scenario>(read).servers.low, 5);
@@ -39,27 +39,29 @@
   EXPECT_EQ(std::get<Scenario>(read).classes.size(), 4U);
 }
 
-TEST(ScenarioTest, SaysWhatIsWrongAndWhere) {
-  EXPECT_EQ(Error("[fleet]\nservers = 0\n"),
+TEST(ScenarioTest, ErrorsHavePositions) {
+  EXPECT_EQ(ParseErrorOf("[fleet]\nservers = 0\n"),
             "day.toml:2:11: servers: a number from 1 to 4000, or a range [low, high] of such, is needed");
-  EXPECT_EQ(Error("[fleet]\nservers = [9, 8]\n"),
+  EXPECT_EQ(ParseErrorOf("[fleet]\nservers = [9, 8]\n"),
             "day.toml:2:11: servers: a number from 1 to 4000, or a range [low, high] of such, is needed");
-  EXPECT_EQ(Error("[fleet]\nserver = 9\n"), "day.toml:2:10: unknown figure 'server'");
-  EXPECT_EQ(Error("[flet]\n"), "day.toml:1:1: unknown part 'flet'");
-  EXPECT_EQ(Error("fleet = 3\n"), "day.toml:1:9: fleet: a table is needed");
-  EXPECT_NE(Error("[fleet\n").find("day.toml:1:"), std::string::npos);
-  EXPECT_NE(Error("[[trouble]]\nkind = \"flood\"\n").find("kind: one of servers-lost, "), std::string::npos);
-  EXPECT_NE(Error("[[trouble]]\nkind = \"class-dear\"\nclass = \"x\"\n").find("there is no class 'x'"),
+  EXPECT_EQ(ParseErrorOf("[fleet]\nserver = 9\n"), "day.toml:2:10: unknown figure 'server'");
+  EXPECT_EQ(ParseErrorOf("[flet]\n"), "day.toml:1:1: unknown part 'flet'");
+  EXPECT_EQ(ParseErrorOf("fleet = 3\n"), "day.toml:1:9: fleet: a table is needed");
+  EXPECT_NE(ParseErrorOf("[fleet\n").find("day.toml:1:"), std::string::npos);
+  EXPECT_NE(ParseErrorOf("[[trouble]]\nkind = \"flood\"\n").find("kind: one of servers-lost, "),
             std::string::npos);
-  EXPECT_NE(Error("[[class]]\nname = \"a\"\nrepeat = \"safe\"\n[[class]]\nname = \"a\"\nrepeat = \"safe\"\n")
-                .find("class 'a' stands there twice"),
+  EXPECT_NE(ParseErrorOf("[[trouble]]\nkind = \"class-dear\"\nclass = \"x\"\n").find("there is no class 'x'"),
             std::string::npos);
-  EXPECT_NE(Error("[[class]]\nname = \"a\"\nrepeat = \"safe\"\nshare = 0\n").find("share: all kinds"),
+  EXPECT_NE(
+      ParseErrorOf("[[class]]\nname = \"a\"\nrepeat = \"safe\"\n[[class]]\nname = \"a\"\nrepeat = \"safe\"\n")
+          .find("class 'a' stands there twice"),
+      std::string::npos);
+  EXPECT_NE(ParseErrorOf("[[class]]\nname = \"a\"\nrepeat = \"safe\"\nshare = 0\n").find("share: all kinds"),
             std::string::npos);
-  EXPECT_NE(Error("kind = 3\n").find("[[kind]] tables are needed"), std::string::npos);
+  EXPECT_NE(ParseErrorOf("kind = 3\n").find("[[kind]] tables are needed"), std::string::npos);
 }
 
-TEST(ScenarioTest, ADayIsDrawnByItsSeed) {
+TEST(ScenarioTest, DaysAreDrawnBySeed) {
   const Scenario scenario = DefaultScenario();
   const Scenario one = DrawDay(scenario, 1);
   EXPECT_EQ(PrintScenario(one), PrintScenario(DrawDay(scenario, 1)));
@@ -69,7 +71,7 @@
   EXPECT_EQ(one.servers.low, one.servers.high);
 }
 
-TEST(SideTest, IsReadFromOneWord) {
+TEST(SideTest, ParsesCommandLineForm) {
   const auto side = ParseSide("wide:window_width=6,jitter=0.5,cold_care=0,warm_care=0,salt=3");
   ASSERT_TRUE(std::holds_alternative<Side>(side));
   EXPECT_EQ(std::get<Side>(side).tuning.window_width, 6U);
