--- a/examples/main.cpp
+++ b/examples/main.cpp
@@ -16,9 +16,9 @@
     sent.emplace_back(request, server);
   }
   void Cancel(std::string_view, int) override {}
-  void Refuse(std::string_view request, merlinrun::Micros after, merlinrun::Cause) override {
-    std::printf("refuse  %s, back after %lld us\n", std::string(request).c_str(),
-                static_cast<long long>(after));
+  void Refuse(std::string_view request, merlinrun::Micros retry_after, merlinrun::Cause) override {
+    std::printf("refuse  %s, retry after %lld us\n", std::string(request).c_str(),
+                static_cast<long long>(retry_after));
   }
   void Fail(std::string_view request, merlinrun::Cause) override {
     std::printf("fail    %s\n", std::string(request).c_str());
@@ -36,12 +36,12 @@
 int main() {
   using namespace merlinrun;
   Settings settings;
-  RequestClass look;
-  look.name = "look";
-  look.latency_target = 500'000;
-  look.deadline = 2'000'000;
-  look.retry_safety = RetrySafety::kSafe;
-  settings.classes = {look};
+  RequestClass read_class;
+  read_class.name = "read";
+  read_class.latency_target = 500'000;
+  read_class.deadline = 2'000'000;
+  read_class.retry_safety = RetrySafety::kSafe;
+  settings.classes = {read_class};
   settings.max_attempts = 4;
 
   Sink sink;
@@ -62,13 +62,13 @@
     const std::string id = "r" + std::to_string(i);
     Request request;
     request.id = id;
-    request.budget = look.deadline;
+    request.budget = read_class.deadline;
     balancer->OnRequest(now, request);
     for (int attempt = 0; !sink.sent.empty(); ++attempt) {
-      const auto [to, server] = sink.sent.back();
+      const auto [request_id, server] = sink.sent.back();
       sink.sent.clear();
       Outcome outcome;
-      outcome.request = to;
+      outcome.request = request_id;
       outcome.attempt = attempt;
       outcome.elapsed = 20'000;
       outcome.result = server == servers[0].id ? Result::kRefused : Result::kSuccess;
--- a/include/merlinrun/balancer.hpp
+++ b/include/merlinrun/balancer.hpp
@@ -51,8 +51,8 @@
   DedupScope dedup_scope = DedupScope::kAll;
   Micros dedup_window = 0;  // duplicates are dropped for this long after the first attempt
   bool streamed = false;
-  bool sequential =
-      false;  // requests of such classes with the same key run one at a time, in order of arrival
+  // Requests of such classes with the same key run one at a time, in order of arrival.
+  bool sequential = false;
 };
 
 struct Tenant {
@@ -295,8 +295,8 @@
     double latency_ratio = 1;  // latency divided by the usual latency
     double error_rate = 0;     // share of recent responses that were errors
     int consecutive_failures = 0;
-    Micros ejected_for =
-        0;  // remaining ejection time; 0 = none, though with failures only one attempt at a time
+    // Remaining ejection time. At 0 a server with consecutive failures still gets one attempt at a time.
+    Micros ejected_for = 0;
     double capacity_share = 1;  // share of its full capacity, below 1 during warm-up
   };
   std::array<Pool, 2> pools;  // own zone and others if crossing zones has a cost, otherwise all in the first
@@ -306,8 +306,8 @@
     ZoneStage stage = ZoneStage::kServing;
     Micros time_in_stage = 0;
     std::size_t dead_servers = 0;  // distinct servers without a response since the zone's last response
-    Micros since_last_evidence =
-        -1;  // time since the last response, or failure if dead_servers > 0; -1 = none yet
+    // Time since the last response, or since the last failure if dead_servers > 0; -1 = none yet.
+    Micros since_last_evidence = -1;
     ZonePeerReport peer_report;  // empty if there is no recent report
   };
   std::vector<Zone> zones;
@@ -321,8 +321,8 @@
   // A timeout of 0 means until the client gives up. Attempts of a request are numbered from 0 in this order.
   virtual void Send(std::string_view request, const std::string& server, Micros timeout) = 0;
   virtual void Cancel(std::string_view request, int attempt) = 0;
-  virtual void Refuse(std::string_view request, Micros retry_after, Cause why) = 0;
-  virtual void Fail(std::string_view request, Cause why) = 0;
+  virtual void Refuse(std::string_view request, Micros retry_after, Cause cause) = 0;
+  virtual void Fail(std::string_view request, Cause cause) = 0;
   virtual void SetTimer(Micros delay, std::uint64_t token) = 0;
   virtual void Subscribe() = 0;
   virtual void Log(std::string_view text) = 0;
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -27,18 +27,18 @@
     out.zones_epoch = c_.zones.epoch();
     for (const auto& [id, server] : servers_.all()) {
       if (!server.listed) continue;
-      BalancerSnapshot::Server to{id,
-                                  server.info.state,
-                                  false,
-                                  server.in_flight,
-                                  server.latency_ratio,
-                                  server.error_rate,
-                                  server.consecutive_failures};
-      to.ejected_for = std::max<Micros>(server.ejected_until - now, 0);
-      to.capacity_share = cold_start_.CapacityShare(server);
+      BalancerSnapshot::Server entry{id,
+                                     server.info.state,
+                                     false,
+                                     server.in_flight,
+                                     server.latency_ratio,
+                                     server.error_rate,
+                                     server.consecutive_failures};
+      entry.ejected_for = std::max<Micros>(server.ejected_until - now, 0);
+      entry.capacity_share = cold_start_.CapacityShare(server);
       const Pool& pool = c_.pools[server.pool];
-      for (std::size_t i = 0; i < Width(pool, c_.set); ++i) to.in_window |= &pool.InWindow(i) == &server;
-      out.servers.push_back(to);
+      for (std::size_t i = 0; i < Width(pool, c_.set); ++i) entry.in_window |= &pool.InWindow(i) == &server;
+      out.servers.push_back(entry);
     }
     return out;
   }
--- a/src/base/baseline.hpp
+++ b/src/base/baseline.hpp
@@ -17,15 +17,15 @@
   void OnSent(Micros now) { ages_.OnSent(now); }
   void OnEnded(Micros sent, Micros now) { ages_.OnEnded(sent, now); }
   // Records the attempts in flight that a request found while there was no overload or capacity loss.
-  void OnNormalArrival(int out) {
+  void OnNormalArrival(int in_flight) {
     normal_samples_ = std::min(normal_samples_ + 1, kAverageRequests);
-    normal_in_flight_ += (out - normal_in_flight_) / normal_samples_;
+    normal_in_flight_ += (in_flight - normal_in_flight_) / normal_samples_;
   }
   // Records the attempts in flight over `servers` servers that a response found without overload.
-  void OnResponse(int out, std::size_t servers) {
+  void OnResponse(int in_flight, std::size_t servers) {
     in_flight_samples_ = std::min(in_flight_samples_ + 1, kInFlightSamples);
     in_flight_per_server_ +=
-        (out / static_cast<double>(servers) - in_flight_per_server_) / in_flight_samples_;
+        (in_flight / static_cast<double>(servers) - in_flight_per_server_) / in_flight_samples_;
   }
   void OnAttemptTime(Micros elapsed) {
     attempt_time_ += (static_cast<double>(elapsed) - attempt_time_) / std::max(in_flight_samples_, 1.0);
@@ -41,8 +41,8 @@
     return served_in_time_ * std::exp(static_cast<double>(served_at_ - now) / kRateWindow) / kRateWindow;
   }
   // Attempts in flight for less than `times` the average duration.
-  int Younger(double times, Micros now) const {
-    return ages_.Younger(static_cast<Micros>(times * attempt_time_), now);
+  int CountYounger(double times, Micros now) const {
+    return ages_.CountYounger(static_cast<Micros>(times * attempt_time_), now);
   }
   bool has_baseline() const { return in_flight_samples_ >= kMinInFlightSamples; }
   double in_flight_per_server() const { return in_flight_per_server_; }
--- a/src/base/in_flight_ages.hpp
+++ b/src/base/in_flight_ages.hpp
@@ -21,7 +21,7 @@
     if (now / kSlotWidth - sent / kSlotWidth < kSlots) --counts_[Slot(sent)];
   }
   // Attempts in flight for less than `age`, to the resolution of a slot.
-  int Younger(Micros age, Micros now) const {
+  int CountYounger(Micros age, Micros now) const {
     const Micros oldest = std::max((now - age) / kSlotWidth, now / kSlotWidth - kSlots + 1);
     int sum = 0;
     for (Micros slot = now / kSlotWidth; slot >= oldest && slot > last_slot_ - kSlots; --slot)
--- a/src/base/random.hpp
+++ b/src/base/random.hpp
@@ -30,7 +30,7 @@
   std::uint64_t Next() { return MixBits(state_ += 0x9e3779b97f4a7c15ULL); }
   double Unit() { return static_cast<double>(Next() >> 11) * 0x1.0p-53; }
   std::size_t Below(std::size_t n) { return static_cast<std::size_t>(Unit() * static_cast<double>(n)); }
-  Micros Upto(Micros most) { return static_cast<Micros>(Unit() * static_cast<double>(most)); }
+  Micros Upto(Micros bound) { return static_cast<Micros>(Unit() * static_cast<double>(bound)); }
 
  private:
   std::uint64_t state_;
--- a/src/base/traffic_mix.hpp
+++ b/src/base/traffic_mix.hpp
@@ -15,16 +15,19 @@
  public:
   explicit TrafficMix(const Settings& set) : set_(set), classes_(set.classes.size()) {}
 
-  void OnArrival(std::size_t own, std::optional<Micros> cost) {
+  void OnArrival(std::size_t class_index, std::optional<Micros> cost) {
     has_cost_hints_ = has_cost_hints_ || cost.has_value();
-    if (cost) classes_[own].work += (static_cast<double>(*cost) - classes_[own].work) / kAverageRequests;
+    if (cost)
+      classes_[class_index].work +=
+          (static_cast<double>(*cost) - classes_[class_index].work) / kAverageRequests;
     for (ClassLoad& load : classes_) load.arriving *= 1 - 1 / kAverageRequests;
-    classes_[own].arriving += classes_[own].work;
-    mean_value_ += (Value(own) - mean_value_) / (mean_value_ > 0 ? kAverageRequests : 1);
+    classes_[class_index].arriving += classes_[class_index].work;
+    mean_value_ += (Value(class_index) - mean_value_) / (mean_value_ > 0 ? kAverageRequests : 1);
   }
   // Without cost hints the response time is the estimate of the work.
-  void OnResponse(std::size_t own, double elapsed) {
-    if (!has_cost_hints_) classes_[own].work += (elapsed - classes_[own].work) / kAverageRequests;
+  void OnResponse(std::size_t class_index, double elapsed) {
+    if (!has_cost_hints_)
+      classes_[class_index].work += (elapsed - classes_[class_index].work) / kAverageRequests;
   }
 
   std::size_t size() const { return classes_.size(); }
--- a/src/drill/host.cpp
+++ b/src/drill/host.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::string_view kPrefix = "sidecar/";
-constexpr std::int64_t kMostTimer = 71LL * 60 * 1'000'000;  // limit of the protocol
+constexpr std::int64_t kMaxTimerDelay = 71LL * 60 * 1'000'000;  // limit of the protocol
 
 // Writes the actions of one instance as lines.
 class LineSink : public ActionSink {
@@ -26,7 +26,7 @@
   }
   void Fail(std::string_view request, Cause) override { Begin("FINISH_ERROR").Word(request).End(); }
   void SetTimer(Micros delay, std::uint64_t token) override {
-    Begin("SLEEP").Number(std::clamp<std::int64_t>(delay, 0, kMostTimer)).Number(token).End();
+    Begin("SLEEP").Number(std::clamp<std::int64_t>(delay, 0, kMaxTimerDelay)).Number(token).End();
   }
   void Subscribe() override { Begin("OBSERVE").Word("1").End(); }
   void Log(std::string_view text) override { Begin("TRACE").Word(text).End(); }
@@ -92,15 +92,15 @@
     }
     Run([&](Balancer& b) { b.OnServers(now, {kind, version, servers}); });
   }
-  int ClassIndex(std::string_view name) const { return Named(wire_.settings.classes, name, "class"); }
+  int ClassIndex(std::string_view name) const { return FindByName(wire_.settings.classes, name, "class"); }
   int TenantIndex(std::string_view name) const {
     if (name == "-" || name == "0") return -1;
-    return Named(wire_.settings.tenants, name, "tenant");
+    return FindByName(wire_.settings.tenants, name, "tenant");
   }
 
  private:
   template <typename List>
-  static int Named(const List& list, std::string_view name, const char* what) {
+  static int FindByName(const List& list, std::string_view name, const char* what) {
     for (std::size_t i = 0; i < list.size(); ++i)
       if (list[i].name == name) return static_cast<int>(i);
     throw WireError(std::string(what) + " '" + std::string(name.substr(0, 80)) + "': not in the settings");
@@ -114,7 +114,7 @@
 Host::Host() = default;
 Host::~Host() = default;
 
-bool Host::Line(std::string_view line) {
+bool Host::ProcessLine(std::string_view line) {
   ++line_number_;
   try {
     Fields fields(line);
@@ -123,14 +123,14 @@
       if (in_batch_) throw WireError("a batch is open already");
       const Micros now = fields.NonNegative("clock");
       fields.End();
-      if (any_batch_ && now < now_) throw WireError("the clock went backwards");
+      if (had_batch_ && now < now_) throw WireError("the clock went backwards");
       now_ = now;
-      any_batch_ = in_batch_ = true;
+      had_batch_ = in_batch_ = true;
       reply_.clear();
       return false;
     }
     if (!in_batch_) throw WireError("outside a batch");
-    if (rows_due_ > 0 && verb != "ROW") throw WireError("rows of the list are missing");
+    if (rows_missing_ > 0 && verb != "ROW") throw WireError("rows of the list are missing");
     if (verb == "COMMIT") {
       fields.End();
       in_batch_ = false;
@@ -200,7 +200,7 @@
   } else if (verb == "TABLE") {
     const std::int64_t table = fields.NonNegative("page");
     if (table >= static_cast<std::int64_t>(kTables)) throw WireError("page: over 15");
-    rows_due_ = fields.NonNegative("rows");
+    rows_missing_ = fields.NonNegative("rows");
     fields.End();
     table_ = static_cast<std::size_t>(table);
     tables_[table_].clear();
@@ -209,9 +209,9 @@
   } else if (verb == "PROVISION") {
     Provision(fields);
   } else if (verb == "DOWN") {
-    const std::int64_t number = InstanceNumber(fields);
+    const std::int64_t instance_number = InstanceNumber(fields);
     fields.End();
-    if (instances_.erase(number) == 0) throw WireError("no such instance");
+    if (instances_.erase(instance_number) == 0) throw WireError("no such instance");
   } else if (verb == "ECHO") {
     Instance& instance = Find(fields);
     ProbeResult probe;
@@ -234,7 +234,7 @@
 }
 
 void Host::AddRow(Fields& fields) {
-  if (rows_due_ == 0) throw WireError("outside a list");
+  if (rows_missing_ == 0) throw WireError("outside a list");
   Row row;
   row.machine = fields.Word("generation_hw");
   row.zone = fields.Word("failure_domain");
@@ -247,15 +247,15 @@
   row.info.state = ParseState(fields.Word("readiness"));
   fields.End();
   tables_[table_].push_back(std::move(row));
-  --rows_due_;
+  --rows_missing_;
 }
 
 void Host::Provision(Fields& fields) {
   const std::string_view name = Fields(fields).Word("sidecar");
-  const std::int64_t number = InstanceNumber(fields);
+  const std::int64_t instance_number = InstanceNumber(fields);
   const std::uint64_t seed = fields.Unsigned("seed");
   WireSettings wire = ParseSettings(fields.Rest());
-  instances_[number] = std::make_unique<Instance>(name, seed, std::move(wire), now_, reply_);
+  instances_[instance_number] = std::make_unique<Instance>(name, seed, std::move(wire), now_, reply_);
 }
 
 void Host::Discovery(Fields& fields) {
--- a/src/drill/host.hpp
+++ b/src/drill/host.hpp
@@ -21,8 +21,8 @@
   ~Host();
   // Processes one line, without its newline. Returns true if the line ended a batch and reply() is complete.
   // Throws WireError with the line number and the verb if the line is malformed.
-  bool Line(std::string_view line);
-  // The reply to the last batch; valid until the next call of Line.
+  bool ProcessLine(std::string_view line);
+  // The reply to the last batch; valid until the next call of ProcessLine.
   const std::string& reply() const { return reply_; }
   bool in_batch() const { return in_batch_; }
 
@@ -46,11 +46,11 @@
   std::string reply_;
   std::uint64_t line_number_ = 0;
   Micros now_ = 0;
-  bool any_batch_ = false;
+  bool had_batch_ = false;
   bool in_batch_ = false;
   std::array<std::vector<Row>, kTables> tables_;
   std::size_t table_ = 0;
-  std::int64_t rows_due_ = 0;
+  std::int64_t rows_missing_ = 0;
   std::unordered_map<std::int64_t, std::unique_ptr<Instance>> instances_;  // lookup only, never iterated
 };
 
--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -41,13 +41,13 @@
     for (std::size_t end = rest.find('\n'); end != std::string_view::npos; end = rest.find('\n')) {
       std::string_view line = rest.substr(0, end);
       if (!partial.empty()) line = partial.append(line);
-      if (host.Line(line) && !WriteAll(host.reply())) return 1;
+      if (host.ProcessLine(line) && !WriteAll(host.reply())) return 1;
       partial.clear();
       rest.remove_prefix(end + 1);
     }
     partial.append(rest);
   }
-  if (!partial.empty()) host.Line(partial);  // reports an error in the truncated last line
+  if (!partial.empty()) host.ProcessLine(partial);  // reports an error in the truncated last line
   if (host.in_batch() || !partial.empty()) {
     std::fprintf(stderr, "the input ends within a batch\n");
     return 2;
--- a/src/drill/wire.hpp
+++ b/src/drill/wire.hpp
@@ -34,7 +34,7 @@
 
  private:
   std::string_view rest_;
-  bool any_left_ = true;
+  bool has_more_ = true;
 };
 
 // Settings of an instance, and the names that the protocol uses for zone and machine type indices.
--- a/src/membership/list_retry.hpp
+++ b/src/membership/list_retry.hpp
@@ -22,9 +22,9 @@
   // nothing if none is due or one is pending.
   std::optional<Micros> OnUpdate(ListUpdate::Kind kind, const Settings& set) {
     if (kind == ListUpdate::Kind::kFailed)
-      return Schedule(ExponentialBackoff(kRetryBase, failed_++, set.list_retry_cap), set);
+      return Schedule(ExponentialBackoff(kRetryBase, failures_++, set.list_retry_cap), set);
     if (kind == ListUpdate::Kind::kStale) return Schedule(set.list_retry_cap / 2, set);
-    failed_ = 0;
+    failures_ = 0;
     return std::nullopt;
   }
   // The delay has passed.
@@ -34,14 +34,14 @@
   // After a failure: random(0, min(list_retry_cap, base * 2^n)).
   static constexpr Micros kRetryBase = 1'000'000;
 
-  std::optional<Micros> Schedule(Micros most, const Settings& set) {
+  std::optional<Micros> Schedule(Micros max_delay, const Settings& set) {
     if (!set.must_subscribe || pending_) return std::nullopt;
     pending_ = true;
-    return draw_(most);
+    return draw_(max_delay);
   }
 
   const Draw draw_;
-  int failed_ = 0;
+  int failures_ = 0;
   bool pending_ = false;
 };
 
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -56,15 +56,15 @@
 }
 
 bool Admission::Admit(ActiveRequest& active) {
-  const std::size_t own = active.request_class;
+  const std::size_t class_index = active.request_class;
   active.last_cause = Cause::kOverload;
   for (active.pool = 0; active.pool < loads_.size(); ++active.pool) {
     Load& load = loads_[active.pool];
     load.concurrency.RefreshCapacity(cold_start_);
     // A request must be worth the cost of leaving the zone.
-    if (active.pool > 0 && mix_.Value(own) < c_.set.cost_cross_zone * mix_.mean_value()) break;
+    if (active.pool > 0 && mix_.Value(class_index) < c_.set.cost_cross_zone * mix_.mean_value()) break;
     if (c_.pools[active.pool].ring.empty()) continue;
-    if (Admits(load, own, active.past_target)) return true;
+    if (Admits(load, class_index, active.past_target)) return true;
     if (load.concurrency.LimitShare() < load.admitted_share) active.last_cause = Cause::kConcurrencyLimit;
   }
   active.pool = 0;
@@ -72,13 +72,13 @@
   return c_.pools[0].ring.empty() && c_.pools[1].ring.empty();
 }
 
-bool Admission::Admits(const Load& load, std::size_t own, bool late) {
+bool Admission::Admits(const Load& load, std::size_t class_index, bool late) {
   const double admitted =
       std::max(std::min(load.admitted_share, load.concurrency.LimitShare()), load.concurrency.MinShare());
   if (admitted >= 1) return true;
-  return c_.random.Unit() * mix_.arriving(own) <
+  return c_.random.Unit() * mix_.arriving(class_index) <
          admitted * mix_.Arriving(0) -
-             mix_.Arriving(mix_.Density(own) * (late ? c_.set.classes[own].late_value : 1));
+             mix_.Arriving(mix_.Density(class_index) * (late ? c_.set.classes[class_index].late_value : 1));
 }
 
 void Admission::OnAttemptEnded(const ActiveRequest& active, const Server& server, Micros sent,
@@ -98,8 +98,8 @@
 double Admission::MinTarget(const Load& load, const Pool& pool) const {
   const double busy = std::clamp((pool.peak_in_flight - kBusyFrom) / (kBusyFull - kBusyFrom), 0.0, 1.0);
   const double headroom = kHeadroom + busy * (kHeadroomBusy - kHeadroom);
-  const double most = BaseTarget(load) + busy * std::max(kAdmitTargetBusy - BaseTarget(load), 0.0);
-  return std::min(headroom * load.unloaded, most);
+  const double max_target = BaseTarget(load) + busy * std::max(kAdmitTargetBusy - BaseTarget(load), 0.0);
+  return std::min(headroom * load.unloaded, max_target);
 }
 
 // Scaled by the value of the least valuable work still admitted: cheap work is refused long before servers
@@ -107,16 +107,16 @@
 double Admission::Target(const Load& load) const {
   const double total = mix_.Arriving(0);
   if (total <= 0) return BaseTarget(load);
-  double margin = 0;
-  double mean = 0;
+  double lowest_density = 0;
+  double mean_density = 0;
   for (std::size_t i = 0; i < mix_.size(); ++i) {
     const double density = mix_.Density(i);
-    mean += density * mix_.arriving(i) / total;
+    mean_density += density * mix_.arriving(i) / total;
     if (mix_.arriving(i) > 0 && mix_.Arriving(density) < load.admitted_share * total &&
-        (margin <= 0 || density < margin))
-      margin = density;
+        (lowest_density <= 0 || density < lowest_density))
+      lowest_density = density;
   }
-  return BaseTarget(load) * std::sqrt(std::min(margin / mean, 1.0));
+  return BaseTarget(load) * std::sqrt(std::min(lowest_density / mean_density, 1.0));
 }
 
 void Admission::RecordPressure(const ActiveRequest& active, Server& server, const Outcome& outcome) {
@@ -153,9 +153,9 @@
                                                           : std::max(load.late_streak, 1.0);
   load.latency_ratio += (ratio - load.latency_ratio) / load.samples;
   if (load.samples >= kLatencySamples / 2) load.unloaded = std::min(load.unloaded, load.latency_ratio);
-  const double least = load.unloaded < kFailedRatio ? MinTarget(load, pool) : 0;
+  const double min_target = load.unloaded < kFailedRatio ? MinTarget(load, pool) : 0;
   const double gain = kAdmissionGain * std::min(1.0, kSteadyInFlight / std::max(pool.peak_in_flight, 1.0));
-  const double step = gain * (std::max(Target(load), least) - ratio * weight);
+  const double step = gain * (std::max(Target(load), min_target) - ratio * weight);
   // With less admitted, fewer outcomes drive the recovery, so each counts more.
   load.admitted_share =
       std::clamp(load.admitted_share + (step > 0 ? step / std::max(load.admitted_share, kMinRecovery) : step),
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -49,7 +49,7 @@
     }
   };
   static double Decayed(double admitted, Micros time);
-  bool Admits(const Load& load, std::size_t own, bool late);
+  bool Admits(const Load& load, std::size_t class_index, bool late);
   double BaseTarget(const Load& load) const;
   double MinTarget(const Load& load, const Pool& pool) const;
   double Target(const Load& load) const;
--- a/src/policy/choice.cpp
+++ b/src/policy/choice.cpp
@@ -58,16 +58,16 @@
 }
 
 Cause ServerSelector::CauseOfNone(const ActiveRequest& active) const {
-  Cause why = Cause::kNoServer;
+  Cause cause = Cause::kNoServer;
   for (const Pool& pool : c_.pools) {
     for (std::size_t i = 0; i < Width(pool, c_.set); ++i) {
       const Server& server = pool.InWindow(i);
       if (!MayUse(active, server)) continue;
       if (cold_start_.CapacityShare(server) < 1) return Cause::kColdStart;
-      if (health_.IsEjected(server)) why = Cause::kEjected;
+      if (health_.IsEjected(server)) cause = Cause::kEjected;
     }
   }
-  return why;
+  return cause;
 }
 
 bool ServerSelector::Usable(const ActiveRequest& active, const Server& server) {
--- a/src/policy/concurrency.cpp
+++ b/src/policy/concurrency.cpp
@@ -84,6 +84,6 @@
 }
 
 // Without attempts that are lost or stuck at their server.
-double Concurrency::Recent() const { return baseline_.Younger(kStuckAfter, c_.now); }
+double Concurrency::Recent() const { return baseline_.CountYounger(kStuckAfter, c_.now); }
 
 }  // namespace merlinrun
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -51,16 +51,17 @@
   const auto elapsed = static_cast<double>(outcome.elapsed);
   double latency_ratio = kMaxLatencyRatio;  // for timeouts, failed connections and resets
   if (outcome.result == Result::kSuccess) {
-    double& answer = usual_latency_[active.request_class];
-    if (answer <= 0) answer = elapsed;
-    answer += (elapsed - answer) / kAverageRequests;
-    latency_ratio = std::min(elapsed / std::max(answer, 1.0), kMaxLatencyRatio);
+    double& class_latency = usual_latency_[active.request_class];
+    if (class_latency <= 0) class_latency = elapsed;
+    class_latency += (elapsed - class_latency) / kAverageRequests;
+    latency_ratio = std::min(elapsed / std::max(class_latency, 1.0), kMaxLatencyRatio);
   } else if (outcome.result == Result::kCancelled || outcome.result == Result::kNeverSent) {
     return;
   }
   // Ignores connection failures while the server also succeeds.
-  const bool broke = outcome.result == Result::kReset || outcome.result == Result::kUnreachable;
-  if (broke && server.last_success_at > std::exchange(server.connection_failed_at, c_.now)) return;
+  const bool connection_failed = outcome.result == Result::kReset || outcome.result == Result::kUnreachable;
+  if (connection_failed && server.last_success_at > std::exchange(server.connection_failed_at, c_.now))
+    return;
   if (outcome.result == Result::kError) server.error_rate += (kMaxRate - server.error_rate) / kErrorWindow;
   if (outcome.result == Result::kSuccess) server.error_rate -= server.error_rate / kSuccessWindow;
   if (outcome.result == Result::kError) return;
@@ -86,9 +87,9 @@
   const std::size_t width = Width(pool, c_.set);
   std::size_t ejected = 0;
   for (std::size_t i = 0; i < width; ++i) ejected += IsEjected(pool.InWindow(i));
-  double most = c_.set.tuning.max_ejected_share * static_cast<double>(width);
-  if (!dead) most = std::min(most, std::max(1.0, kMaxLateEjectedShare * static_cast<double>(width)));
-  if (static_cast<double>(ejected + 1) > most) return;
+  double limit = c_.set.tuning.max_ejected_share * static_cast<double>(width);
+  if (!dead) limit = std::min(limit, std::max(1.0, kMaxLateEjectedShare * static_cast<double>(width)));
+  if (static_cast<double>(ejected + 1) > limit) return;
   server.ejected_until = c_.now + c_.random.Upto(ExponentialBackoff(
                                       kEjectionBase, server.consecutive_failures++, c_.set.tuning.retry_cap));
 }
--- a/src/policy/records.hpp
+++ b/src/policy/records.hpp
@@ -104,8 +104,8 @@
       : set(settings),
         random(seed),
         now(start),
-        zones([this](Micros most) { return random.Upto(most); }, settings.warmup_time, settings.sidecar_index,
-              settings.sidecar_count) {}
+        zones([this](Micros bound) { return random.Upto(bound); }, settings.warmup_time,
+              settings.sidecar_index, settings.sidecar_count) {}
   PolicyContext(const PolicyContext&) = delete;
   PolicyContext& operator=(const PolicyContext&) = delete;
 
--- a/src/policy/requests.cpp
+++ b/src/policy/requests.cpp
@@ -27,8 +27,8 @@
 void Requests::OnRequest(const Request& in) {
   if (in.request_class < 0 || static_cast<std::size_t>(in.request_class) >= longest_budget_.size())
     return sink_.Fail(in.id, Cause::kUnknownClass);
-  auto [it, fresh] = requests_.try_emplace(std::string(in.id));
-  if (!fresh) return;
+  auto [it, inserted] = requests_.try_emplace(std::string(in.id));
+  if (!inserted) return;
   ActiveRequest& active = it->second;
   active.request_class = static_cast<std::size_t>(in.request_class);
   active.protocol = in.protocol;
@@ -189,8 +189,8 @@
   it->second.ended = true;
   if (ClientMayRetry(it->second, c, c_.now)) {
     // A longer delay would leave the client too little time.
-    const Micros most = std::min(c_.set.max_retry_after, c.latency_target / 2);
-    sink_.Refuse(it->first, most > 0 ? 1 + c_.random.Upto(most) : 0, it->second.last_cause);
+    const Micros max_delay = std::min(c_.set.max_retry_after, c.latency_target / 2);
+    sink_.Refuse(it->first, max_delay > 0 ? 1 + c_.random.Upto(max_delay) : 0, it->second.last_cause);
   } else {
     sink_.Fail(it->first, it->second.last_cause);
   }
--- a/src/policy/requests.hpp
+++ b/src/policy/requests.hpp
@@ -63,7 +63,7 @@
   std::uint64_t last_timer_ = kListTimerToken;
   // Request ids in order of arrival, by key.
   std::unordered_map<std::string, std::deque<std::string>> key_queues_;
-  membership::ListRetry list_retry_{[this](Micros most) { return c_.random.Upto(most); }};
+  membership::ListRetry list_retry_{[this](Micros bound) { return c_.random.Upto(bound); }};
 };
 
 }  // namespace merlinrun
--- a/src/policy/retry.cpp
+++ b/src/policy/retry.cpp
@@ -27,9 +27,9 @@
 }
 
 Micros RetryWait(const Tuning& tuning, int n, Random& random) {
-  const auto most = static_cast<double>(ExponentialBackoff(tuning.retry_base, n, tuning.retry_cap));
-  return static_cast<Micros>(most * (1 - tuning.jitter)) +
-         random.Upto(static_cast<Micros>(most * tuning.jitter));
+  const auto bound = static_cast<double>(ExponentialBackoff(tuning.retry_base, n, tuning.retry_cap));
+  return static_cast<Micros>(bound * (1 - tuning.jitter)) +
+         random.Upto(static_cast<Micros>(bound * tuning.jitter));
 }
 
 int AttemptLimit(const Settings& set) { return std::min(kMaxAttempts, set.max_attempts); }
--- a/src/policy/window.cpp
+++ b/src/policy/window.cpp
@@ -23,11 +23,11 @@
   if (set.warm_keys && set.cost_connection <= 0) return std::min(kAffinityWidth, pool.ring.size());
   const double shared =
       set.tuning.windows_per_server * static_cast<double>(pool.ring.size()) / set.sidecar_count;
-  const std::size_t least =
+  const std::size_t min_width =
       std::max(set.tuning.window_width, static_cast<std::size_t>(std::min<double>(shared, kMaxWidth)));
   const double per_in_flight =
       set.cost_connection > 0 ? set.tuning.servers_per_in_flight : kServersPerInFlightFree;
-  return std::min(std::max(least, static_cast<std::size_t>(per_in_flight * pool.peak_in_flight)),
+  return std::min(std::max(min_width, static_cast<std::size_t>(per_in_flight * pool.peak_in_flight)),
                   pool.ring.size());
 }
 
--- a/src/zones/overrides.cpp
+++ b/src/zones/overrides.cpp
@@ -17,8 +17,8 @@
     const toml::table root = toml::parse(text, file);
     std::vector<ZoneOverride> out;
     for (const auto& [key, node] : root) {
-      const bool leave = key == "leave";
-      if ((!leave && key != "keep") || !node.is_array())
+      const bool evacuate = key == "leave";
+      if ((!evacuate && key != "keep") || !node.is_array())
         return FormatTomlError(
             node.source(), file,
             "'" + std::string(key.str()) + "': only leave and keep are known, as lists of zones");
@@ -29,16 +29,16 @@
           return FormatTomlError(entry.source(), file,
                                  "'" + name.value_or("") + "' is no zone of the settings");
         const auto zone = static_cast<int>(it - names.begin());
-        const auto same = [&](const ZoneOverride& known) { return known.zone == zone; };
-        if (std::any_of(out.begin(), out.end(), same))
+        const auto is_listed = [&](const ZoneOverride& listed) { return listed.zone == zone; };
+        if (std::any_of(out.begin(), out.end(), is_listed))
           return FormatTomlError(entry.source(), file, "'" + *name + "' is ordered twice");
-        out.push_back({zone, leave ? ZoneOverride::Kind::kEvacuate : ZoneOverride::Kind::kKeep});
+        out.push_back({zone, evacuate ? ZoneOverride::Kind::kEvacuate : ZoneOverride::Kind::kKeep});
       }
     }
-    const auto left = std::count_if(out.begin(), out.end(), [](const ZoneOverride& o) {
+    const auto evacuated = std::count_if(out.begin(), out.end(), [](const ZoneOverride& o) {
       return o.kind == ZoneOverride::Kind::kEvacuate;
     });
-    if (left > 0 && static_cast<std::size_t>(left) == names.size())
+    if (evacuated > 0 && static_cast<std::size_t>(evacuated) == names.size())
       return FormatTomlError(root.source(), file, "every zone is ordered to be left");
     return out;
   } catch (const toml::parse_error& error) {
--- a/src/zones/zones.cpp
+++ b/src/zones/zones.cpp
@@ -96,9 +96,9 @@
     zone.dead_servers.clear();
     zone.last_response_at = now;
     // Responses to attempts sent before an evacuation change nothing.
-    const bool ordered = zone.override_kind == ZoneOverride::Kind::kEvacuate;
-    const bool back = !ordered && IsEjected(zone.stage);
-    if (back) {
+    const bool evacuated = zone.override_kind == ZoneOverride::Kind::kEvacuate;
+    const bool returned = !evacuated && IsEjected(zone.stage);
+    if (returned) {
       Enter(now, zone, Stage::kReturning);
       // Starts with the warm-up progress reported by the peers.
       zone.returned_at = now - CurrentReport(now, zone).returned_for;
@@ -106,9 +106,9 @@
     } else if (zone.stage == Stage::kSuspected) {
       Enter(now, zone, Stage::kServing);
     }
-    bool another = false;
-    for (auto& [other, suspect] : zones_) another |= other != id && EjectIfLost(now, suspect);
-    return back || another;
+    bool other_ejected = false;
+    for (auto& [other, other_zone] : zones_) other_ejected |= other != id && EjectIfLost(now, other_zone);
+    return returned || other_ejected;
   }
   if (zone.stage == Stage::kProbing) {  // the probe failed
     Eject(now, zone);
@@ -168,11 +168,11 @@
     const ZoneOverride::Kind before =
         std::exchange(zone.override_kind, it == kinds.end() ? ZoneOverride::Kind::kNone : it->second);
     if (before == zone.override_kind) continue;
-    const bool left = IsEjected(zone.stage);
-    if (zone.override_kind == ZoneOverride::Kind::kEvacuate && !left) {
+    const bool was_ejected = IsEjected(zone.stage);
+    if (zone.override_kind == ZoneOverride::Kind::kEvacuate && !was_ejected) {
       Eject(now, zone);
       ++epoch_;
-    } else if (left) {
+    } else if (was_ejected) {
       zone.probe_after = now;
     }
   }
@@ -222,9 +222,9 @@
   zone.probe_after = now + draw_(zone.backoff);
 }
 
-bool Zones::AnotherZoneResponded(const Zone& than, Micros since) const {
+bool Zones::AnotherZoneResponded(const Zone& excluded, Micros since) const {
   return std::any_of(zones_.begin(), zones_.end(), [&](const auto& entry) {
-    return &entry.second != &than && entry.second.last_response_at >= since;
+    return &entry.second != &excluded && entry.second.last_response_at >= since;
   });
 }
 
@@ -254,9 +254,9 @@
 
 Micros Zones::ReturnedAt(Micros now, int id) const {
   const Zone* zone = Find(id);
-  const bool young =
+  const bool warming_up =
       zone != nullptr && zone->stage == Stage::kReturning && now - zone->returned_at < warmup_time_;
-  return young ? zone->returned_at : 0;
+  return warming_up ? zone->returned_at : 0;
 }
 
 Stage Zones::StageOf(Micros now, int id) const {
--- a/src/zones/zones.hpp
+++ b/src/zones/zones.hpp
@@ -85,8 +85,8 @@
  private:
   struct Zone {
     Stage stage = Stage::kServing;
-    std::vector<std::uint64_t>
-        dead_servers;  // distinct, failed since the last response; at most as many as ejection needs
+    // Distinct servers that failed since the last response; at most as many as ejection needs.
+    std::vector<std::uint64_t> dead_servers;
     Micros suspected_at = 0;
     Micros last_response_at = -1;
     Micros last_failure_at = -1;
@@ -113,7 +113,7 @@
   void Eject(Micros now, Zone& zone);
   bool Suspect(Micros now, Zone& zone, std::uint64_t server, Evidence evidence, const Window& window);
   bool EjectIfLost(Micros now, Zone& zone);
-  bool AnotherZoneResponded(const Zone& than, Micros since) const;
+  bool AnotherZoneResponded(const Zone& excluded, Micros since) const;
   const Zone* Find(int zone) const;
 
   const Draw draw_;
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -105,8 +105,8 @@
   auto servers = MakeServers(20);
   for (std::size_t i = 0; i < servers.size(); ++i) servers[i].cell = static_cast<std::int64_t>(i % 10);
   Start(settings, 0);
-  List(ListUpdate::Kind::kFull,
-       servers);  // the other server of the cell is 10 positions further on, the window 4 wide
+  // The other server of the cell is 10 positions further on, and the window is 4 wide.
+  List(ListUpdate::Kind::kFull, servers);
   const std::string first = Arrive("r", 1)[0].server;
   const auto wait = Resolve("r", 0, Result::kRefused);
   ASSERT_EQ(wait[0].kind, Kind::kTimer);
@@ -204,13 +204,13 @@
   auto servers = MakeServers(10);
   servers[0].started = now_;
   List(ListUpdate::Kind::kDelta, {servers[0]});
-  int young = 0;
+  int sent_to_cold = 0;
   int served = 0;
   for (int i = 0; i < 4000; ++i) {
     const std::string id = "r" + std::to_string(i);
     const auto sent = Arrive(id);
     if (sent.empty() || sent[0].kind != Kind::kSend) continue;
-    if (sent[0].server == "s00") ++young;
+    if (sent[0].server == "s00") ++sent_to_cold;
     const bool serve = i % 4 == 0;  // every fourth attempt succeeds
     served += serve;
     // Slow responses: no spare capacity.
@@ -221,32 +221,32 @@
   // kOverloadShare of the overload factor, times a third of the successes: the window has 3 servers.
   const double share =
       served / 3.0 * MakeSettings().cold_start_capacity * MakeSettings().overload_factor * 0.75;
-  EXPECT_GT(young, 0.5 * share);  // the server is not chosen in every draw
-  EXPECT_LE(young, 1 + share);
+  EXPECT_GT(sent_to_cold, 0.5 * share);  // the server is not chosen in every draw
+  EXPECT_LE(sent_to_cold, 1 + share);
 }
 
 // Guards against cold servers that stay idle while the warm ones are overloaded.
 TEST_F(BalancerTest, AFastColdServerGetsTheNextRequest) {
-  const auto given = [&](Micros its_answer) {
+  const auto count_sent_to_cold = [&](Micros cold_latency) {
     Start(MakeSettings(), 3);
     auto servers = MakeServers(3);
     servers[0].started = now_;
     List(ListUpdate::Kind::kDelta, {servers[0]});
-    int young = 0;
+    int sent_to_cold = 0;
     for (int i = 0; i < 200; ++i) {
       const std::string id = "r" + std::to_string(i);
       const auto sent = Arrive(id);
       if (sent.at(0).kind != Kind::kSend) continue;
-      const bool its = sent[0].server == "s00";
-      young += its;
+      const bool to_cold = sent[0].server == "s00";
+      sent_to_cold += to_cold;
       // The others do not respond, so the cold server earns no credit from them.
-      if (its || i < 20)
-        balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, its ? its_answer : 100 * kMs, true, {}});
+      if (to_cold || i < 20)
+        balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, to_cold ? cold_latency : 100 * kMs, true, {}});
       TakeActions();
     }
-    return young;
+    return sent_to_cold;
   };
-  EXPECT_GT(given(100 * kMs), 3 * given(500 * kMs));
+  EXPECT_GT(count_sent_to_cold(100 * kMs), 3 * count_sent_to_cold(500 * kMs));
 }
 
 // After a restart many servers in the list may be cold.
@@ -342,25 +342,25 @@
   Start(settings, 20);
   std::map<std::string, int> zone;
   for (const ServerInfo& info : MakeServers(20)) zone[info.id] = info.zone;
-  int home = 0;
-  int away = 0;
+  int local = 0;
+  int remote = 0;
   for (int i = 0; i < 600; ++i) {
     const std::string id = "r" + std::to_string(i);
     const int request_class = i % 6 == 0 ? 0 : 2;
     const auto actions = Arrive(id, request_class);
     if (actions[0].kind != Kind::kSend) continue;
-    const bool crossed = zone[actions[0].server] == 1;
+    const bool cross_zone = zone[actions[0].server] == 1;
     if (i < 100) {
-      EXPECT_FALSE(crossed);
-    } else if (crossed) {
-      EXPECT_NE(request_class, 0) << "not worth the price";
+      EXPECT_FALSE(cross_zone);
+    } else if (cross_zone) {
+      EXPECT_NE(request_class, 0) << "worth less than the cost of crossing zones";
     }
-    ++(crossed ? away : home);
-    const Micros elapsed = !crossed && i >= 100 ? 2000 * kMs : 50 * kMs;  // the own zone slows down
+    ++(cross_zone ? remote : local);
+    const Micros elapsed = !cross_zone && i >= 100 ? 2000 * kMs : 50 * kMs;  // the sidecar's zone slows down
     balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, elapsed, true});
   }
-  EXPECT_GT(home, 100);
-  EXPECT_GT(away, 200);
+  EXPECT_GT(local, 100);
+  EXPECT_GT(remote, 200);
 }
 
 // Servers may limit the rate of a single class.
@@ -407,29 +407,29 @@
 // Guards against losing attempts at a dead server until the list drops it.
 TEST_F(BalancerTest, ADeadServerIsEjectedWithExponentialBackoff) {
   Start(MakeSettings(), 4);
-  int tried = 0;
+  int sent_to_dead = 0;
   for (int i = 0; i < 400; ++i) {
     now_ += 50 * kMs;
     const std::string id = "r" + std::to_string(i);
     const std::string server = Arrive(id)[0].server;
     if (server == "s01") {
-      ++tried;
+      ++sent_to_dead;
       Resolve(id, 0, Result::kUnreachable);
       balancer_->OnClientGone(now_, id);
     } else {
       Resolve(id, 0, Result::kSuccess, true);
     }
   }
-  EXPECT_LT(tried, 25);  // 100 without the wait
-  EXPECT_GT(tried, 2);
-  int back = 0;
+  EXPECT_LT(sent_to_dead, 25);  // 100 without ejection
+  EXPECT_GT(sent_to_dead, 2);
+  int after_recovery = 0;
   for (int i = 0; i < 4000; ++i) {  // the server recovers; one probe ends the ejection
     now_ += 50 * kMs;
     const std::string id = "q" + std::to_string(i);
-    back += Arrive(id)[0].server == "s01";
+    after_recovery += Arrive(id)[0].server == "s01";
     Resolve(id, 0, Result::kSuccess, true);
   }
-  EXPECT_GT(back, 100);
+  EXPECT_GT(after_recovery, 100);
 }
 
 TEST_F(BalancerTest, ACommonFailureDoesNotEjectTheWholeWindow) {
@@ -466,19 +466,19 @@
 // Guards against narrow windows that lie in a single zone. With many sidecars per server the window stays
 // narrow, as servers accept a limited number of connections.
 TEST_F(BalancerTest, TheWindowFollowsTheRatioOfSidecarsToServers) {
-  const auto used = [&](std::uint32_t siblings, int servers) {
+  const auto used = [&](std::uint32_t sidecars, int servers) {
     Settings settings = MakeSettings();
     settings.cost_connection = 0.05;
     settings.tuning = {};
-    settings.sidecar_count = siblings;
+    settings.sidecar_count = sidecars;
     Start(settings, servers);
-    std::set<std::string> met;
+    std::set<std::string> selected;
     for (int i = 0; i < 300; ++i) {
       const std::string id = "r" + std::to_string(i);
-      met.insert(Arrive(id)[0].server);
+      selected.insert(Arrive(id)[0].server);
       Resolve(id, 0, Result::kSuccess, true);
     }
-    return met.size();
+    return selected.size();
   };
   EXPECT_EQ(used(300, 60), 3u);
   EXPECT_EQ(used(100, 60), 9u);
@@ -499,18 +499,18 @@
   Settings settings = MakeSettings();
   settings.classes[2].late_value = 0.5;
   Start(settings, 10);
-  std::vector<std::uint64_t> alarms;
+  std::vector<std::uint64_t> target_timers;
   for (int i = 0; i < 12; ++i) {
     Deliver("r" + std::to_string(i), 2);
     for (const Action& action : sink_.Take())
       if (action.kind == Kind::kTimer) {
         EXPECT_EQ(action.time, settings.classes[2].latency_target);
-        alarms.push_back(action.token);
+        target_timers.push_back(action.token);
       }
   }
-  ASSERT_EQ(alarms.size(), 12u);
+  ASSERT_EQ(target_timers.size(), 12u);
   now_ += settings.classes[2].latency_target;
-  for (const std::uint64_t token : alarms) {
+  for (const std::uint64_t token : target_timers) {
     balancer_->OnTimer(now_, token);
     balancer_->OnTimer(now_, token);  // only once
   }
@@ -522,9 +522,9 @@
 
 // Some responses are late at any load. They time out and leave no work behind.
 TEST_F(BalancerTest, IsolatedTimeoutsCauseNoRefusals) {
-  const auto refused = [&](double late_worth, int late_each, int in_a_row) {
+  const auto refused = [&](double late_share, int late_interval, int consecutive) {
     Settings settings = MakeSettings();
-    settings.classes[0].late_value = late_worth;
+    settings.classes[0].late_value = late_share;
     settings.cancel = true;
     Start(settings, 10);
     int count = 0;
@@ -537,7 +537,7 @@
         ++count;
         continue;
       }
-      const bool late = i > 100 && i % late_each < in_a_row;
+      const bool late = i > 100 && i % late_interval < consecutive;
       const Result result = late ? Result::kTimeout : Result::kSuccess;
       balancer_->OnOutcome(now_, {id, 0, result, (late ? 1000 : 220) * kMs, true, {}});
     }
@@ -550,17 +550,18 @@
 
 TEST_F(BalancerTest, ConsecutiveLateResponsesShedFasterThanIsolatedOnes) {
   std::map<bool, int> sent;
-  for (const bool in_a_row : {false, true}) {
+  for (const bool consecutive : {false, true}) {
     Settings settings = MakeSettings();
     settings.classes[2].late_value = 0.5;  // late attempts do not time out
     Start(settings, 10);
     for (int i = 0; i < 8; ++i) {
       const std::string id = "r" + std::to_string(i);
       if (Arrive(id, 2)[0].kind != Kind::kSend) continue;
-      const bool late = in_a_row ? i >= 4 : i % 2 == 1;
+      const bool late = consecutive ? i >= 4 : i % 2 == 1;
       balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, (late ? 1500 : 200) * kMs, true, {}});
     }
-    for (int i = 0; i < 100; ++i) sent[in_a_row] += Arrive("z" + std::to_string(i), 2)[0].kind == Kind::kSend;
+    for (int i = 0; i < 100; ++i)
+      sent[consecutive] += Arrive("z" + std::to_string(i), 2)[0].kind == Kind::kSend;
   }
   EXPECT_GT(sent[false], 50);
   EXPECT_LT(sent[true], 30);
@@ -568,20 +569,20 @@
 
 // Guards against ejecting healthy servers for isolated resets.
 TEST_F(BalancerTest, AServerIsEjectedForConsecutiveResetsAndNotForOne) {
-  for (const Result broken : {Result::kReset, Result::kUnreachable}) {
+  for (const Result failure : {Result::kReset, Result::kUnreachable}) {
     Settings settings = MakeSettings();
     settings.tuning.window_width = 2;
     Start(settings, 2);
-    int requests = 0;
+    int request_count = 0;
     // The servers of the next requests, one at a time. All succeed, or all sent to s00 are reset.
-    const auto used = [&](bool breaks) {
+    const auto used = [&](bool fails) {
       std::map<std::string, int> to;
       for (int i = 0; i < 20; ++i) {
         now_ += 1 * kMs;
-        const std::string id = "r" + std::to_string(++requests);
+        const std::string id = "r" + std::to_string(++request_count);
         const std::string server = Arrive(id).at(0).server;
         ++to[server];
-        Resolve(id, 0, breaks && server == "s00" ? broken : Result::kSuccess, true);
+        Resolve(id, 0, fails && server == "s00" ? failure : Result::kSuccess, true);
       }
       return to;
     };
@@ -589,11 +590,11 @@
     std::string id;
     std::string server;
     while (server != "s00") {
-      id = "b" + std::to_string(++requests);
+      id = "b" + std::to_string(++request_count);
       server = Arrive(id).at(0).server;
       if (server != "s00") Resolve(id, 0, Result::kSuccess, true);
     }
-    Resolve(id, 0, broken, true);
+    Resolve(id, 0, failure, true);
     EXPECT_GT(used(false)["s00"], 0);
     // It stops serving; two attempts detect that.
     EXPECT_EQ(used(true)["s00"], 2);
@@ -623,23 +624,23 @@
 // Guards against quiet sidecars that refuse long after an overload has ended.
 TEST_F(BalancerTest, AnOverloadDecaysWithTimeAndNotPerResponse) {
   Start(MakeSettings(), 8);
-  int requests = 0;
-  const auto let_in = [&] {
+  int request_count = 0;
+  const auto send_forty = [&] {
     int sent = 0;
     for (int i = 0; i < 40; ++i) {
-      const std::string id = "r" + std::to_string(++requests);
+      const std::string id = "r" + std::to_string(++request_count);
       if (Arrive(id)[0].kind != Kind::kSend) continue;
       ++sent;
       Resolve(id, 0, Result::kTimeout);
     }
     return sent;
   };
-  let_in();
-  EXPECT_LT(let_in(), 20);
+  send_forty();
+  EXPECT_LT(send_forty(), 20);
   EXPECT_LT(balancer_->TakeSnapshot(now_).pools[0].admitted_share, 0.5);
   now_ += 10 * kSec;
   EXPECT_GT(balancer_->TakeSnapshot(now_).pools[0].admitted_share, 0.95);  // as shown to operators
-  const std::string id = "late" + std::to_string(requests);
+  const std::string id = "late" + std::to_string(request_count);
   EXPECT_EQ(Arrive(id)[0].kind, Kind::kSend);
   int sent = 0;
   for (int i = 0; i < 20; ++i) sent += Arrive("s" + std::to_string(i))[0].kind == Kind::kSend;
@@ -652,31 +653,31 @@
   settings.classes[0].late_value = 0.5;
   Start(settings, 3);
   std::string id;
-  std::uint64_t alarm = 0;
-  for (int i = 0; alarm == 0; ++i) {
+  std::uint64_t target_timer = 0;
+  for (int i = 0; target_timer == 0; ++i) {
     id = "r" + std::to_string(i);
     Deliver(id);
     const auto actions = sink_.Take();
-    if (actions[0].server == "s01") alarm = actions[1].token;
-    if (alarm == 0) Resolve(id, 0, Result::kSuccess, true);
+    if (actions[0].server == "s01") target_timer = actions[1].token;
+    if (target_timer == 0) Resolve(id, 0, Result::kSuccess, true);
   }
-  balancer_->OnTimer(now_ += 1 * kSec, alarm);
-  const auto out_at = [&](const std::string& server, const std::string& prefix) {
+  balancer_->OnTimer(now_ += 1 * kSec, target_timer);
+  const auto count_sent = [&](const std::string& server, const std::string& prefix) {
     int n = 0;
     for (int i = 0; i < 40; ++i) n += Arrive(prefix + std::to_string(i))[0].server == server;
     return n;
   };
   balancer_->OnOutcome(
       now_, {id, 0, Result::kSuccess, 1100 * kMs, true, {}});  // late, so the failures are not reset
-  EXPECT_EQ(out_at("s01", "a"), 0);
+  EXPECT_EQ(count_sent("s01", "a"), 0);
   now_ += 500 * kMs;  // the backoff is over
-  EXPECT_EQ(out_at("s01", "b"), 1);
+  EXPECT_EQ(count_sent("s01", "b"), 1);
 }
 
-// Requests admitted of the last 100 if the latency changes from `idle` to `then` ms.
+// Requests admitted of the last 100 if the latency rises from `unloaded_ms` to `later_ms`.
 class AdmissionTarget : public BalancerTest {
  protected:
-  int LetIn(Settings::LoadReporting reports, int idle, int then) {
+  int CountAdmitted(Settings::LoadReporting reports, int unloaded_ms, int later_ms) {
     Settings settings = MakeSettings();
     settings.load_reporting = reports;
     Start(settings, 10);
@@ -685,20 +686,21 @@
       const std::string id = "r" + std::to_string(i);
       if (Arrive(id, 2)[0].kind != Kind::kSend) continue;
       sent += i >= 200;
-      balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, (i < 60 ? idle : then) * kMs, true, {}});
+      balancer_->OnOutcome(now_,
+                           {id, 0, Result::kSuccess, (i < 60 ? unloaded_ms : later_ms) * kMs, true, {}});
     }
     return sent;
   }
 };
 
 TEST_F(AdmissionTarget, IsHigherWithLoadReports) {
-  EXPECT_EQ(LetIn(Settings::LoadReporting::kInResponses, 200, 350), 100);
-  EXPECT_LT(LetIn(Settings::LoadReporting::kNone, 150, 350), 60);
+  EXPECT_EQ(CountAdmitted(Settings::LoadReporting::kInResponses, 200, 350), 100);
+  EXPECT_LT(CountAdmitted(Settings::LoadReporting::kNone, 150, 350), 60);
 }
 
 TEST_F(AdmissionTarget, StaysNearTheUnloadedLatency) {
-  EXPECT_LT(LetIn(Settings::LoadReporting::kInResponses, 50, 400), 60);
-  EXPECT_EQ(LetIn(Settings::LoadReporting::kInResponses, 250, 400), 100);
+  EXPECT_LT(CountAdmitted(Settings::LoadReporting::kInResponses, 50, 400), 60);
+  EXPECT_EQ(CountAdmitted(Settings::LoadReporting::kInResponses, 250, 400), 100);
 }
 
 // Guards against preferring a server that fails fast because it has the fewest attempts in flight.
@@ -727,29 +729,30 @@
 
 // Guards against refusing cheap work at a moderate latency that is normal for busy servers.
 TEST_F(BalancerTest, ABusySidecarToleratesMoreLatencyThanAQuietOne) {
-  const auto let_in = [&](int out_at_once) {
+  const auto count_admitted = [&](int max_in_flight) {
     Start(MakeSettings(), 10);
     int sent = 0;
-    std::vector<std::string> out;
+    std::vector<std::string> in_flight;
     for (int i = 0; i < 600; ++i) {
       const std::string id = "r" + std::to_string(i);
       if (Arrive(id, 0)[0].kind == Kind::kSend) {
         sent += i >= 300;
-        out.push_back(id);
+        in_flight.push_back(id);
       }
-      if (static_cast<int>(out.size()) < out_at_once) continue;
-      balancer_->OnOutcome(now_, {out.front(), 0, Result::kSuccess, (i < 200 ? 150 : 295) * kMs, true, {}});
-      out.erase(out.begin());
+      if (static_cast<int>(in_flight.size()) < max_in_flight) continue;
+      balancer_->OnOutcome(now_,
+                           {in_flight.front(), 0, Result::kSuccess, (i < 200 ? 150 : 295) * kMs, true, {}});
+      in_flight.erase(in_flight.begin());
     }
     return sent;
   };
-  EXPECT_EQ(let_in(60), 300);
-  EXPECT_LT(let_in(5), 285);
+  EXPECT_EQ(count_admitted(60), 300);
+  EXPECT_LT(count_admitted(5), 285);
 }
 
 // Guards against overloading the remaining servers after a large removal.
 TEST_F(BalancerTest, AdmitsLessAtOnceWhenServersLeave) {
-  const auto let_in = [&](int left, Micros quiet = 0) {
+  const auto count_admitted = [&](int remaining, Micros idle_time = 0) {
     Settings settings = MakeSettings();
     settings.classes[3].value = 10;
     Start(settings, 8);
@@ -758,16 +761,16 @@
       if (Arrive(id, i % 2 == 0 ? 0 : 3)[0].kind == Kind::kSend)
         balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, 100 * kMs, true, {}});
     }
-    now_ += quiet;
-    List(ListUpdate::Kind::kFull, MakeServers(left));
+    now_ += idle_time;
+    List(ListUpdate::Kind::kFull, MakeServers(remaining));
     int sent = 0;
     for (int i = 0; i < 200; ++i)
       sent += Arrive("b" + std::to_string(i), i % 2 == 0 ? 0 : 3)[0].kind == Kind::kSend;
     return sent;
   };
-  EXPECT_EQ(let_in(8), 200);
-  EXPECT_LT(let_in(4), 150);
-  EXPECT_LT(let_in(4, 10 * kSec), 150) << "a quiet sidecar ages it by the time before the servers went";
+  EXPECT_EQ(count_admitted(8), 200);
+  EXPECT_LT(count_admitted(4), 150);
+  EXPECT_LT(count_admitted(4, 10 * kSec), 150) << "the idle time must not hide the removal";
 }
 
 // Refusals of a single class are a limit on it; refusals of all classes are overload.
@@ -783,9 +786,10 @@
         ++refused;
         continue;
       }
-      const bool full = all || i % 2 == 0;
-      balancer_->OnOutcome(now_, {id, 0, full ? Result::kRefused : Result::kSuccess, 10 * kMs, !full, {}});
-      if (full) balancer_->OnClientGone(now_, id);
+      const bool refuses = all || i % 2 == 0;
+      balancer_->OnOutcome(now_,
+                           {id, 0, refuses ? Result::kRefused : Result::kSuccess, 10 * kMs, !refuses, {}});
+      if (refuses) balancer_->OnClientGone(now_, id);
       sink_.Take();
     }
     if (all) {
@@ -821,18 +825,18 @@
 
 TEST_F(BalancerTest, PrefersTheServerWithFewerAttemptsInFlight) {
   Start(MakeSettings(), 2);
-  std::map<std::string, int> out;
-  for (int i = 0; i < 400; ++i) ++out[Arrive("r" + std::to_string(i))[0].server];
-  EXPECT_NEAR(out["s00"], 200, 20);
+  std::map<std::string, int> in_flight;
+  for (int i = 0; i < 400; ++i) ++in_flight[Arrive("r" + std::to_string(i))[0].server];
+  EXPECT_NEAR(in_flight["s00"], 200, 20);
 }
 
 TEST_F(BalancerTest, TheWindowsOfAllSidecarsCoverTheRing) {
   std::map<std::string, int> hits;
-  for (std::uint32_t rank = 0; rank < 40; ++rank) {
+  for (std::uint32_t index = 0; index < 40; ++index) {
     Settings settings = MakeSettings();
-    settings.sidecar_index = rank;
+    settings.sidecar_index = index;
     settings.sidecar_count = 40;
-    Start(settings, 20, rank);
+    Start(settings, 20, index);
     std::set<std::string> used;
     for (int i = 0; i < 300; ++i) used.insert(Arrive("r" + std::to_string(i))[0].server);
     for (const std::string& server : used) ++hits[server];
--- a/tests/causes_test.cpp
+++ b/tests/causes_test.cpp
@@ -11,7 +11,7 @@
 class CausesTest : public BalancerTest {
  protected:
   // Fires the timers of the request until it ends, with `result` for each attempt.
-  Action LastOf(std::vector<Action> actions, const std::string& id, Result result) {
+  Action RunToEnd(std::vector<Action> actions, const std::string& id, Result result) {
     for (int attempt = 0; attempt < 20 && !actions.empty(); ++attempt) {
       const Action last = actions.back();
       if (last.kind == Kind::kRefuse || last.kind == Kind::kFail) return last;
@@ -30,19 +30,20 @@
   for (const auto& [result, cause] : cases) {
     sent_ = 0;
     Start(MakeSettings(), 40);  // more than one request can eject
-    EXPECT_EQ(LastOf(Arrive("r1"), "r1", result).why, cause) << kCauseNames[static_cast<std::size_t>(cause)];
+    EXPECT_EQ(RunToEnd(Arrive("r1"), "r1", result).why, cause)
+        << kCauseNames[static_cast<std::size_t>(cause)];
   }
 }
 
 TEST_F(CausesTest, ReportsThatThereIsNoServer) {
   Start(MakeSettings(), 0);
-  EXPECT_EQ(LastOf(Arrive("r1"), "r1", Result::kSuccess).why, Cause::kNoServer);
+  EXPECT_EQ(RunToEnd(Arrive("r1"), "r1", Result::kSuccess).why, Cause::kNoServer);
   Settings settings = MakeSettings();
   Start(settings, 2);
   std::vector<ServerInfo> others = MakeServers(2);
   for (ServerInfo& info : others) info.protocols = 2;
   List(ListUpdate::Kind::kFull, others);
-  EXPECT_EQ(LastOf(Arrive("r2"), "r2", Result::kSuccess).why, Cause::kNoServer);
+  EXPECT_EQ(RunToEnd(Arrive("r2"), "r2", Result::kSuccess).why, Cause::kNoServer);
 }
 
 TEST_F(CausesTest, ReportsAnUnknownClass) {
@@ -57,14 +58,14 @@
     if (Arrive(id)[0].kind == Kind::kSend)
       balancer_->OnOutcome(now_, {id, 0, Result::kSuccess, 900 * kMs, true, {}});
   }
-  int overload = 0;
+  int refused_for_overload = 0;
   for (int i = 0; i < 20; ++i) {
     const auto actions = Arrive("q" + std::to_string(i));
     if (actions[0].kind != Kind::kRefuse) continue;
     EXPECT_EQ(actions[0].why, Cause::kOverload);
-    ++overload;
+    ++refused_for_overload;
   }
-  EXPECT_GT(overload, 10);
+  EXPECT_GT(refused_for_overload, 10);
 }
 
 TEST_F(CausesTest, TheSnapshotListsServersAndEjections) {
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -51,13 +51,13 @@
   std::vector<Action> actions;
 };
 
-inline RequestClass MakeClass(RetrySafety repeat, DedupScope group = DedupScope::kAll) {
+inline RequestClass MakeClass(RetrySafety safety, DedupScope scope = DedupScope::kAll) {
   RequestClass c;
   c.name = "c";
   c.latency_target = 1 * kSec;
   c.deadline = 5 * kSec;
-  c.retry_safety = repeat;
-  c.dedup_scope = group;
+  c.retry_safety = safety;
+  c.dedup_scope = scope;
   c.dedup_window = 3 * kSec;
   return c;
 }
@@ -128,8 +128,8 @@
     Deliver(id, request_class, budget, key);
     return TakeActions();
   }
-  std::vector<Action> Resolve(const std::string& id, int attempt, Result result, bool settled = false) {
-    balancer_->OnOutcome(now_, {id, attempt, result, 10 * kMs, settled});
+  std::vector<Action> Resolve(const std::string& id, int attempt, Result result, bool done = false) {
+    balancer_->OnOutcome(now_, {id, attempt, result, 10 * kMs, done});
     return TakeActions();
   }
   std::vector<Action> Fire(const Action& timer) {
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -1,4 +1,4 @@
-// Closed-loop and open-loop load in virtual time against servers with a given latency.
+// Open-loop load in virtual time against servers with a given latency.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,19 +23,19 @@
     std::map<Cause, int> unserved;
   };
 
-  // Sends a request every `gap` for `length`. `takes(server)` returns the latency of an attempt that starts
-  // now.
-  template <typename Takes>
-  Counts Play(Micros gap, Micros length, Takes takes) {
+  // Sends a request every `interval` for `length`. `latency_of(server)` returns the latency of an attempt
+  // that starts now.
+  template <typename LatencyFunction>
+  Counts SendRequests(Micros interval, Micros length, LatencyFunction latency_of) {
     Counts counts;
     const Micros end = now_ + length;
-    for (Micros next = now_; next < end; next += gap) {
-      Answer(next);
+    for (Micros next = now_; next < end; next += interval) {
+      DeliverOutcomesUntil(next);
       now_ = next;
       ++counts.arrived;
-      const std::string id = "r" + std::to_string(++last_);
+      const std::string id = "r" + std::to_string(++last_id_);
       Deliver(id);
-      Collect(id, counts, takes);
+      Collect(id, counts, latency_of);
     }
     counts.served = served_;
     served_ = 0;
@@ -45,7 +45,7 @@
   // No requests for `length`.
   void Idle(Micros length) {
     const Micros end = now_ + length;
-    Answer(end);
+    DeliverOutcomesUntil(end);
     now_ = end;
   }
 
@@ -57,42 +57,43 @@
   }
 
  private:
-  struct Due {
+  struct PendingOutcome {
     Micros at;
     std::string id;
-    Micros took;
+    Micros latency;
     Result result;
-    bool operator<(const Due& other) const { return at > other.at; }
+    bool operator<(const PendingOutcome& other) const { return at > other.at; }
   };
 
-  template <typename Takes>
-  void Collect(const std::string& id, Counts& counts, Takes takes) {
+  template <typename LatencyFunction>
+  void Collect(const std::string& id, Counts& counts, LatencyFunction latency_of) {
     for (const Action& action : sink_.Take()) {
       if (action.kind == Kind::kRefuse || action.kind == Kind::kFail) ++counts.unserved[action.why];
       if (action.kind != Kind::kSend) continue;
-      const Micros took = takes(action.server);
-      const bool late = action.time > 0 && took >= action.time;
-      due_.push({now_ + (late ? action.time : took), id, late ? action.time : took,
-                 late ? Result::kTimeout : Result::kSuccess});
+      const Micros latency = latency_of(action.server);
+      const bool late = action.time > 0 && latency >= action.time;
+      pending_.push({now_ + (late ? action.time : latency), id, late ? action.time : latency,
+                     late ? Result::kTimeout : Result::kSuccess});
     }
   }
-  void Answer(Micros until) {
-    while (!due_.empty() && due_.top().at <= until) {
-      const Due due = due_.top();
-      due_.pop();
-      now_ = due.at;
-      served_ += due.result == Result::kSuccess;
-      balancer_->OnOutcome(now_, {due.id, 0, due.result, due.took, due.result == Result::kSuccess, {}});
+  void DeliverOutcomesUntil(Micros until) {
+    while (!pending_.empty() && pending_.top().at <= until) {
+      const PendingOutcome outcome = pending_.top();
+      pending_.pop();
+      now_ = outcome.at;
+      served_ += outcome.result == Result::kSuccess;
+      balancer_->OnOutcome(
+          now_, {outcome.id, 0, outcome.result, outcome.latency, outcome.result == Result::kSuccess, {}});
       sink_.Take();
     }
   }
 
-  std::priority_queue<Due> due_;
-  int last_ = 0;
+  std::priority_queue<PendingOutcome> pending_;
+  int last_id_ = 0;
   int served_ = 0;
 };
 
-int Of(const std::map<Cause, int>& unserved, Cause why) {
+int CountOf(const std::map<Cause, int>& unserved, Cause why) {
   const auto it = unserved.find(why);
   return it == unserved.end() ? 0 : it->second;
 }
@@ -100,21 +101,21 @@
 // Guards against refusals by the concurrency limit when load rises and latency does not.
 TEST_F(OverloadTest, AdmitsALoadStepThatServersCanHandle) {
   Start(MakeSettings(), 8);
-  const auto steady = [](const std::string&) { return 40 * kMs; };
-  const Counts before = Play(1250, 4 * kSec, steady);  // 32 in flight
+  const auto constant_latency = [](const std::string&) { return 40 * kMs; };
+  const Counts before = SendRequests(1250, 4 * kSec, constant_latency);  // 32 in flight
   EXPECT_TRUE(before.unserved.empty());
-  const Counts doubled = Play(625, 4 * kSec, steady);
+  const Counts doubled = SendRequests(625, 4 * kSec, constant_latency);
   EXPECT_GT(doubled.served, doubled.arrived * 0.95);
-  const Counts again = Play(312, 4 * kSec, steady);
+  const Counts again = SendRequests(312, 4 * kSec, constant_latency);
   EXPECT_GT(again.served, again.arrived * 0.95);
 }
 
 // The limit applies where latency grows with the load.
 TEST_F(OverloadTest, RefusesLoadThatServersCannotHandle) {
   Start(MakeSettings(), 8);
-  Play(1250, 4 * kSec, [](const std::string&) { return 40 * kMs; });
-  const Counts slower = Play(625, 2 * kSec, [](const std::string&) { return 200 * kMs; });
-  EXPECT_GT(Of(slower.unserved, Cause::kConcurrencyLimit) + Of(slower.unserved, Cause::kOverload),
+  SendRequests(1250, 4 * kSec, [](const std::string&) { return 40 * kMs; });
+  const Counts slower = SendRequests(625, 2 * kSec, [](const std::string&) { return 200 * kMs; });
+  EXPECT_GT(CountOf(slower.unserved, Cause::kConcurrencyLimit) + CountOf(slower.unserved, Cause::kOverload),
             slower.arrived / 4);
 }
 
@@ -123,11 +124,12 @@
   Start(TimesOutAtTarget(), 2);
   int refused = 0;
   for (int round = 0; round < 40; ++round) {
-    const auto one_stands = [&](const std::string& server) {
+    const auto one_stalls = [&](const std::string& server) {
       return server == "s01" && round % 4 == 3 ? 300 * kMs : 20 * kMs;
     };
-    const Counts counts = Play(100, 1400, one_stands);
-    refused += Of(counts.unserved, Cause::kOverload) + Of(counts.unserved, Cause::kConcurrencyLimit);
+    const Counts counts = SendRequests(100, 1400, one_stalls);
+    refused +=
+        CountOf(counts.unserved, Cause::kOverload) + CountOf(counts.unserved, Cause::kConcurrencyLimit);
     Idle(500 * kMs);
   }
   EXPECT_LE(refused, 5);  // 1%
@@ -136,18 +138,18 @@
 // Guards against a concurrency limit that is exhausted by lost attempts.
 TEST_F(OverloadTest, LostAttemptsDoNotExhaustTheLimit) {
   Start(MakeSettings(), 8);
-  Play(2500, 4 * kSec, [](const std::string&) { return 40 * kMs; });  // 16 in flight
+  SendRequests(2500, 4 * kSec, [](const std::string&) { return 40 * kMs; });  // 16 in flight
   int attempt = 0;
   const auto sixth_is_lost = [&](const std::string&) { return ++attempt % 6 == 0 ? 3 * kSec : 40 * kMs; };
-  const Counts counts = Play(2500, 8 * kSec, sixth_is_lost);
-  EXPECT_LT(Of(counts.unserved, Cause::kConcurrencyLimit), counts.arrived / 20);
+  const Counts counts = SendRequests(2500, 8 * kSec, sixth_is_lost);
+  EXPECT_LT(CountOf(counts.unserved, Cause::kConcurrencyLimit), counts.arrived / 20);
 }
 
 // Guards against ejecting half of the servers for lateness or isolated resets.
 class EjectionTest : public BalancerTest {
  protected:
   // Number of ejected servers, of ten, after many attempts that all ended this way.
-  std::ptrdiff_t AfterMany(Result result) {
+  std::ptrdiff_t EjectedAfterMany(Result result) {
     Settings settings = MakeSettings();
     settings.tuning.window_width = 10;
     settings.classes[0].late_value = 0.5;
@@ -156,17 +158,17 @@
     for (int i = 0; i < 60; ++i) Deliver("r" + std::to_string(i));
     now_ += 100 * kMs;
     for (int i = 0; i < 60; ++i) balancer_->OnOutcome(now_, {"r" + std::to_string(i), 0, result, 100 * kMs});
-    const BalancerSnapshot beliefs = balancer_->TakeSnapshot(now_);
+    const BalancerSnapshot snapshot = balancer_->TakeSnapshot(now_);
     return std::count_if(
-        beliefs.servers.begin(), beliefs.servers.end(),
+        snapshot.servers.begin(), snapshot.servers.end(),
         [](const BalancerSnapshot::Server& server) { return server.consecutive_failures > 0; });
   }
 };
 
 TEST_F(EjectionTest, AtMostAFifthUnlessUnreachable) {
-  EXPECT_EQ(AfterMany(Result::kTimeout), 2);
-  EXPECT_EQ(AfterMany(Result::kReset), 2);
-  EXPECT_EQ(AfterMany(Result::kUnreachable), 5);
+  EXPECT_EQ(EjectedAfterMany(Result::kTimeout), 2);
+  EXPECT_EQ(EjectedAfterMany(Result::kReset), 2);
+  EXPECT_EQ(EjectedAfterMany(Result::kUnreachable), 5);
 }
 
 // A server that keeps responding is loaded, not down.
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -19,118 +19,121 @@
 // Records rule violations.
 class RuleChecker {
  public:
-  RuleChecker(Settings settings, Micros slack) : set_(std::move(settings)), slack_(slack) {}
+  RuleChecker(Settings settings, Micros slack) : settings_(std::move(settings)), slack_(slack) {}
 
-  void Listed(Micros now, const ServerInfo& info) {
-    Known& known = servers_[info.id];
+  void RecordListed(Micros now, const ServerInfo& info) {
+    ServerRecord& record = servers_[info.id];
     const bool usable = info.state == ServerInfo::State::kHealthy;
-    if (!usable && (known.usable || !known.observed)) known.told = now;
-    known = {info, known.told, usable, true};
+    if (!usable && (record.usable || !record.seen)) record.unusable_since = now;
+    record = {info, record.unusable_since, usable, true};
   }
-  void Missing(Micros now, const std::string& id) {
-    Known& known = servers_[id];
-    if (known.usable) known.told = now;
-    known.usable = false;
+  void RecordMissing(Micros now, const std::string& id) {
+    ServerRecord& record = servers_[id];
+    if (record.usable) record.unusable_since = now;
+    record.usable = false;
   }
-  void Arrived(Micros now, const std::string& id, int request_class, Micros budget, const std::string& key) {
+  void RecordArrival(Micros now, const std::string& id, int request_class, Micros budget,
+                     const std::string& key) {
     requests_[id] = {request_class, now + budget, false, {}};
-    if (set_.classes[static_cast<std::size_t>(request_class)].sequential && !key.empty()) {
+    if (settings_.classes[static_cast<std::size_t>(request_class)].sequential && !key.empty()) {
       requests_[id].key = key;
-      in_order_[key].push_back(id);
+      ids_by_key_[key].push_back(id);
     }
   }
-  void Resolved(Micros now, const std::string& id, int attempt, Result result, bool settled) {
-    Observed& observed = requests_.at(id);
-    Try& tried = observed.tries.at(static_cast<std::size_t>(attempt));
-    tried.out = false;
-    tried.ran = (result != Result::kRefused || set_.refused_may_have_run) && result != Result::kUnreachable &&
-                result != Result::kNeverSent;
+  void RecordOutcome(Micros now, const std::string& id, int attempt, Result result, bool request_done) {
+    RequestRecord& request_record = requests_.at(id);
+    AttemptRecord& sent_attempt = request_record.sent_attempts.at(static_cast<std::size_t>(attempt));
+    sent_attempt.in_flight = false;
+    sent_attempt.may_have_run = (result != Result::kRefused || settings_.refused_may_have_run) &&
+                                result != Result::kUnreachable && result != Result::kNeverSent;
     if (result == Result::kTimeout || result == Result::kReset || result == Result::kCancelled)
-      observed.settled_at = now + set_.hold_after_uncertain_outcome;
-    if (settled) observed.ended = true;
+      request_record.key_held_until = now + settings_.hold_after_uncertain_outcome;
+    if (request_done) request_record.ended = true;
   }
-  void Gone(const std::string& id) { requests_.at(id).ended = true; }
+  void RecordClientGone(const std::string& id) { requests_.at(id).ended = true; }
 
-  void Acted(Micros now, const Action& action) {
+  void CheckAction(Micros now, const Action& action) {
     if (action.kind == Kind::kTimer || action.kind == Kind::kSubscribe || action.kind == Kind::kCancel)
       return;
     const auto it = requests_.find(action.request);
     if (it == requests_.end()) return AddViolation("an action names an unknown request");
-    Observed& observed = it->second;
-    if (observed.ended) return AddViolation("an action for an ended request");
-    const RequestClass& c = set_.classes[static_cast<std::size_t>(observed.request_class)];
-    const Try* ran = nullptr;
-    for (const Try& tried : observed.tries)
-      if (ran == nullptr && tried.ran) ran = &tried;
+    RequestRecord& request_record = it->second;
+    if (request_record.ended) return AddViolation("an action for an ended request");
+    const RequestClass& c = settings_.classes[static_cast<std::size_t>(request_record.request_class)];
+    const AttemptRecord* executed = nullptr;
+    for (const AttemptRecord& sent_attempt : request_record.sent_attempts)
+      if (executed == nullptr && sent_attempt.may_have_run) executed = &sent_attempt;
     if (action.kind == Kind::kSend) {
-      const Known& server = servers_[action.server];
-      if (!server.observed) AddViolation("sent to a server that was never listed");
-      if (server.observed && !server.usable && now > server.told + set_.drain_grace)
+      const ServerRecord& server = servers_[action.server];
+      if (!server.seen) AddViolation("sent to a server that was never listed");
+      if (server.seen && !server.usable && now > server.unusable_since + settings_.drain_grace)
         AddViolation("sent to a draining server");
-      for (const Try& tried : observed.tries)
-        if (tried.out && !set_.parallel_attempts) AddViolation("two attempts at once");
-      if (static_cast<int>(observed.tries.size()) >= set_.max_attempts) AddViolation("too many attempts");
-      if (now > observed.deadline) AddViolation("sent after the deadline");
-      for (const std::string& before : in_order_[observed.key]) {
-        if (before == action.request) break;
-        const Observed& earlier = requests_.at(before);
-        for (const Try& tried : earlier.tries)
-          if (tried.out) AddViolation("sent while an earlier one of the key was out");
-        if (!earlier.ended) AddViolation("sent before an earlier one of the key was over");
-        if (now < earlier.settled_at) AddViolation("sent before the key had settled");
+      for (const AttemptRecord& sent_attempt : request_record.sent_attempts)
+        if (sent_attempt.in_flight && !settings_.parallel_attempts) AddViolation("two attempts at once");
+      if (static_cast<int>(request_record.sent_attempts.size()) >= settings_.max_attempts)
+        AddViolation("too many attempts");
+      if (now > request_record.deadline) AddViolation("sent after the deadline");
+      for (const std::string& earlier_id : ids_by_key_[request_record.key]) {
+        if (earlier_id == action.request) break;
+        const RequestRecord& earlier = requests_.at(earlier_id);
+        for (const AttemptRecord& sent_attempt : earlier.sent_attempts)
+          if (sent_attempt.in_flight) AddViolation("sent while an earlier request of the key was in flight");
+        if (!earlier.ended) AddViolation("sent before an earlier request of the key had ended");
+        if (now < earlier.key_held_until) AddViolation("sent during the hold of the key");
       }
-      if (ran != nullptr && c.retry_safety == RetrySafety::kNever) AddViolation("an effect may happen twice");
-      if (ran != nullptr && c.retry_safety == RetrySafety::kDeduplicated) {
-        if (now >= ran->sent + c.dedup_window) AddViolation("repeated after the window");
-        if (c.dedup_scope == DedupScope::kZone && ran->zone != server.info.zone)
-          AddViolation("repeated outside the group");
-        if (c.dedup_scope == DedupScope::kCell && ran->cell != server.info.cell)
-          AddViolation("repeated outside the group");
+      if (executed != nullptr && c.retry_safety == RetrySafety::kNever)
+        AddViolation("a request may be executed twice");
+      if (executed != nullptr && c.retry_safety == RetrySafety::kDeduplicated) {
+        if (now >= executed->sent + c.dedup_window) AddViolation("retried after the dedup window");
+        if (c.dedup_scope == DedupScope::kZone && executed->zone != server.info.zone)
+          AddViolation("retried outside the dedup scope");
+        if (c.dedup_scope == DedupScope::kCell && executed->cell != server.info.cell)
+          AddViolation("retried outside the dedup scope");
       }
-      observed.tries.push_back({now, server.info.zone, server.info.cell, true, true});
+      request_record.sent_attempts.push_back({now, server.info.zone, server.info.cell, true, true});
       return;
     }
-    if (now > observed.deadline + slack_) AddViolation("answered late");
-    if (action.kind == Kind::kRefuse && ran != nullptr && c.retry_safety != RetrySafety::kSafe &&
+    if (now > request_record.deadline + slack_) AddViolation("ended after the deadline");
+    if (action.kind == Kind::kRefuse && executed != nullptr && c.retry_safety != RetrySafety::kSafe &&
         !(c.retry_safety == RetrySafety::kDeduplicated && c.dedup_scope == DedupScope::kAll))
-      AddViolation("refused what may have run");
-    observed.ended = true;
+      AddViolation("refused a request that may have been executed");
+    request_record.ended = true;
   }
   void Finish() {
-    for (const auto& [id, observed] : requests_)
-      if (!observed.ended) AddViolation("a request without an answer");
+    for (const auto& [id, request_record] : requests_)
+      if (!request_record.ended) AddViolation("a request that never ended");
   }
   const std::set<std::string>& violations() const { return violations_; }
 
  private:
-  struct Known {
+  struct ServerRecord {
     ServerInfo info;
-    Micros told = 0;
+    Micros unusable_since = 0;
     bool usable = false;
-    bool observed = false;
+    bool seen = false;
   };
-  struct Try {
+  struct AttemptRecord {
     Micros sent;
     int zone;
     std::int64_t cell;
-    bool out;
-    bool ran;
+    bool in_flight;
+    bool may_have_run;
   };
-  struct Observed {
+  struct RequestRecord {
     int request_class;
     Micros deadline;
     bool ended;
-    std::vector<Try> tries;
+    std::vector<AttemptRecord> sent_attempts;
     std::string key = {};
-    Micros settled_at = 0;
+    Micros key_held_until = 0;
   };
-  void AddViolation(const std::string& what) { violations_.insert(what); }
+  void AddViolation(const std::string& violation) { violations_.insert(violation); }
 
-  Settings set_;
+  Settings settings_;
   Micros slack_;
-  std::map<std::string, Known> servers_;
-  std::map<std::string, Observed> requests_;
-  std::map<std::string, std::vector<std::string>> in_order_;
+  std::map<std::string, ServerRecord> servers_;
+  std::map<std::string, RequestRecord> requests_;
+  std::map<std::string, std::vector<std::string>> ids_by_key_;
   std::set<std::string> violations_;
 };
 
@@ -140,20 +143,20 @@
 struct RunResult {
   std::set<std::string> violations;
   int sends = 0, retries = 0, refusals = 0, failures = 0;
-  std::size_t held = 0;
+  std::size_t requests_left = 0;
 };
 
 // Runs one random event sequence. The checker applies `rules` if given, else `settings`.
-RunResult Play(std::uint64_t seed, const Settings& settings, const Mutator& mutate,
-               const Settings* rules = nullptr) {
+RunResult RunRandomEvents(std::uint64_t seed, const Settings& settings, const Mutator& mutate,
+                          const Settings* rules = nullptr) {
   std::mt19937_64 random(seed);
   const auto below = [&](int n) { return static_cast<int>(random() % static_cast<std::uint64_t>(n)); };
   struct Pending {
     Micros at;
-    int order;
+    int sequence;
     Action action;
     int attempt;
-    bool operator<(const Pending& o) const { return std::pair(at, order) < std::pair(o.at, o.order); }
+    bool operator<(const Pending& o) const { return std::pair(at, sequence) < std::pair(o.at, o.sequence); }
   };
   RunResult run;
   Recorder sink;
@@ -164,41 +167,41 @@
   std::set<Pending> pending;
   std::map<std::string, Micros> deadline;
   std::map<std::string, int> attempts;
-  std::set<std::string> settled;
-  int order = 0;
+  std::set<std::string> ended_requests;
+  int sequence = 0;
   const auto collect = [&] {
     for (Action action : sink.Take()) {
       if (mutate) mutate(action);
-      checker.Acted(now, action);
+      checker.CheckAction(now, action);
       if (action.kind == Kind::kSend) {
         ++run.sends;
         const int attempt = attempts[action.request]++;
         run.retries += attempt > 0;
         Micros at = now + 1 * kMs + below(3000) * kMs;
         if (action.time > 0) at = std::min(at, now + action.time);
-        pending.insert({std::min(at, deadline[action.request]), order++, action, attempt});
+        pending.insert({std::min(at, deadline[action.request]), sequence++, action, attempt});
       } else if (action.kind == Kind::kTimer) {
-        pending.insert({now + action.time + 5 * kMs, order++, action, 0});
+        pending.insert({now + action.time + 5 * kMs, sequence++, action, 0});
       } else if (action.kind == Kind::kRefuse || action.kind == Kind::kFail) {
         ++(action.kind == Kind::kRefuse ? run.refusals : run.failures);
-        settled.insert(action.request);
+        ended_requests.insert(action.request);
       }
     }
   };
   std::vector<ServerInfo> servers = MakeServers(12);
-  const auto list = [&](ListUpdate::Kind kind, const std::vector<ServerInfo>& entries) {
-    for (const ServerInfo& info : entries) checker.Listed(now, info);
+  const auto deliver_list = [&](ListUpdate::Kind kind, const std::vector<ServerInfo>& entries) {
+    for (const ServerInfo& info : entries) checker.RecordListed(now, info);
     balancer->OnServers(now, {kind, 1, entries});
     collect();
   };
-  list(ListUpdate::Kind::kStale, servers);
-  std::vector<std::string> alive;
+  deliver_list(ListUpdate::Kind::kStale, servers);
+  std::vector<std::string> request_ids;
   for (int i = 0; i < 600; ++i) {
     now += below(20) * kMs;
     while (!pending.empty() && pending.begin()->at <= now) {
       const Pending next = *pending.begin();
       pending.erase(pending.begin());
-      const Micros resume = now;
+      const Micros resume_at = now;
       now = std::max(next.at, now);
       if (next.action.kind == Kind::kTimer) {
         balancer->OnTimer(now, next.action.token);
@@ -208,37 +211,38 @@
             Result::kError,   Result::kReset,   Result::kUnreachable, Result::kTimeout, Result::kCancelled};
         const std::string& id = next.action.request;
         const Result result = next.at >= deadline[id] ? Result::kTimeout : kResults[below(10)];
-        if (result == Result::kSuccess) settled.insert(id);
-        const bool done = settled.count(id) > 0;
-        checker.Resolved(now, id, next.attempt, result, done);
+        if (result == Result::kSuccess) ended_requests.insert(id);
+        const bool done = ended_requests.count(id) > 0;
+        checker.RecordOutcome(now, id, next.attempt, result, done);
         balancer->OnOutcome(now, {id, next.attempt, result, 10 * kMs, done});
       }
       collect();
-      now = std::max(now, resume);
+      now = std::max(now, resume_at);
     }
-    const int what = below(20);
-    if (what == 0) {  // a server drains, leaves or returns cold
+    const int event_kind = below(20);
+    if (event_kind == 0) {  // a server drains, leaves or returns cold
       ServerInfo& info = servers[static_cast<std::size_t>(below(12))];
       info.state = static_cast<ServerInfo::State>(below(3));
       if (info.state == ServerInfo::State::kHealthy) info.started = now - below(3000) * kMs;
-      list(ListUpdate::Kind::kDelta, {info});
-    } else if (what == 1) {  // a full list, without removed servers
+      deliver_list(ListUpdate::Kind::kDelta, {info});
+    } else if (event_kind == 1) {  // a full list, without removed servers
       std::vector<ServerInfo> present;
       for (const ServerInfo& info : servers) {
         if (info.state == ServerInfo::State::kGone) {
-          checker.Missing(now, info.id);
+          checker.RecordMissing(now, info.id);
         } else {
           present.push_back(info);
         }
       }
-      list(ListUpdate::Kind::kFull, present);
-    } else if (what == 2) {
+      deliver_list(ListUpdate::Kind::kFull, present);
+    } else if (event_kind == 2) {
       balancer->OnServers(now, {ListUpdate::Kind::kFailed, 0, {}});
       collect();
-    } else if (what == 3 && !alive.empty()) {
-      const std::string& id = alive[static_cast<std::size_t>(below(static_cast<int>(alive.size())))];
-      if (settled.insert(id).second) {
-        checker.Gone(id);
+    } else if (event_kind == 3 && !request_ids.empty()) {
+      const std::string& id =
+          request_ids[static_cast<std::size_t>(below(static_cast<int>(request_ids.size())))];
+      if (ended_requests.insert(id).second) {
+        checker.RecordClientGone(id);
         balancer->OnClientGone(now, id);
         collect();
       }
@@ -249,10 +253,10 @@
       request.request_class = below(4);
       request.budget = (1 + below(4000)) * kMs;
       deadline[id] = now + request.budget;
-      alive.push_back(id);
+      request_ids.push_back(id);
       const std::string key = below(4) == 0 ? "" : "k" + std::to_string(below(6));
       request.key = key;
-      checker.Arrived(now, id, request.request_class, request.budget, key);
+      checker.RecordArrival(now, id, request.request_class, request.budget, key);
       balancer->OnRequest(now, request);
       collect();
     }
@@ -265,52 +269,53 @@
       balancer->OnTimer(now, next.action.token);
     } else {
       const std::string& id = next.action.request;
-      const bool done = settled.count(id) > 0;
-      checker.Resolved(now, id, next.attempt, Result::kTimeout, done);
+      const bool done = ended_requests.count(id) > 0;
+      checker.RecordOutcome(now, id, next.attempt, Result::kTimeout, done);
       balancer->OnOutcome(now, {id, next.attempt, Result::kTimeout, 10 * kMs, done});
     }
     collect();
   }
   checker.Finish();
   run.violations = checker.violations();
-  run.held = balancer->requests_held();
+  run.requests_left = balancer->requests_held();
   return run;
 }
 
 std::vector<Settings> Variants() {
-  Settings push = MakeSettings();
-  Settings ask = MakeSettings();
-  ask.must_subscribe = true;
-  ask.zone = 0;
-  ask.cost_cross_zone = 0.2;
-  for (RequestClass& c : ask.classes) c.value = 3;
-  Settings cell = MakeSettings();
-  cell.classes[1].dedup_scope = DedupScope::kCell;
-  cell.max_attempts = 2;
-  cell.max_retry_after = 0;
-  Settings full = MakeSettings();
-  full.refused_may_have_run = true;
-  Settings order = MakeSettings();
-  order.hold_after_uncertain_outcome = 40 * kMs;
-  order.classes[0].sequential = order.classes[1].sequential = order.classes[2].sequential = true;
-  Settings both = order;
-  both.refused_may_have_run = true;
-  both.classes[1].dedup_scope = DedupScope::kCell;
-  both.hold_after_uncertain_outcome = 0;
-  both.must_subscribe = true;
-  Settings warm = ask;
-  warm.warm_keys = true;
-  warm.weights = Settings::Weights::kRough;
-  return {push, ask, cell, full, warm, order, both};
+  Settings defaults = MakeSettings();
+  Settings subscribe = MakeSettings();
+  subscribe.must_subscribe = true;
+  subscribe.zone = 0;
+  subscribe.cost_cross_zone = 0.2;
+  for (RequestClass& c : subscribe.classes) c.value = 3;
+  Settings cell_scope = MakeSettings();
+  cell_scope.classes[1].dedup_scope = DedupScope::kCell;
+  cell_scope.max_attempts = 2;
+  cell_scope.max_retry_after = 0;
+  Settings ambiguous_refusals = MakeSettings();
+  ambiguous_refusals.refused_may_have_run = true;
+  Settings sequential_keys = MakeSettings();
+  sequential_keys.hold_after_uncertain_outcome = 40 * kMs;
+  sequential_keys.classes[0].sequential = sequential_keys.classes[1].sequential =
+      sequential_keys.classes[2].sequential = true;
+  Settings all_rules = sequential_keys;
+  all_rules.refused_may_have_run = true;
+  all_rules.classes[1].dedup_scope = DedupScope::kCell;
+  all_rules.hold_after_uncertain_outcome = 0;
+  all_rules.must_subscribe = true;
+  Settings key_affinity = subscribe;
+  key_affinity.warm_keys = true;
+  key_affinity.weights = Settings::Weights::kRough;
+  return {defaults, subscribe, cell_scope, ambiguous_refusals, key_affinity, sequential_keys, all_rules};
 }
 
 TEST(Rules, HoldInRandomRuns) {
   RunResult sum;
   for (const Settings& settings : Variants()) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-      const RunResult run = Play(seed, settings, nullptr);
+      const RunResult run = RunRandomEvents(seed, settings, nullptr);
       ASSERT_TRUE(run.violations.empty()) << "seed " << seed << ": " << *run.violations.begin();
-      ASSERT_EQ(run.held, 0u) << "seed " << seed;
+      ASSERT_EQ(run.requests_left, 0u) << "seed " << seed;
       sum.sends += run.sends;
       sum.retries += run.retries;
       sum.refusals += run.refusals;
@@ -328,7 +333,8 @@
 std::set<std::string> Violations(const Settings& settings, const Mutator& mutate,
                                  const Settings* rules = nullptr) {
   std::set<std::string> all;
-  for (std::uint64_t seed = 1; seed <= 60; ++seed) all.merge(Play(seed, settings, mutate, rules).violations);
+  for (std::uint64_t seed = 1; seed <= 60; ++seed)
+    all.merge(RunRandomEvents(seed, settings, mutate, rules).violations);
   return all;
 }
 
@@ -337,48 +343,48 @@
   const auto violations = [](const Mutator& mutate) { return Violations(MakeSettings(), mutate); };
   EXPECT_TRUE(violations([](Action& a) {
                 if (a.kind == Kind::kFail) a.kind = Kind::kRefuse;
-              }).count("refused what may have run"));
+              }).count("refused a request that may have been executed"));
   EXPECT_TRUE(violations([](Action& a) {
                 if (a.kind == Kind::kSend) a.server = "s03";
               }).count("sent to a draining server"));
   EXPECT_TRUE(violations([n = 0](Action& a) mutable {
                 if (a.kind == Kind::kSend) a.server = n++ % 2 == 0 ? "s02" : "s03";
-              }).count("repeated outside the group"));
+              }).count("retried outside the dedup scope"));
   EXPECT_TRUE(violations([](Action& a) {
                 if (a.kind == Kind::kFail) a.kind = Kind::kCancel;
-              }).count("a request without an answer"));
+              }).count("a request that never ended"));
   EXPECT_TRUE(violations([](Action& a) {
                 if (a.kind == Kind::kFail) {
                   a.kind = Kind::kSend;
                   a.server = "s01";
                 }
-              }).count("an effect may happen twice"));
+              }).count("a request may be executed twice"));
 }
 
 // The balancer gets settings without the optional rules, and so violates them.
 TEST(Rules, TheCheckerDetectsViolationsOfOptionalRules) {
-  Settings both = Variants().back();
-  both.hold_after_uncertain_outcome = 500 * kMs;
-  Settings untold = both;
-  untold.refused_may_have_run = false;
-  untold.hold_after_uncertain_outcome = 0;
-  std::set<std::string> all = Violations(untold, nullptr, &both);
-  EXPECT_TRUE(all.count("refused what may have run"));
-  EXPECT_TRUE(all.count("an effect may happen twice"));
-  EXPECT_TRUE(all.count("repeated outside the group"));
-  EXPECT_TRUE(all.count("sent before the key had settled"));
-  for (RequestClass& c : untold.classes) c.sequential = false;
-  all.merge(Violations(untold, nullptr, &both));
-  EXPECT_TRUE(all.count("sent while an earlier one of the key was out"));
-  EXPECT_TRUE(all.count("sent before an earlier one of the key was over"));
+  Settings all_rules = Variants().back();
+  all_rules.hold_after_uncertain_outcome = 500 * kMs;
+  Settings unaware = all_rules;
+  unaware.refused_may_have_run = false;
+  unaware.hold_after_uncertain_outcome = 0;
+  std::set<std::string> all = Violations(unaware, nullptr, &all_rules);
+  EXPECT_TRUE(all.count("refused a request that may have been executed"));
+  EXPECT_TRUE(all.count("a request may be executed twice"));
+  EXPECT_TRUE(all.count("retried outside the dedup scope"));
+  EXPECT_TRUE(all.count("sent during the hold of the key"));
+  for (RequestClass& c : unaware.classes) c.sequential = false;
+  all.merge(Violations(unaware, nullptr, &all_rules));
+  EXPECT_TRUE(all.count("sent while an earlier request of the key was in flight"));
+  EXPECT_TRUE(all.count("sent before an earlier request of the key had ended"));
 }
 
 TEST(Rules, TheSameEventsProduceTheSameActions) {
-  const RunResult one = Play(5, MakeSettings(), nullptr);
-  const RunResult two = Play(5, MakeSettings(), nullptr);
-  EXPECT_EQ(one.sends, two.sends);
-  EXPECT_EQ(one.refusals, two.refusals);
-  EXPECT_EQ(one.failures, two.failures);
+  const RunResult first = RunRandomEvents(5, MakeSettings(), nullptr);
+  const RunResult second = RunRandomEvents(5, MakeSettings(), nullptr);
+  EXPECT_EQ(first.sends, second.sends);
+  EXPECT_EQ(first.refusals, second.refusals);
+  EXPECT_EQ(first.failures, second.failures);
 }
 
 }  // namespace
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -11,7 +11,7 @@
 namespace merlinrun::drill {
 namespace {
 
-const char kInfo[] =
+const char kSettings[] =
     "allowed.cancel=true allowed.max_attempts=5 allowed.max_retry_after_us=2000000 allowed.retry_after=true "
     "azs=east,west grades.count=2 grades.0.name=look grades.0.aim_us=1000000 grades.0.hard_limit_us=3000000 "
     "grades.0.importance=1.0 grades.0.repeat=idempotent grades.1.name=pay grades.1.aim_us=1000000 "
@@ -23,16 +23,16 @@
     "some.unknown.key=whatever";
 
 std::vector<std::string> Provision(const std::string& name, const std::string& seed = "42") {
-  return {"PROVISION " + name + " " + seed + " " + kInfo, "TABLE 3 2",
+  return {"PROVISION " + name + " " + seed + " " + kSettings, "TABLE 3 2",
           "ROW big east 1 - 0 10.0.0.1:80 healthy", "ROW small west 1.5 100 - 10.0.0.2:80 healthy",
           "DISCOVERY " + name + " C 7 3"};
 }
 
 // Returns the reply to one batch.
 std::string Batch(Host& host, std::int64_t now, const std::vector<std::string>& lines) {
-  host.Line("BEGIN_BATCH " + std::to_string(now));
-  for (const std::string& line : lines) EXPECT_FALSE(host.Line(line)) << line;
-  EXPECT_TRUE(host.Line("COMMIT"));
+  host.ProcessLine("BEGIN_BATCH " + std::to_string(now));
+  for (const std::string& line : lines) EXPECT_FALSE(host.ProcessLine(line)) << line;
+  EXPECT_TRUE(host.ProcessLine("COMMIT"));
   return host.reply();
 }
 
@@ -122,10 +122,10 @@
   };
   for (const auto& [line, expected] : cases) {
     Host host;
-    host.Line("BEGIN_BATCH 10");
-    for (const std::string& good : Provision("sidecar/1")) host.Line(good);
+    host.ProcessLine("BEGIN_BATCH 10");
+    for (const std::string& good : Provision("sidecar/1")) host.ProcessLine(good);
     try {
-      host.Line(line);
+      host.ProcessLine(line);
       ADD_FAILURE() << "accepted: " << line;
     } catch (const WireError& error) {
       EXPECT_EQ(std::string(error.what()), expected);
@@ -199,14 +199,14 @@
         "MESSAGE sidecar/1 3 6869", "DISCOVERY sidecar/1 X 3 0", "DOWN sidecar/1", "COMMIT"})
     script.emplace_back(line);
   int rejected = 0;
-  int taken = 0;
+  int accepted = 0;
   for (int round = 0; round < 6000; ++round) {
     Host host;
-    const std::size_t spoiled = below(script.size());
+    const std::size_t corrupted = below(script.size());
     try {
       for (std::size_t i = 0; i < script.size(); ++i) {
         std::string line = script[i];
-        if (i == spoiled) {
+        if (i == corrupted) {
           if (round % 3 == 0) line.resize(below(line.size() + 1));
           if (round % 3 == 1)
             for (int k = 0; k < 3 && !line.empty(); ++k)
@@ -214,56 +214,57 @@
           if (round % 3 == 2)
             for (char& c : line) c = "0123456789-./ aZ=,\n"[below(19)];
         }
-        host.Line(line);
+        host.ProcessLine(line);
       }
-      ++taken;
+      ++accepted;
     } catch (const WireError&) {
       ++rejected;
     }
   }
   EXPECT_GT(rejected, 3000);
-  EXPECT_GT(taken, 100);
+  EXPECT_GT(accepted, 100);
 }
 
 // The lines of one instance in a reply.
-std::string Own(const std::string& reply, const std::string& name) {
-  std::string own;
+std::string LinesOf(const std::string& reply, const std::string& name) {
+  std::string matching;
   std::size_t at = 0;
   while (at < reply.size()) {
     const std::size_t end = reply.find('\n', at);
     const std::string line = reply.substr(at, end - at);
-    if (line.find(" " + name + " ") != std::string::npos) own += line + "\n";
+    if (line.find(" " + name + " ") != std::string::npos) matching += line + "\n";
     at = end + 1;
   }
-  return own;
+  return matching;
 }
 
 TEST(Wire, InterleavedInstancesAreIndependent) {
   const std::vector<std::string> names = {"sidecar/0", "sidecar/1", "sidecar/2"};
-  Host together;
-  std::vector<Host> alone(names.size());
+  Host shared_host;
+  std::vector<Host> separate_hosts(names.size());
   std::mt19937_64 random(3);
-  const auto play = [&](std::int64_t now, const std::vector<std::vector<std::string>>& by_name) {
+  const auto run_round = [&](std::int64_t now, const std::vector<std::vector<std::string>>& by_name) {
     std::vector<std::string> all;
     for (std::size_t k = 0; k < 12; ++k)  // one line of each instance in turn
       for (const auto& lines : by_name)
         if (k < lines.size()) all.push_back(lines[k]);
-    const std::string mixed = Batch(together, now, all);
+    const std::string shared_reply = Batch(shared_host, now, all);
     for (std::size_t i = 0; i < names.size(); ++i)
-      EXPECT_EQ(Own(mixed, names[i]), Own(Batch(alone[i], now, by_name[i]), names[i]));
-    return mixed;
+      EXPECT_EQ(LinesOf(shared_reply, names[i]),
+                LinesOf(Batch(separate_hosts[i], now, by_name[i]), names[i]));
+    return shared_reply;
   };
   std::vector<std::vector<std::string>> lines;
   std::vector<std::string> start;
   for (std::size_t i = 0; i < names.size(); ++i) {
     start = Provision(names[i], std::to_string(100 + i));
-    Batch(alone[i], 5, start);
+    Batch(separate_hosts[i], 5, start);
     lines.push_back({});
   }
   std::vector<std::string> all;
   for (std::size_t i = 0; i < names.size(); ++i)
     for (const std::string& line : Provision(names[i], std::to_string(100 + i))) all.push_back(line);
-  Batch(together, 5, all);
+  Batch(shared_host, 5, all);
   for (int round = 0; round < 200; ++round) {
     const std::string id = "r-" + std::to_string(round);
     for (std::size_t i = 0; i < names.size(); ++i) {
@@ -273,7 +274,7 @@
         lines[i].push_back("RESOLVED " + names[i] + " r-" + std::to_string(round - 1) + " 0 s " + outcome);
       }
     }
-    play(100 + round * 5000, lines);
+    run_round(100 + round * 5000, lines);
   }
 }
 
--- a/tests/zones/zones_test.cpp
+++ b/tests/zones/zones_test.cpp
@@ -12,12 +12,13 @@
 namespace {
 
 constexpr Micros kSec = 1'000'000;
-constexpr Zones::Window kHalf = {.here = 5, .elsewhere = 5};
+constexpr Zones::Window kEvenWindow = {.here = 5, .elsewhere = 5};
 
 class ZonesTest : public ::testing::Test {
  protected:
   // Runs an attempt to its outcome. Backoffs are as long as possible.
-  bool RunAttempt(int zone, std::uint64_t server, Evidence evidence, const Zones::Window& window = kHalf) {
+  bool RunAttempt(int zone, std::uint64_t server, Evidence evidence,
+                  const Zones::Window& window = kEvenWindow) {
     zones_.OnSent(now_, zone);
     return zones_.OnOutcome(now_, zone, server, evidence, window);
   }
@@ -30,7 +31,7 @@
 
   Micros now_ = 100 * kSec;
   Micros last_bound_ = 0;
-  Zones zones_{[this](Micros most) { return last_bound_ = most; }, 8 * kSec};
+  Zones zones_{[this](Micros bound) { return last_bound_ = bound; }, 8 * kSec};
 };
 
 TEST_F(ZonesTest, ThreeUnreachableServersEjectTheZone) {
@@ -107,7 +108,7 @@
   for (std::uint64_t server = 1; server <= 3; ++server) {
     EXPECT_FALSE(zones_.IsZoneEjected(1));
     zones_.OnSent(now_, 1);
-    zones_.OnLate(now_, 1, server, kHalf);
+    zones_.OnLate(now_, 1, server, kEvenWindow);
   }
   EXPECT_FALSE(zones_.IsZoneEjected(1));  // no other zone has responded since
   EXPECT_TRUE(RunAttempt(0, 9, Evidence::kResponse));
@@ -213,8 +214,8 @@
 
 class PeerReportTest : public ZonesTest {
  protected:
-  bool Report(int lost, int well, Micros returned_for = 0) {
-    return zones_.OnPeerReport(now_, {1, lost + well, lost, well, returned_for}, kHalf);
+  bool Report(int lost, int healthy, Micros returned_for = 0) {
+    return zones_.OnPeerReport(now_, {1, lost + healthy, lost, healthy, returned_for}, kEvenWindow);
   }
 };
 
@@ -285,15 +286,15 @@
   constexpr Zones::Window window{.here = 8, .elsewhere = 8};
   Micros now = 1000 * kSec;
   std::vector<Zones> all;
-  for (std::uint32_t rank = 0; rank < 100; ++rank) {
-    all.emplace_back([](Micros) { return 0; }, 8 * kSec, rank, 100U);
+  for (std::uint32_t index = 0; index < 100; ++index) {
+    all.emplace_back([](Micros) { return 0; }, 8 * kSec, index, 100U);
     Zones& zones = all.back();
     zones.OnOutcome(now, 0, 9, Evidence::kResponse, window);
     for (std::uint64_t server = 1; server <= 3; ++server)
       zones.OnOutcome(now, 1, server, Evidence::kNoConnection, window);
     ASSERT_TRUE(zones.IsZoneEjected(1));
   }
-  const auto may = [&] {
+  const auto count_allowed = [&] {
     int count = 0;
     for (Zones& zones : all) {
       zones.OnPeerReport(now, {1, 10, 10, 0, 0}, window);
@@ -304,28 +305,28 @@
   int sum = 0;
   for (int second = 1; second < 16; ++second) {
     now += kSec;
-    const int count = may();
+    const int count = count_allowed();
     EXPECT_LE(count, 12) << second;
     sum += count;
   }
   EXPECT_GE(sum, 15);  // three per round on average
   EXPECT_LE(sum, 90);
   now += kSec;
-  EXPECT_EQ(may(), 100);
+  EXPECT_EQ(count_allowed(), 100);
 }
 
 // ---- Operator overrides ----
 
 TEST_F(ZonesTest, AnEvacuationIgnoresResponses) {
-  const ZoneOverride leave[] = {{1, ZoneOverride::Kind::kEvacuate}};
+  const ZoneOverride evacuate[] = {{1, ZoneOverride::Kind::kEvacuate}};
   RunAttempt(0, 9, Evidence::kResponse);
   zones_.OnSent(now_, 1);
-  zones_.OnOverrides(now_, leave);
+  zones_.OnOverrides(now_, evacuate);
   EXPECT_TRUE(zones_.IsZoneEjected(1));
-  EXPECT_FALSE(zones_.OnOutcome(now_, 1, 1, Evidence::kResponse, kHalf));  // sent before the override
+  EXPECT_FALSE(zones_.OnOutcome(now_, 1, 1, Evidence::kResponse, kEvenWindow));  // sent before the override
   now_ += 60 * kSec;
   EXPECT_FALSE(zones_.MaySend(now_, 1));
-  zones_.OnOverrides(now_, leave);  // no change
+  zones_.OnOverrides(now_, evacuate);  // no change
   EXPECT_EQ(zones_.epoch(), 1U);
   zones_.OnOverrides(now_, {});
   EXPECT_TRUE(zones_.MaySend(now_, 1));
@@ -339,7 +340,7 @@
   RunAttempt(0, 9, Evidence::kResponse);
   for (std::uint64_t server = 1; server <= 5; ++server)
     EXPECT_FALSE(RunAttempt(1, server, Evidence::kNoConnection));
-  EXPECT_FALSE(zones_.OnPeerReport(now_, {1, 20, 20, 0, 0}, kHalf));
+  EXPECT_FALSE(zones_.OnPeerReport(now_, {1, 20, 20, 0, 0}, kEvenWindow));
   EXPECT_TRUE(zones_.MaySend(now_, 1));
   zones_.OnOverrides(now_, {});
   EXPECT_TRUE(RunAttempt(1, 6, Evidence::kNoConnection));
