--- a/bench/model_bench.cpp
+++ b/bench/model_bench.cpp
@@ -107,7 +107,7 @@
               kEach, kEach * kTrials, truth, by_t, by_bootstrap, kTrials);
 }
 
-// Simulated requests per second and core, by fleet size.
+// Simulated requests per second, by fleet size and number of threads.
 void Cost(const Bench& bench) {
   struct Size {
     double servers;
@@ -144,7 +144,7 @@
   Ranking(bench, "cold", "no-cold-care:cold_care=0", 64, 0.002);
   Ranking(bench, "heavy-loss", "slow-retry:retry_base_ms=20000", 64, 0.002);
   Ranking(bench, "heavy-loss", "no-jitter:jitter=0", 144, 0);
-  Ranking(bench, "lost", "width-2:window_width=2", 64, 0.002);  // worse by about one percent
+  Ranking(bench, "lost", "width-2:window_width=2", 64, 0.002);  // worse by about one percentage point
 }
 
 int Main(const Bench& bench, const std::vector<std::string>& parts) {
--- a/model/scenario.cpp
+++ b/model/scenario.cpp
@@ -22,7 +22,7 @@
   Range Owner::*member;
   double min;
   double max;
-  const char* text;
+  const char* description;
 };
 
 struct Group {
@@ -335,7 +335,7 @@
 void PrintParameters(std::string& out, const std::vector<Parameter<Owner>>& parameters, const Owner& owner,
                      bool explain) {
   for (const auto& parameter : parameters)
-    PrintRange(out, parameter.key, owner.*(parameter.member), explain ? parameter.text : nullptr);
+    PrintRange(out, parameter.key, owner.*(parameter.member), explain ? parameter.description : nullptr);
 }
 
 // ---- Drawing ----
--- a/model/scoring.hpp
+++ b/model/scoring.hpp
@@ -1,7 +1,7 @@
 // Scores a simulated day: the service that clients received, and violations of the four rules that sidecars
 // must keep:
 // 1. every request is answered once, by its deadline;
-// 2. no unsafe repetition of a request, and no parallel attempts;
+// 2. no attempt that could execute an unsafe request twice, and no parallel attempts;
 // 3. nothing is sent to a draining server after the grace period;
 // 4. a cold server is not overloaded.
 // Service is the worth of the requests answered within their latency target over the worth of all requests,
--- a/model/server.hpp
+++ b/model/server.hpp
@@ -18,18 +18,18 @@
   double speed = 1;
   std::size_t slots = 68;
   std::size_t queue = 88;
-  double thrash = 0;
+  double thrash = 0;  // relative increase of work per request above thrash_at
   double thrash_at = 0;
-  double cold_share = 1;
+  double cold_share = 1;  // of full speed at the start
   Micros warmup_time = 0;
   std::uint32_t connections = 76;
-  bool chokes = false;
-  double choke_at = 0;  // waiting requests per core
-  Micros choke_after = 0;
+  bool chokes = false;     // enters a slow state under sustained load
+  double choke_at = 0;     // waiting requests per core
+  Micros choke_after = 0;  // time above choke_at before it chokes
   double choke_slowdown = 1;
-  Micros choke_recovery = 0;
-  double choke_below = 0;  // requests in the server per core
-  Micros choke_max = 0;
+  Micros choke_recovery = 0;  // time at or below choke_below before it recovers
+  double choke_below = 0;     // requests in the server per core
+  Micros choke_max = 0;       // longest duration
 };
 
 class Server {
--- a/model/simulation.cpp
+++ b/model/simulation.cpp
@@ -746,8 +746,9 @@
       if (!in_scope || now_ >= client_try.first_run_sent + MicrosOf(c.window_s, kSecond))
         scorer_.RecordViolation(2, c.name + " was sent outside its group or window after it may have run");
     }
-    const auto parked = discovery_.OutOfServiceSince(index, sidecar_states_[sidecar].version);
-    if (parked && now_ > sidecar_states_[sidecar].received_at[*parked] + drain_grace_)
+    const auto out_of_service_since = discovery_.OutOfServiceSince(index, sidecar_states_[sidecar].version);
+    if (out_of_service_since &&
+        now_ > sidecar_states_[sidecar].received_at[*out_of_service_since] + drain_grace_)
       scorer_.RecordViolation(3,
                               "a server was sent something later than the grace after it was told to drain");
   }
--- a/tests/model/parts_test.cpp
+++ b/tests/model/parts_test.cpp
@@ -216,14 +216,14 @@
 
 TEST(KeysTest, DrawsFollowZipf) {
   const ZipfKeys law(100, 1);
-  std::vector<int> met(101);
+  std::vector<int> draw_counts(101);
   RandomStream draws(9, Purpose::kKey);
   constexpr int kDrawn = 200'000;
-  for (int i = 0; i < kDrawn; ++i) ++met[law(draws)];
-  EXPECT_EQ(met[0], 0);
-  const double first = met[1];
-  EXPECT_NEAR(met[2] / first, 0.5, 0.02);
-  EXPECT_NEAR(met[10] / first, 0.1, 0.01);
+  for (int i = 0; i < kDrawn; ++i) ++draw_counts[law(draws)];
+  EXPECT_EQ(draw_counts[0], 0);
+  const double first = draw_counts[1];
+  EXPECT_NEAR(draw_counts[2] / first, 0.5, 0.02);
+  EXPECT_NEAR(draw_counts[10] / first, 0.1, 0.01);
   EXPECT_NEAR(first / kDrawn, 1 / 5.1874, 0.005);  // the 100th harmonic number
   EXPECT_EQ(ZipfKeys(0, 1)(draws), 0U);
 }
