--- a/bench/codec_bench.cpp
+++ b/bench/codec_bench.cpp
@@ -1,5 +1,4 @@
-// The codec on one core: messages a second, read and written, of an activation request as back offices send
-// it.
+// Diameter codec throughput on one core: messages decoded, encoded and relayed per second.
 //   build/bench/codec_bench
 #include <benchmark/benchmark.h>
 
@@ -38,7 +37,7 @@
 }
 BENCHMARK(Write);
 
-// What a relay does with a request: cut it from the stream, read it, write it anew.
+// Relays a request: splits it from the stream, decodes it, and encodes it for the upstream.
 void Relay(benchmark::State& state) {
   const Message request = Request();
   const std::string frame = Encode(request.header, request.avps);
--- a/bench/decisions_replay.sh
+++ b/bench/decisions_replay.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Whether two builds of the module decide the same: days of the fleet model are played with OLD's adapter
-# program, all that it is told is kept, and NEW is told the same. Their decisions are compared byte by byte.
+# Checks that two builds of the balancer make the same decisions: runs days of the fleet model with OLD's adapter
+# program, records its input, replays it to NEW, and compares the decisions byte by byte.
 #
 #   bench/decisions_replay.sh MODEL OLD NEW [SCENARIO...]
 #
@@ -10,21 +10,21 @@
 [ $# -ge 3 ] || { sed -n '2,8s/^# \?//p' "$0"; exit 2; }
 model=$1 old=$(realpath "$2") new=$(realpath "$3")
 shift 3
-[ -x "$model" ] && [ -x "$old" ] && [ -x "$new" ] || { echo "a program is missing" >&2; exit 2; }
+[ -x "$model" ] && [ -x "$old" ] && [ -x "$new" ] || { echo "program not found or not executable" >&2; exit 2; }
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
 status=0
 for scenario in "${@:-}"; do
   rm -rf "$folder/day"
   mkdir "$folder/day"
-  # What the program is told goes to a file on its way; one program a day.
-  printf '#!/bin/sh\ntee "%s/day/$$.told" | "%s" | tee "%s/day/$$.said"\n' "$folder" "$old" "$folder" >"$folder/tee"
+  # Records the program's input and output; one process per day.
+  printf '#!/bin/sh\ntee "%s/day/$$.in" | "%s" | tee "%s/day/$$.out"\n' "$folder" "$old" "$folder" >"$folder/tee"
   chmod +x "$folder/tee"
   "$model" run $scenario --side "old:program=$folder/tee" --days 2 --first-look 2 --quiet >/dev/null || [ $? = 3 ]
-  for told in "$folder"/day/*.told; do
-    "$new" <"$told" >"$folder/again" || true
-    if cmp -s "$folder/again" "${told%.told}.said"; then verdict=same; else verdict=different status=1; fi
-    echo "${scenario:-the fleet as it is}: $(wc -l <"${told%.told}.said") lines of decisions, $verdict"
+  for input in "$folder"/day/*.in; do
+    "$new" <"$input" >"$folder/again" || true
+    if cmp -s "$folder/again" "${input%.in}.out"; then result=same; else result=different status=1; fi
+    echo "${scenario:-default scenario}: $(wc -l <"${input%.in}.out") lines of decisions, $result"
   done
 done
 exit $status
--- a/bench/fleet_account.py
+++ b/bench/fleet_account.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Adds up the traces (EDGE_TRACE) of all sidecars of a run, second by second.
+"""Aggregates the traces (EDGE_TRACE) of all sidecars of a run per second.
 
-    bench/fleet_account.py FOLDER      the logs of a run, n*.log, each line with its second first
+    bench/fleet_account.py FOLDER      directory with the logs n*.log, each line starts with its time in seconds
 
-A row a second: sidecars that spoke, servers listed (median) and admission (mean), then sums over all
-sidecars: requests and attempts by what became of them, and attempts out by server (median, most).
+One row per second: reporting sidecars, listed servers (median) and admission (mean), then sums over all
+sidecars: requests and attempts by outcome, and active attempts by server (median, maximum).
 """
 import collections
 import glob
@@ -20,7 +20,7 @@
         self.listed = []
         self.admit = []
         self.out = collections.Counter()  # by server
-        self.answered = {}                # by server: answers, time of all
+        self.answered = {}                # by server: responses, total time
 
     def add(self, line):
         self.sums["sidecars"] += 1
@@ -59,7 +59,7 @@
                 try:
                     seconds[int(float(at))].add(json.loads(trace))
                 except (ValueError, KeyError):
-                    print(f"{path}: a line that can't be read is left out", file=sys.stderr)
+                    print(f"{path}: skipped an unreadable line", file=sys.stderr)
     return seconds
 
 
--- a/bench/mesh/control_scale.cpp
+++ b/bench/mesh/control_scale.cpp
@@ -1,8 +1,7 @@
-// What control costs by the number of sidecars: a herald (which holds the order, and to which all subscribe),
-// a second core (to which all tell, but none subscribes), and N hollow sidecars (push's client, no
-// traffic), over transport::Link on loopback. Three processes, so that processor time and memory are the
-// kernel's account of each.
-//   mesh_control_scale [t=TENANTS] [N ...]    t=100 10 100 400 1000 without
+// Cost of the control plane by the number of sidecars: a leader to which all sidecars subscribe, a second
+// core that only gets their reports, and N sidecar clients without proxies, over transport::Link on loopback.
+// Core and sidecars run in processes of their own for separate CPU and memory figures.
+//   mesh_control_scale [t=TENANTS] [N ...]    default: t=100 10 100 400 1000
 #include <glog/logging.h>
 #include <sys/mman.h>
 
@@ -33,39 +32,39 @@
 using transport::Link;
 
 constexpr Micros kMs = 1000;
-constexpr Micros kCoreTick = 25 * kMs;  // as node's
+constexpr Micros kCoreTick = 25 * kMs;  // as in node::Core
 constexpr Micros kSidecarTick = 50 * kMs;
-constexpr double kLeastTells = 3;  // a second, of a sidecar to the core that it subscribes to
-constexpr Micros kRestWindow = 1200 * kMs;
-constexpr std::size_t kLedgerBytes = 100'000;
-int tenants = 100;                // with a limit
-constexpr int kTenantsAsked = 4;  // that a sidecar has requests of
-constexpr int kLedgers = 10, kChanges = 10;
+constexpr double kMinReportRate = 3;  // reports per second of a sidecar to its subscribed core
+constexpr Micros kIdleWindow = 1200 * kMs;
+constexpr std::size_t kStateBytes = 100'000;
+int tenants = 100;                 // with a limit
+constexpr int kActiveTenants = 4;  // with requests, per sidecar
+constexpr int kStateChanges = 10, kChanges = 10;
 constexpr std::size_t kRepeats = 3;
 
 struct Counts {
   std::atomic<std::uint64_t> frames_in{0}, bytes_in{0}, frames_out{0},
-      bytes_out{0};  // the 4 of a length included
+      bytes_out{0};  // including the 4-byte length prefix
 };
 
-// Sidecars share processes: of so many each, lest a process of theirs be the bottleneck.
-constexpr std::size_t kSidecarsEach = 250, kMostProcesses = 8;
+// Sidecars share processes, but not too many in one, so that it does not become the bottleneck.
+constexpr std::size_t kSidecarsPerProcess = 250, kMaxProcesses = 8;
 
-enum Command : int { kNothing, kChangeOne, kAllNew };
+enum Command : int { kNothing, kChangeOne, kRestartAll };
 
-// Between the processes.
+// Shared memory of the processes.
 struct Shared {
   std::atomic<int> port[2];
   Counts counts[2];
-  std::array<std::atomic<int>, kMostProcesses> commands{};  // of the sidecars' processes
-  std::atomic<std::int64_t> began{0};                       // of the command
+  std::array<std::atomic<int>, kMaxProcesses> commands{};  // to the sidecar processes
+  std::atomic<std::int64_t> began{0};                      // start time of the command
   std::atomic<std::uint64_t> changes_bytes{0}, changes_frames{0};
-  std::atomic<std::uint64_t> listed{0};  // sidecars that have a whole listing and a ledger since the command
-  std::atomic<std::uint64_t> times{0};   // of `micros`
-  std::array<std::atomic<std::int64_t>, 65536> micros;  // from the command to a sidecar's having the change
+  std::atomic<std::uint64_t> synced{0};                 // sidecars with snapshot and state since the command
+  std::atomic<std::uint64_t> times{0};                  // entries in `micros`
+  std::array<std::atomic<std::int64_t>, 65536> micros;  // delay from the command to each sidecar
 };
 
-registry::Server ServerOf(std::size_t i, int slots) {
+registry::Server MakeServer(std::size_t i, int slots) {
   const std::string n = std::to_string(1000 + i);
   return {"huvo11a-" + n + "-5f2c91",
           "service-" + std::to_string(i % 56),
@@ -79,8 +78,7 @@
           "10.20.30.40:7" + n};
 }
 
-// A core as node runs its herald: one thread, one link a sidecar, packed once for all that need the
-// same.
+// A core with its publisher, as in node: one thread, one link per sidecar; a frame for many is packed once.
 class Core : public Publisher::Sink {
  public:
   Core(Shared& shared, int index)
@@ -88,9 +86,9 @@
         counts_(shared.counts[index]),
         loop_(io),
         index_(index),
-        herald_(loop_.Now() - 3'000'000, HeraldSettings(index), *this),
+        publisher_(loop_.Now() - 3'000'000, PublisherSettings(index), *this),
         tick_(loop_.NewTimer()) {
-    // A free port: asked of the kernel, given back, taken.
+    // Picks a free port.
     merlinrun::net::Tcp::acceptor probe(io, {asio::ip::make_address("127.0.0.1"), 0});
     const auto port = probe.local_endpoint().port();
     probe.close();
@@ -100,31 +98,31 @@
     shared.port[index] = port;
     std::map<std::string, quota::TenantLimit> limits;
     for (int t = 0; t < tenants; ++t) limits["tenant-" + std::to_string(t)] = {1000, 500};
-    herald_.SetLimits(loop_.Now(), limits);
+    publisher_.SetLimits(loop_.Now(), limits);
     Tick();
   }
 
-  void Know(const std::vector<std::string>& cores) {
-    herald_.SetCores(cores, cores.front(), index_ == 0);
-    if (index_ == 0) herald_.SetIsLeader(loop_.Now(), true);
+  void SetCoreList(const std::vector<std::string>& cores) {
+    publisher_.SetCores(cores, cores.front(), index_ == 0);
+    if (index_ == 0) publisher_.SetIsLeader(loop_.Now(), true);
   }
-  void Put(std::uint64_t entry) {
-    acked_.clear();
+  void PublishState(std::uint64_t entry) {
+    acknowledged_.clear();
     ack_ms.clear();
-    put_at_ = Now();
+    published_at_ = Now();
     in_force_ms = 0;
     pending_ = entry;
-    herald_.SetState(loop_.Now(), entry, std::string(kLedgerBytes, 'c'));
+    publisher_.SetState(loop_.Now(), entry, std::string(kStateBytes, 'c'));
   }
 
-  void Send(Publisher::LinkId link, const CoreUpdate& news) override { SendAll({link}, news); }
-  void SendAll(const std::vector<Publisher::LinkId>& links, const CoreUpdate& news) override {
-    const std::string frame = transport::Pack(news);
+  void Send(Publisher::LinkId link, const CoreUpdate& update) override { SendAll({link}, update); }
+  void SendAll(const std::vector<Publisher::LinkId>& links, const CoreUpdate& update) override {
+    const std::string frame = transport::Pack(update);
     for (const auto id : links)
       if (const auto it = links_.find(id); it != links_.end()) it->second->Send(frame);
     counts_.frames_out += links.size();
     counts_.bytes_out += links.size() * (frame.size() + 4);
-    if (news.deltas.empty()) return;
+    if (update.deltas.empty()) return;
     shared_.changes_frames += links.size();
     shared_.changes_bytes += links.size() * (frame.size() + 4);
   }
@@ -137,10 +135,10 @@
   }
 
   asio::io_context io;
-  std::vector<double> ack_ms;  // of each sidecar, from SetLedger
-  double in_force_ms = 0;      // of the last one; 0: not yet
-  const Publisher& herald() const { return herald_; }
-  bool Until(const std::function<bool()>& done, Micros most) {
+  std::vector<double> ack_ms;  // of each sidecar, since PublishState
+  double in_force_ms = 0;      // of the last sidecar; 0: not yet
+  const Publisher& publisher() const { return publisher_; }
+  bool RunUntil(const std::function<bool()>& done, Micros most) {
     const Micros end = Now() + most;
     while (!done() && Now() < end) io.run_for(std::chrono::milliseconds(2));
     return done();
@@ -149,7 +147,7 @@
   Micros LoopNow() const { return loop_.Now(); }
 
  private:
-  static Publisher::Settings HeraldSettings(int index) {
+  static Publisher::Settings PublisherSettings(int index) {
     Publisher::Settings out;
     out.address = "core-" + std::to_string(index);
     out.epoch = 77 + static_cast<std::uint64_t>(index);
@@ -159,31 +157,31 @@
     const auto id = ++last_;
     links_[id] = link;
     Link::Events events;
-    // Its first frame is its Hello. The link copies the callback before each call.
+    // The first frame is the Hello. The link copies the callback before each call.
     events.on_frame = [this, id, greeted = std::make_shared<bool>(false)](std::string_view frame) {
       if (std::exchange(*greeted, true)) OnFrame(id, frame);
     };
     events.on_closed = [this, id] {
-      if (links_.erase(id) > 0) herald_.OnLinkDown(loop_.Now(), id);
+      if (links_.erase(id) > 0) publisher_.OnLinkDown(loop_.Now(), id);
     };
     link->Start(std::move(events));
   }
   void OnFrame(Publisher::LinkId id, std::string_view frame) {
     ++counts_.frames_in;
     counts_.bytes_in += frame.size() + 4;
-    const auto tell = transport::Unpack<SidecarReport>(frame);
-    CHECK(tell.ok());
-    herald_.OnReport(loop_.Now(), id, *tell);
+    const auto report = transport::Unpack<SidecarReport>(frame);
+    CHECK(report.ok());
+    publisher_.OnReport(loop_.Now(), id, *report);
     if (pending_ == 0) return;
-    if (tell->applied_entry >= pending_ && acked_.insert(tell->sidecar.name).second)
-      ack_ms.push_back(static_cast<double>(Now() - put_at_) / 1000);
-    // As the core asks it with each Tell while an operator waits.
-    if (herald_.ActiveSidecarsWith(loop_.Now(), pending_) < herald_.ActiveSidecars(loop_.Now())) return;
-    in_force_ms = static_cast<double>(Now() - put_at_) / 1000;
+    if (report->applied_entry >= pending_ && acknowledged_.insert(report->sidecar.name).second)
+      ack_ms.push_back(static_cast<double>(Now() - published_at_) / 1000);
+    // The core checks this at each report while an operator waits.
+    if (publisher_.ActiveSidecarsWith(loop_.Now(), pending_) < publisher_.ActiveSidecars(loop_.Now())) return;
+    in_force_ms = static_cast<double>(Now() - published_at_) / 1000;
     pending_ = 0;
   }
   void Tick() {
-    herald_.OnTick(loop_.Now());
+    publisher_.OnTick(loop_.Now());
     tick_->Start(kCoreTick, [this] { Tick(); });
   }
 
@@ -191,48 +189,48 @@
   Counts& counts_;
   merlinrun::net::AsioLoop loop_;
   const int index_;
-  Publisher herald_;
+  Publisher publisher_;
   std::unique_ptr<merlinrun::core::Timer> tick_;
   std::unique_ptr<transport::Listener> listener_;
   Publisher::LinkId last_ = 0;
   std::map<Publisher::LinkId, std::shared_ptr<Link>> links_;
   std::uint64_t pending_ = 0;
-  Micros put_at_ = 0;
-  std::set<std::string> acked_;
+  Micros published_at_ = 0;
+  std::set<std::string> acknowledged_;
 };
 
 class Sidecars;
 
-// A sidecar's control half, as node runs it, without its proxies.
-class Hollow : public Client::Sink {
+// The control-plane client of a sidecar, without its proxies.
+class SidecarClient : public Client::Sink {
  public:
-  Hollow(Sidecars& all, std::size_t index, std::uint64_t life);
-  ~Hollow() override {
+  SidecarClient(Sidecars& all, std::size_t index, std::uint64_t incarnation);
+  ~SidecarClient() override {
     for (auto& [address, link] : links_) link->Close();
   }
   void ChangeOne() {
     slots_ = slots_ == 8 ? 9 : 8;
     Tick();
   }
-  void Send(const std::string& address, const SidecarReport& tell) override {
-    if (const auto it = links_.find(address); it != links_.end()) it->second->Send(transport::Pack(tell));
+  void Send(const std::string& address, const SidecarReport& report) override {
+    if (const auto it = links_.find(address); it != links_.end()) it->second->Send(transport::Pack(report));
   }
   void OnState(std::uint64_t, const std::string&) override {
-    ledger_ = true;
-    CountWhole();
+    has_state_ = true;
+    CountIfSynced();
   }
-  void OnSnapshot(const registry::Snapshot& listing, std::size_t, std::size_t) override;
+  void OnSnapshot(const registry::Snapshot& received_snapshot, std::size_t, std::size_t) override;
   void OnShares(const std::vector<quota::Share>& shares, Micros) override { held_ = shares; }
   void OnCores(const std::vector<std::string>&) override {}
 
  private:
-  void CountWhole();
+  void CountIfSynced();
   void Tick();
   void Dial(const std::string& address);
   Sidecars& all_;
   const std::size_t index_;
   int slots_ = 8;
-  bool listing_ = false, ledger_ = false, counted_ = false;
+  bool has_snapshot_ = false, has_state_ = false, counted_ = false;
   std::vector<quota::Share> held_;
   std::unique_ptr<Client> client_;
   std::unique_ptr<merlinrun::core::Timer> timer_;
@@ -242,13 +240,13 @@
 
 class Sidecars {
  public:
-  // Those from `process` * kSidecarsEach on, of `count` in all.
+  // Runs sidecars from `process` * kSidecarsPerProcess on, of `count` in total.
   Sidecars(Shared& shared_in, std::size_t count, std::size_t process)
       : shared(shared_in), loop(io), count_(count), process_(process), poll_(loop.NewTimer()) {
     for (const auto& port : shared.port) cores.push_back("127.0.0.1:" + std::to_string(port));
   }
   void Run() {
-    AllNew();
+    RestartAll();
     Poll();
     io.run();
   }
@@ -260,39 +258,39 @@
   std::vector<std::string> cores;
 
  private:
-  void AllNew() {
+  void RestartAll() {
     all_.clear();
-    const std::size_t first = process_ * kSidecarsEach;
-    for (std::size_t i = first; i < std::min(count_, first + kSidecarsEach); ++i)
-      all_.push_back(std::make_unique<Hollow>(*this, i, ++lives_));
+    const std::size_t first = process_ * kSidecarsPerProcess;
+    for (std::size_t i = first; i < std::min(count_, first + kSidecarsPerProcess); ++i)
+      all_.push_back(std::make_unique<SidecarClient>(*this, i, ++incarnations_));
   }
   void Poll() {
     const int command = shared.commands[process_].exchange(kNothing);
     if (command == kChangeOne) all_.front()->ChangeOne();
-    if (command == kAllNew) {
-      // Only the settled core is dialled first: else some would ask one that has no ledger to give.
+    if (command == kRestartAll) {
+      // Dial only the leader, because the other core has no state to publish.
       cores.resize(1);
-      AllNew();
+      RestartAll();
     }
     poll_->Start(2 * kMs, [this] { Poll(); });
   }
   const std::size_t count_, process_;
-  std::uint64_t lives_ = 1000;
-  std::vector<std::unique_ptr<Hollow>> all_;
+  std::uint64_t incarnations_ = 1000;
+  std::vector<std::unique_ptr<SidecarClient>> all_;
   std::unique_ptr<merlinrun::core::Timer> poll_;
 };
 
-Hollow::Hollow(Sidecars& all, std::size_t index, std::uint64_t life)
+SidecarClient::SidecarClient(Sidecars& all, std::size_t index, std::uint64_t incarnation)
     : all_(all), index_(index), timer_(all.loop.NewTimer()) {
   Client::Settings settings;
-  const registry::Server server = ServerOf(index, slots_);
-  settings.sidecar = {"machine-" + std::to_string(1000 + index), life, server.sidecar_address, server.zone,
-                      server.service};
+  const registry::Server server = MakeServer(index, slots_);
+  settings.sidecar = {"machine-" + std::to_string(1000 + index), incarnation, server.sidecar_address,
+                      server.zone, server.service};
   settings.seeds = all.cores;
-  settings.seed = life;
+  settings.seed = incarnation;
   settings.demand = [this](Micros) {
     std::vector<quota::Demand> out;
-    for (int t = 0; t < kTenantsAsked; ++t)
+    for (int t = 0; t < kActiveTenants; ++t)
       out.push_back({"tenant-" + std::to_string((index_ + static_cast<std::size_t>(t) * 25) %
                                                 static_cast<std::size_t>(tenants)),
                      20, 90});
@@ -300,13 +298,13 @@
   };
   settings.held_shares = [this](Micros) { return held_; };
   client_ = std::make_unique<Client>(settings, *this);
-  // Staggered over a tick, as their clocks are; the first Tick dials at once.
+  // Start times are spread over a tick; the first tick dials.
   timer_->Start(static_cast<Micros>(index % 50) * kMs, [this] { Tick(); });
 }
 
-void Hollow::Tick() {
+void SidecarClient::Tick() {
   const Micros now = all_.loop.Now();
-  client_->SetServers(now, {ServerOf(index_, slots_)});
+  client_->SetServers(now, {MakeServer(index_, slots_)});
   client_->OnTick(now);
   const auto wanted = client_->DesiredLinks(now);
   for (const auto& address : wanted)
@@ -314,16 +312,16 @@
   timer_->Start(kSidecarTick, [this] { Tick(); });
 }
 
-void Hollow::Dial(const std::string& address) {
+void SidecarClient::Dial(const std::string& address) {
   const auto port = static_cast<std::uint16_t>(std::atoi(address.c_str() + address.rfind(':') + 1));
   const auto link =
       Link::Dial(all_.io, {fennelhollow::transport::asio::ip::address_v4::loopback(), port}, 500, {});
   links_[address] = link;
   Link::Events events;
   events.on_frame = [this, address](std::string_view frame) {
-    const auto news = transport::Unpack<CoreUpdate>(frame);
-    CHECK(news.ok());
-    client_->OnUpdate(all_.loop.Now(), address, *news);
+    const auto update = transport::Unpack<CoreUpdate>(frame);
+    CHECK(update.ok());
+    client_->OnUpdate(all_.loop.Now(), address, *update);
   };
   events.on_closed = [this, address, raw = link.get()] {
     up_.erase(raw);
@@ -340,34 +338,34 @@
   link->Send(transport::Pack(hello));
 }
 
-void Hollow::CountWhole() {
-  if (listing_ && ledger_ && !std::exchange(counted_, true)) ++all_.shared.listed;
+void SidecarClient::CountIfSynced() {
+  if (has_snapshot_ && has_state_ && !std::exchange(counted_, true)) ++all_.shared.synced;
 }
 
-void Hollow::OnSnapshot(const registry::Snapshot& listing, std::size_t, std::size_t) {
-  listing_ |= listing.servers.size() >= all_.count();
-  CountWhole();
+void SidecarClient::OnSnapshot(const registry::Snapshot& received_snapshot, std::size_t, std::size_t) {
+  has_snapshot_ |= received_snapshot.servers.size() >= all_.count();
+  CountIfSynced();
   const std::uint64_t at = all_.shared.times++;
   if (at < all_.shared.micros.size()) all_.shared.micros[at] = Now() - all_.shared.began;
 }
 
-double ProcessorTime(const std::vector<pid_t>& processes) {
+double CpuSeconds(const std::vector<pid_t>& processes) {
   double out = 0;
-  for (const pid_t process : processes) out += bench::ProcessorTime(process);
+  for (const pid_t process : processes) out += bench::CpuSeconds(process);
   return out;
 }
 
-struct Rest {                                // a second, at rest
-  double core = 0, other = 0, sidecars = 0;  // processor seconds
+struct IdleRates {                           // per second, without changes
+  double core = 0, other = 0, sidecars = 0;  // CPU seconds
   double in = 0, out = 0, frames_in = 0, frames_out = 0;
   double other_in = 0, other_out = 0;
 };
 
-Rest Measure(Core& core, const Shared& shared, pid_t other, const std::vector<pid_t>& sidecars) {
+IdleRates Measure(Core& core, const Shared& shared, pid_t other, const std::vector<pid_t>& sidecars) {
   const auto read = [&] {
-    return std::array<double, 9>{bench::ProcessorTime(::getpid()),
-                                 bench::ProcessorTime(other),
-                                 ProcessorTime(sidecars),
+    return std::array<double, 9>{bench::CpuSeconds(::getpid()),
+                                 bench::CpuSeconds(other),
+                                 CpuSeconds(sidecars),
                                  static_cast<double>(shared.counts[0].bytes_in),
                                  static_cast<double>(shared.counts[0].bytes_out),
                                  static_cast<double>(shared.counts[0].frames_in),
@@ -377,7 +375,7 @@
   };
   const auto before = read();
   const Micros began = Now();
-  core.RunFor(kRestWindow);
+  core.RunFor(kIdleWindow);
   const auto after = read();
   const double s = static_cast<double>(Now() - began) * 1e-6;
   const auto per = [&](std::size_t i) { return (after[i] - before[i]) / s; };
@@ -388,82 +386,83 @@
   Core core(shared, 0);
   const pid_t other = Fork([&] {
     Core second(shared, 1);
-    second.Know(
+    second.SetCoreList(
         {"127.0.0.1:" + std::to_string(shared.port[0]), "127.0.0.1:" + std::to_string(shared.port[1])});
     second.io.run();
   });
   while (shared.port[1] == 0) ::usleep(1000);
-  core.Know({"127.0.0.1:" + std::to_string(shared.port[0]), "127.0.0.1:" + std::to_string(shared.port[1])});
+  core.SetCoreList(
+      {"127.0.0.1:" + std::to_string(shared.port[0]), "127.0.0.1:" + std::to_string(shared.port[1])});
   const double core_before = MemoryKb(::getpid(), "VmRSS");
   shared.began = Now();
   std::vector<pid_t> sidecars;
-  for (std::size_t k = 0; k * kSidecarsEach < n; ++k)
+  for (std::size_t k = 0; k * kSidecarsPerProcess < n; ++k)
     sidecars.push_back(Fork([&, k] { Sidecars(shared, n, k).Run(); }));
   ::usleep(1000);
-  const bool up = core.Until(
-      [&] { return core.herald().snapshot().servers.size() >= n && core.herald().Subscribers() >= n; },
+  const bool up = core.RunUntil(
+      [&] { return core.publisher().snapshot().servers.size() >= n && core.publisher().Subscribers() >= n; },
       8'000'000);
   if (!up)
-    std::printf("N %zu: only %zu servers listed, %zu subscribe\n", n, core.herald().snapshot().servers.size(),
-                core.herald().Subscribers());
+    std::printf("N %zu: only %zu servers in the snapshot, %zu subscribers\n", n,
+                core.publisher().snapshot().servers.size(), core.publisher().Subscribers());
   core.RunFor(1500 * kMs);
   const double count = static_cast<double>(n);
 
-  std::vector<Rest> rest;
-  int starved = 0;
-  // A window in which others kept the sidecars from telling in time says nothing of their cost.
+  std::vector<IdleRates> rest;
+  int discarded = 0;
+  // Discards windows in which other load on the machine kept the sidecars from reporting in time.
   for (int i = 0; i < 3 * static_cast<int>(kRepeats) && rest.size() < kRepeats; ++i) {
-    const Rest one = Measure(core, shared, other, sidecars);
-    if (one.frames_in < kLeastTells * count)
-      ++starved;
+    const IdleRates one = Measure(core, shared, other, sidecars);
+    if (one.frames_in < kMinReportRate * count)
+      ++discarded;
     else
       rest.push_back(one);
   }
-  const auto least = [&](double Rest::*field) {
+  const auto minimum = [&](double IdleRates::*field) {
     std::vector<double> all;
-    for (const Rest& r : rest) all.push_back(r.*field);
+    for (const IdleRates& r : rest) all.push_back(r.*field);
     return std::pair(Quantile(all, 0), Quantile(all, 1));
   };
-  const auto [core_s, core_most] = least(&Rest::core);
-  const auto [other_s, other_most] = least(&Rest::other);
-  const auto [side_s, side_most] = least(&Rest::sidecars);
-  if (starved > 0)
-    std::printf("N %zu: %d windows left out, in which the sidecars were starved\n", n, starved);
+  const auto [core_s, core_most] = minimum(&IdleRates::core);
+  const auto [other_s, other_most] = minimum(&IdleRates::other);
+  const auto [side_s, side_most] = minimum(&IdleRates::sidecars);
+  if (discarded > 0)
+    std::printf("N %zu: %d windows discarded, in which the sidecars got too little CPU\n", n, discarded);
   std::printf(
-      "N %zu\n  rest: core subscribed to, holds the order: %.4f of a core (most of %zu: %.4f), %.1f us a "
+      "N %zu\n  idle: leader with subscribers: %.4f of a CPU (max of %zu: %.4f), %.1f us/s a "
       "second a "
       "sidecar\n",
       n, core_s, kRepeats, core_most, core_s * 1e6 / count);
-  std::printf("        other core: %.4f of a core (%.4f), %.1f us a second a sidecar\n", other_s, other_most,
+  std::printf("        other core: %.4f of a CPU (%.4f), %.1f us a second per sidecar\n", other_s, other_most,
               other_s * 1e6 / count);
-  std::printf("        a sidecar, two cores: %.1f us a second (%.1f)\n", side_s * 1e6 / count,
+  std::printf("        a sidecar with two cores: %.1f us a second (%.1f)\n", side_s * 1e6 / count,
               side_most * 1e6 / count);
   std::printf(
-      "        bytes/s a sidecar: to the core %.0f, from it %.0f (frames %.2f, %.2f); other core: %.0f, "
+      "        bytes/s per sidecar: to the leader %.0f, from it %.0f (frames %.2f, %.2f); other core: %.0f, "
       "%.0f\n",
-      least(&Rest::in).first / count, least(&Rest::out).first / count, least(&Rest::frames_in).first / count,
-      least(&Rest::frames_out).first / count, least(&Rest::other_in).first / count,
-      least(&Rest::other_out).first / count);
+      minimum(&IdleRates::in).first / count, minimum(&IdleRates::out).first / count,
+      minimum(&IdleRates::frames_in).first / count, minimum(&IdleRates::frames_out).first / count,
+      minimum(&IdleRates::other_in).first / count, minimum(&IdleRates::other_out).first / count);
   double side_kb = 0;
   for (const pid_t process : sidecars) side_kb += MemoryKb(process, "VmRSS");
   std::printf(
-      "  memory: core %.0f KB, of that %.1f KB a sidecar; sidecars' process %.1f KB each (listing of %zu)\n",
+      "  memory: core %.0f KB, of that %.1f KB per sidecar; sidecar process %.1f KB each (snapshot of %zu)\n",
       MemoryKb(::getpid(), "VmRSS"), (MemoryKb(::getpid(), "VmRSS") - core_before) / count, side_kb / count,
       n);
 
-  // One server's state.
+  // Change of one server's state.
   core.RunFor(100 * kMs);
   shared.changes_bytes = shared.changes_frames = 0;
   std::vector<double> p50, p99, last;
   double core_cpu = 1e9, side_cpu = 1e9;
   for (int i = 0; i < kChanges; ++i) {
-    const double before = bench::ProcessorTime(::getpid()), side_before = ProcessorTime(sidecars);
+    const double before = bench::CpuSeconds(::getpid()), side_before = CpuSeconds(sidecars);
     shared.times = 0;
     shared.began = Now();
     shared.commands[0] = kChangeOne;
-    core.Until([&] { return shared.times >= n; }, 2'000'000);
-    core_cpu = std::min(core_cpu, bench::ProcessorTime(::getpid()) - before);
-    side_cpu = std::min(side_cpu, ProcessorTime(sidecars) - side_before);
+    core.RunUntil([&] { return shared.times >= n; }, 2'000'000);
+    core_cpu = std::min(core_cpu, bench::CpuSeconds(::getpid()) - before);
+    side_cpu = std::min(side_cpu, CpuSeconds(sidecars) - side_before);
     std::vector<double> ms;
     for (std::size_t k = 0; k < std::min<std::size_t>(n, shared.times); ++k)
       ms.push_back(static_cast<double>(shared.micros[k]) / 1000);
@@ -473,7 +472,7 @@
     core.RunFor(70 * kMs);
   }
   std::printf(
-      "  one server changes: %.0f bytes a sidecar; at the sidecars after p50 %.1f p99 %.1f last %.1f ms "
+      "  one server changes: %.0f bytes per sidecar; received after p50 %.1f p99 %.1f max %.1f ms "
       "(least of "
       "%d; most %.1f); core %.2f ms, a sidecar %.0f us\n",
       static_cast<double>(shared.changes_bytes) /
@@ -481,49 +480,50 @@
       Quantile(p50, 0), Quantile(p99, 0), Quantile(last, 0), kChanges, Quantile(last, 1), core_cpu * 1e3,
       side_cpu * 1e6 / count);
 
-  // An entry of the order.
+  // A new committed entry.
   std::vector<double> acks, all;
-  double put_cpu = 1e9, take_cpu = 1e9;
+  double core_state_cpu = 1e9, sidecar_state_cpu = 1e9;
   int missing = 0;
-  for (int i = 0; i < kLedgers; ++i) {
-    const double before = bench::ProcessorTime(::getpid()), side_before = ProcessorTime(sidecars);
-    core.Put(static_cast<std::uint64_t>(i + 1));
-    missing += core.Until([&] { return core.in_force_ms > 0; }, 3'000'000) ? 0 : 1;
-    put_cpu = std::min(put_cpu, bench::ProcessorTime(::getpid()) - before);
-    take_cpu = std::min(take_cpu, ProcessorTime(sidecars) - side_before);
+  for (int i = 0; i < kStateChanges; ++i) {
+    const double before = bench::CpuSeconds(::getpid()), side_before = CpuSeconds(sidecars);
+    core.PublishState(static_cast<std::uint64_t>(i + 1));
+    missing += core.RunUntil([&] { return core.in_force_ms > 0; }, 3'000'000) ? 0 : 1;
+    core_state_cpu = std::min(core_state_cpu, bench::CpuSeconds(::getpid()) - before);
+    sidecar_state_cpu = std::min(sidecar_state_cpu, CpuSeconds(sidecars) - side_before);
     acks.insert(acks.end(), core.ack_ms.begin(), core.ack_ms.end());
     all.push_back(core.in_force_ms);
     core.RunFor(70 * kMs);
   }
   std::printf(
-      "  entry of %zu KB: acknowledged after p50 %.1f p99 %.1f ms; by all: least %.1f p50 %.1f most %.1f ms, "
+      "  entry of %zu KB: acknowledged after p50 %.1f p99 %.1f ms; by all: min %.1f p50 %.1f max %.1f ms, "
       "not in "
       "3 s %d of %d; core %.1f ms, a sidecar %.0f us; core's peak memory %.0f KB\n",
-      kLedgerBytes / 1000, Quantile(acks, 0.5), Quantile(acks, 0.99), Quantile(all, 0), Quantile(all, 0.5),
-      Quantile(all, 1), missing, kLedgers, put_cpu * 1e3, take_cpu * 1e6 / count,
+      kStateBytes / 1000, Quantile(acks, 0.5), Quantile(acks, 0.99), Quantile(all, 0), Quantile(all, 0.5),
+      Quantile(all, 1), missing, kStateChanges, core_state_cpu * 1e3, sidecar_state_cpu * 1e6 / count,
       MemoryKb(::getpid(), "VmHWM"));
 
-  // All sidecars are new processes at once: all dial, tell and need all. With the ledger.
+  // All sidecars restart at once and need snapshot and state.
   std::vector<double> took, cpu, bytes, side;
   for (int i = 0; i < static_cast<int>(kRepeats); ++i) {
-    const double before = bench::ProcessorTime(::getpid()), side_before = ProcessorTime(sidecars);
+    const double before = bench::CpuSeconds(::getpid()), side_before = CpuSeconds(sidecars);
     const double out = static_cast<double>(shared.counts[0].bytes_out);
-    shared.listed = 0;
+    shared.synced = 0;
     shared.began = Now();
-    for (std::size_t k = 0; k < sidecars.size(); ++k) shared.commands[k] = kAllNew;
-    const bool done = core.Until([&] { return shared.listed >= n; }, 6'000'000);
+    for (std::size_t k = 0; k < sidecars.size(); ++k) shared.commands[k] = kRestartAll;
+    const bool done = core.RunUntil([&] { return shared.synced >= n; }, 6'000'000);
     if (!done) {
-      std::printf("  all new at once: not all had listing and ledger in 6 s\n");
+      std::printf("  all restarted at once: not all had snapshot and state in 6 s\n");
       continue;
     }
     took.push_back(static_cast<double>(Now() - shared.began) / 1000);
-    cpu.push_back((bench::ProcessorTime(::getpid()) - before) * 1e3);
-    side.push_back((ProcessorTime(sidecars) - side_before) * 1e3 / count);
+    cpu.push_back((bench::CpuSeconds(::getpid()) - before) * 1e3);
+    side.push_back((CpuSeconds(sidecars) - side_before) * 1e3 / count);
     bytes.push_back((static_cast<double>(shared.counts[0].bytes_out) - out) / count);
     core.RunFor(300 * kMs);
   }
   std::printf(
-      "  all new at once: all have listing and ledger after %.0f ms (most of %zu: %.0f); core %.0f ms of "
+      "  all restarted at once: all have snapshot and state after %.0f ms (max of %zu: %.0f); core %.0f ms "
+      "of CPU, "
       "processor, "
       "a sidecar "
       "%.2f ms; %.0f bytes to each; core's peak memory %.0f KB\n",
@@ -540,9 +540,9 @@
   using fennelhollow::bench::Shared;
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   FLAGS_minloglevel = 2;
-  // On a machine that is too busy it ends all the same; its processes end with it.
+  // Time limit on an overloaded machine; the child processes exit with this one.
   std::signal(SIGALRM, [](int) {
-    constexpr char kLine[] = "out of time: the rest was not measured\n";
+    constexpr char kLine[] = "time limit: the remaining sizes were not measured\n";
     [[maybe_unused]] const auto written = ::write(STDOUT_FILENO, kLine, sizeof kLine - 1);
     ::_exit(3);
   });
--- a/bench/mesh/hop_cost.cpp
+++ b/bench/mesh/hop_cost.cpp
@@ -1,8 +1,7 @@
-// What the mesh adds to one call: through both hops (egress's OutboundProxy and InboundProxyClient; ingress's
-// InboundProxy), beside the same call to the server directly, in one run. Four processes on loopback: caller,
-// outbound sidecar, inbound sidecar, a stub HTTP server; processor time is the kernel's account of each. In
-// the mesh each sidecar is the outbound one of its own server's calls and the inbound one of the calls to it.
-//   mesh_hop_cost [seconds a way, 1.5 without]
+// Cost that the mesh adds to a call through both proxies (egress::OutboundProxy, ingress::InboundProxy)
+// compared with a direct call. Four processes on loopback: client, outbound sidecar, inbound sidecar, stub
+// HTTP server. In the mesh each sidecar is outbound for calls of its own server and inbound for calls to it.
+//   mesh_hop_cost [seconds per path, default 1.5]
 #include <arpa/inet.h>
 #include <glog/logging.h>
 #include <netinet/tcp.h>
@@ -34,18 +33,18 @@
 using merlinrun::net::ErrorCode;
 using merlinrun::net::Tcp;
 
-constexpr std::size_t kServices = 56, kServersEach = 14, kTenants = 30;
-constexpr std::size_t kBodies[] = {512, 5 * 1024, 90 * 1024};  // of answers
-constexpr int kRounds = 3;                                     // of both ways in turn; the least is shown
-constexpr int kCallersBusy = 16;                               // connections, one request at a time each
+constexpr std::size_t kServices = 56, kServersPerService = 14, kTenants = 30;
+constexpr std::size_t kBodySizes[] = {512, 5 * 1024, 90 * 1024};  // of responses
+constexpr int kRounds = 3;                                        // of both paths in turn; prints the minimum
+constexpr int kConcurrentClients = 16;                            // one active request each
 
 std::uint16_t FreePort() {
   asio::io_context io;
   return Tcp::acceptor(io, {asio::ip::make_address("127.0.0.1"), 0}).local_endpoint().port();
 }
-std::string At(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
+std::string LoopbackAddress(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
-// ---- The stub: answers /p/BYTES with so many bytes, and the head's Attempt-Id.
+// ---- Stub server: answers /p/BYTES with a body of this size and the request's Attempt-Id
 
 class StubSession : public std::enable_shared_from_this<StubSession> {
  public:
@@ -91,23 +90,25 @@
   io.run();
 }
 
-// ---- The sidecars.
+// ---- Sidecars
 
-registry::Snapshot ListingOf(std::uint16_t hop, std::uint16_t stub, std::size_t each = kServersEach) {
+registry::Snapshot MakeSnapshot(std::uint16_t inbound_port, std::uint16_t stub,
+                                std::size_t per_service = kServersPerService) {
   registry::Snapshot out;
   out.epoch = out.revision = 1;
   for (std::size_t s = 0; s < kServices; ++s)
-    for (std::size_t i = 0; i < each; ++i) {
+    for (std::size_t i = 0; i < per_service; ++i) {
       const std::string n = std::to_string(100 + s) + "-" + std::to_string(100 + i);
-      out.servers.push_back({"server-" + n, "service-" + std::to_string(s), At(stub),
-                             "z" + std::to_string(i % 5), "v1", 64, registry::State::kReady, 0, 1, At(hop)});
-      out.sidecars.push_back({"machine-" + n, 1 + s * 100 + i, At(hop), "z" + std::to_string(i % 5),
-                              "service-" + std::to_string(s)});
+      out.servers.push_back({"server-" + n, "service-" + std::to_string(s), LoopbackAddress(stub),
+                             "z" + std::to_string(i % 5), "v1", 64, registry::State::kReady, 0, 1,
+                             LoopbackAddress(inbound_port)});
+      out.sidecars.push_back({"machine-" + n, 1 + s * 100 + i, LoopbackAddress(inbound_port),
+                              "z" + std::to_string(i % 5), "service-" + std::to_string(s)});
     }
   return out;
 }
 
-std::shared_ptr<const configuration::RoutingTables> TablesOf() {
+std::shared_ptr<const configuration::RoutingTables> MakeTables() {
   using nlohmann::json;
   json items = json::array();
   for (std::size_t s = 0; s < kServices; ++s) {
@@ -131,12 +132,12 @@
     items.push_back({{"resourceKind", "tenants"},
                      {"metadata", {{"name", "tenant-" + std::to_string(t)}}},
                      {"specification", {{"accessKeys", {"key-" + std::to_string(t)}}}}});
-  const auto verdict = configuration::ReplicatedState().Evaluate(
+  const auto result = configuration::ReplicatedState().Evaluate(
       false, json({{"version", 1}, {"resourceList", items}}).dump());
-  CHECK(verdict.kind == configuration::ChangeResult::Kind::kAccepted) << verdict.error;
-  const auto ledger = configuration::ReplicatedState::Parse(verdict.next_state);
-  CHECK(ledger.ok());
-  const auto tables = configuration::RoutingTables::Build(ledger->newest());
+  CHECK(result.kind == configuration::ChangeResult::Kind::kAccepted) << result.error;
+  const auto state = configuration::ReplicatedState::Parse(result.next_state);
+  CHECK(state.ok());
+  const auto tables = configuration::RoutingTables::Build(state->newest());
   CHECK(tables.ok()) << tables.status();
   return *tables;
 }
@@ -145,19 +146,19 @@
   asio::io_context io;
   merlinrun::net::AsioLoop loop(io);
   std::map<std::string, registry::Server> servers;
-  for (const auto& server : ListingOf(port, stub).servers) servers[server.id] = server;
-  ingress::InboundProxy hop(io, loop, {7, {}},
-                            {[&](const std::string& id) -> const registry::Server* {
-                               const auto at = servers.find(id);
-                               return at == servers.end() ? nullptr : &at->second;
-                             },
-                             [](const std::string&) {}, [] { return true; }});
+  for (const auto& server : MakeSnapshot(port, stub).servers) servers[server.id] = server;
+  ingress::InboundProxy proxy(io, loop, {7, {}},
+                              {[&](const std::string& id) -> const registry::Server* {
+                                 const auto at = servers.find(id);
+                                 return at == servers.end() ? nullptr : &at->second;
+                               },
+                               [](const std::string&) {}, [] { return true; }});
   transport::Listener listener(io, "127.0.0.1", port, {}, [&](std::shared_ptr<transport::Link> link) {
     transport::Link::Events events;
-    events.on_frame = [&hop, weak = std::weak_ptr<transport::Link>(link)](std::string_view) {  // the Hello
-      if (const auto mine = weak.lock()) hop.Serve(mine);
+    events.on_frame = [&proxy, weak = std::weak_ptr<transport::Link>(link)](std::string_view) {  // the Hello
+      if (const auto mine = weak.lock()) proxy.Serve(mine);
     };
-    // Held until its Hello has come.
+    // Keeps the link alive until its Hello arrives.
     events.on_closed = [link] {};
     link->Start(std::move(events));
   });
@@ -172,43 +173,44 @@
   return settings;
 }
 
-// What a change of the listing costs the outbound side: each is taken whole by the modules of all services.
-void MeasureListing() {
-  for (const std::size_t each : {std::size_t{2}, std::size_t{7}, kServersEach, std::size_t{28}}) {
+// Cost of a snapshot change in the outbound proxy, which applies it to the balancers of all services.
+void MeasureSnapshotUpdate() {
+  for (const std::size_t per_service :
+       {std::size_t{2}, std::size_t{7}, kServersPerService, std::size_t{28}}) {
     asio::io_context io;
     merlinrun::net::AsioLoop loop(io);
-    egress::InboundProxyClient hops(io, loop, {"machine-1", "127.0.0.1:1", 9, 300, 400});
-    quota::Limiter gauge({});
-    egress::OutboundProxy outbound(loop, OutboundSettings(), hops, gauge);
-    registry::Snapshot listing = ListingOf(1, 2, each);
-    outbound.OnEndpoints(listing, 3, listing.sidecars.size());
+    egress::InboundProxyClient proxy_client(io, loop, {"machine-1", "127.0.0.1:1", 9, 300, 400});
+    quota::Limiter limiter({});
+    egress::OutboundProxy outbound(loop, OutboundSettings(), proxy_client, limiter);
+    registry::Snapshot snapshot = MakeSnapshot(1, 2, per_service);
+    outbound.OnEndpoints(snapshot, 3, snapshot.sidecars.size());
     const double memory = MemoryKb(::getpid(), "VmRSS");
-    outbound.OnConfiguration(TablesOf());
+    outbound.OnConfiguration(MakeTables());
     std::vector<double> us;
     for (int i = 0; i < kRounds * 10; ++i) {
-      ++listing.revision;
-      listing.servers[5].slots = 64 + i % 2;
-      const double before = ProcessorTime(::getpid());
-      outbound.OnEndpoints(listing, 3, listing.sidecars.size());
-      us.push_back((ProcessorTime(::getpid()) - before) * 1e6);
+      ++snapshot.revision;
+      snapshot.servers[5].slots = 64 + i % 2;
+      const double before = CpuSeconds(::getpid());
+      outbound.OnEndpoints(snapshot, 3, snapshot.sidecars.size());
+      us.push_back((CpuSeconds(::getpid()) - before) * 1e6);
     }
     std::printf(
-        "listing of %zu servers, %zu services: a change costs the outbound side %.0f us (median %.0f, most "
+        "snapshot of %zu servers, %zu services: a change costs the outbound proxy %.0f us (median %.0f, max "
         "%.0f); "
-        "tables and modules %.0f KB\n",
-        listing.servers.size(), kServices, Quantile(us, 0), Quantile(us, 0.5), Quantile(us, 1),
+        "tables and balancers %.0f KB\n",
+        snapshot.servers.size(), kServices, Quantile(us, 0), Quantile(us, 0.5), Quantile(us, 1),
         MemoryKb(::getpid(), "VmRSS") - memory);
   }
 }
 
-void RunOutbound(std::uint16_t port, std::uint16_t hop, std::uint16_t stub) {
+void RunOutbound(std::uint16_t port, std::uint16_t inbound_port, std::uint16_t stub) {
   asio::io_context io;
   merlinrun::net::AsioLoop loop(io);
-  egress::InboundProxyClient hops(io, loop, {"machine-1", "127.0.0.1:1", 9, 300, 400});
-  quota::Limiter gauge({});
-  egress::OutboundProxy outbound(loop, OutboundSettings(), hops, gauge);
-  outbound.OnEndpoints(ListingOf(hop, stub), 3, kServices * kServersEach);
-  outbound.OnConfiguration(TablesOf());
+  egress::InboundProxyClient proxy_client(io, loop, {"machine-1", "127.0.0.1:1", 9, 300, 400});
+  quota::Limiter limiter({});
+  egress::OutboundProxy outbound(loop, OutboundSettings(), proxy_client, limiter);
+  outbound.OnEndpoints(MakeSnapshot(inbound_port, stub), 3, kServices * kServersPerService);
+  outbound.OnConfiguration(MakeTables());
   HttpServer front(io, {"127.0.0.1", port}, {},
                    {[&](const HttpServer::SessionPtr& session, egress::HttpRequest in) {
                       outbound.OnRequest(session, std::move(in));
@@ -217,17 +219,17 @@
   io.run();
 }
 
-// ---- The caller: blocking sockets, one request at a time each; a closed loop.
+// ---- Client: blocking sockets, closed loop, one active request per connection
 
-class Caller {
+class Client {
  public:
-  explicit Caller(std::uint16_t port) : port_(port) { Connect(); }
-  ~Caller() { ::close(fd_); }
-  Caller(const Caller&) = delete;
-  Caller& operator=(const Caller&) = delete;
+  explicit Client(std::uint16_t port) : port_(port) { Connect(); }
+  ~Client() { ::close(fd_); }
+  Client(const Client&) = delete;
+  Client& operator=(const Client&) = delete;
 
   int fd() const { return fd_; }
-  void Ask(std::size_t bytes) {
+  void Send(std::size_t bytes) {
     if (fd_ < 0) Connect();
     const std::string text =
         "GET /p/" + std::to_string(bytes) + "?x=1 HTTP/1.1\r\nHost: h5.example\r\nAttempt-Id: a" +
@@ -239,7 +241,7 @@
     asked_ = Now();
     if (::send(fd_, text.data(), text.size(), MSG_NOSIGNAL) < 0) failed = true;
   }
-  // Reads what is there; true once the answer is whole (or can't come: `failed`).
+  // Reads available bytes; true once the response is complete or has failed.
   bool Read() {
     char buffer[65536];
     const ssize_t n = ::recv(fd_, buffer, sizeof buffer, 0);
@@ -251,7 +253,7 @@
       std::size_t length = in_.find("Content-Length: ");
       if (length == std::string::npos) length = in_.find("content-length: ");
       if (length == std::string::npos || in_.compare(9, 3, "200") != 0) {
-        if (!std::exchange(told, true)) std::fprintf(stderr, "first failure: %s\n", in_.c_str());
+        if (!std::exchange(failure_printed, true)) std::fprintf(stderr, "first failure: %s\n", in_.c_str());
         return failed = true;
       }
       need_ = head + 4 + static_cast<std::size_t>(std::atol(in_.c_str() + length + 16));
@@ -265,7 +267,7 @@
     }
     return true;
   }
-  void Again() {
+  void Reconnect() {
     failed = false;
     ::close(fd_);
     Connect();
@@ -274,7 +276,7 @@
   bool failed = false;
   double took_ms = 0;
   static inline std::uint64_t last = 0;
-  static inline bool told = false;  // the first failure
+  static inline bool failure_printed = false;  // only the first failure is printed
 
  private:
   void Connect() {
@@ -296,123 +298,129 @@
   bool closes_ = false;
 };
 
-struct Way {
+struct PathResult {
   std::vector<double> ms;
   std::uint64_t failed = 0;
-  double outbound = 0, inbound = 0, stub = 0;  // processor microseconds a request
-  double alone = 0;                            // of both hops, one request at a time
+  double outbound = 0, inbound = 0, stub = 0;  // CPU microseconds per request
+  double sequential_us = 0;                    // of both proxies, one request at a time
   double per_second = 0;
 };
 
-Way Busy(std::uint16_t port, std::size_t bytes, double seconds, const std::array<pid_t, 3>& processes) {
-  std::vector<std::unique_ptr<Caller>> callers;
+PathResult MeasureConcurrent(std::uint16_t port, std::size_t bytes, double seconds,
+                             const std::array<pid_t, 3>& processes) {
+  std::vector<std::unique_ptr<Client>> clients;
   std::vector<pollfd> fds;
-  for (int i = 0; i < kCallersBusy; ++i) {
-    callers.push_back(std::make_unique<Caller>(port));
-    callers.back()->Ask(bytes);
-    fds.push_back({callers.back()->fd(), POLLIN, 0});
+  for (int i = 0; i < kConcurrentClients; ++i) {
+    clients.push_back(std::make_unique<Client>(port));
+    clients.back()->Send(bytes);
+    fds.push_back({clients.back()->fd(), POLLIN, 0});
   }
-  Way out;
+  PathResult out;
   std::array<double, 3> cpu{};
   Micros began = 0;
   std::uint64_t done = 0;
-  // The first tenth is the way's warming up.
+  // The first tenth is warm-up.
   const Micros start = Now(), measured = start + static_cast<Micros>(seconds * 1e5);
   const Micros end = start + static_cast<Micros>(seconds * 1e6);
   for (Micros now = start; now < end; now = Now()) {
     if (began == 0 && now >= measured) {
       began = now;
       done = 0;
-      for (std::size_t p = 0; p < 3; ++p) cpu[p] = ProcessorTime(processes[p]);
+      for (std::size_t p = 0; p < 3; ++p) cpu[p] = CpuSeconds(processes[p]);
     }
     ::poll(fds.data(), fds.size(), 100);
     for (std::size_t i = 0; i < fds.size(); ++i) {
-      if (fds[i].revents == 0 || !callers[i]->Read()) continue;
+      if (fds[i].revents == 0 || !clients[i]->Read()) continue;
       ++done;
-      if (callers[i]->failed) {
+      if (clients[i]->failed) {
         ++out.failed;
-        callers[i]->Again();
+        clients[i]->Reconnect();
       }
-      callers[i]->Ask(bytes);
-      fds[i].fd = callers[i]->fd();
+      clients[i]->Send(bytes);
+      fds[i].fd = clients[i]->fd();
     }
   }
   const double n = static_cast<double>(std::max<std::uint64_t>(done, 1));
-  out.outbound = (ProcessorTime(processes[0]) - cpu[0]) * 1e6 / n;
-  out.inbound = (ProcessorTime(processes[1]) - cpu[1]) * 1e6 / n;
-  out.stub = (ProcessorTime(processes[2]) - cpu[2]) * 1e6 / n;
+  out.outbound = (CpuSeconds(processes[0]) - cpu[0]) * 1e6 / n;
+  out.inbound = (CpuSeconds(processes[1]) - cpu[1]) * 1e6 / n;
+  out.stub = (CpuSeconds(processes[2]) - cpu[2]) * 1e6 / n;
   out.per_second = n * 1e6 / static_cast<double>(Now() - began);
   return out;
 }
 
 void Measure(std::uint16_t front, std::uint16_t stub, const std::array<pid_t, 3>& processes, double seconds) {
-  std::printf("%-8s %-7s %9s %9s %9s | %11s %11s %9s %10s %7s\n", "body", "way", "p50 ms", "p99 ms",
-              "p99.9 ms", "outbound us", "inbound us", "stub us", "a second", "failed");
-  for (const std::size_t bytes : kBodies) {
-    // One at a time, the two ways in turn: paired.
-    std::vector<Way> direct(kRounds), mesh(kRounds);
+  std::printf("%-8s %-7s %9s %9s %9s | %11s %11s %9s %10s %7s\n", "body", "path", "p50 ms", "p99 ms",
+              "p99.9 ms", "outbound us", "inbound us", "stub us", "requests/s", "failed");
+  for (const std::size_t bytes : kBodySizes) {
+    // One request at a time, alternating between the paths.
+    std::vector<PathResult> direct(kRounds), mesh(kRounds);
     std::vector<double> added50, added99;
     for (int round = 0; round < kRounds; ++round) {
-      Caller a(stub), b(front);
-      const double hops = ProcessorTime(processes[0]) + ProcessorTime(processes[1]);
+      Client a(stub), b(front);
+      const double hops = CpuSeconds(processes[0]) + CpuSeconds(processes[1]);
       const auto r = static_cast<std::size_t>(round);
       const Micros end = Now() + static_cast<Micros>(seconds * 1e6);
       while (Now() < end) {
-        for (auto [caller, way] : {std::pair(&a, &direct[r]), std::pair(&b, &mesh[r])}) {
-          caller->Ask(bytes);
-          while (!caller->Read()) {
+        for (auto [client, path] : {std::pair(&a, &direct[r]), std::pair(&b, &mesh[r])}) {
+          client->Send(bytes);
+          while (!client->Read()) {
           }
-          if (caller->failed) {
-            ++way->failed;
-            caller->Again();
+          if (client->failed) {
+            ++path->failed;
+            client->Reconnect();
           } else {
-            way->ms.push_back(caller->took_ms);
+            path->ms.push_back(client->took_ms);
           }
         }
       }
-      mesh[r].alone = (ProcessorTime(processes[0]) + ProcessorTime(processes[1]) - hops) * 1e6 /
-                      static_cast<double>(std::max<std::size_t>(mesh[r].ms.size(), 1));
+      mesh[r].sequential_us = (CpuSeconds(processes[0]) + CpuSeconds(processes[1]) - hops) * 1e6 /
+                              static_cast<double>(std::max<std::size_t>(mesh[r].ms.size(), 1));
       added50.push_back(Quantile(mesh[r].ms, 0.5) - Quantile(direct[r].ms, 0.5));
       added99.push_back(Quantile(mesh[r].ms, 0.99) - Quantile(direct[r].ms, 0.99));
-      const Way d = Busy(stub, bytes, seconds, processes), m = Busy(front, bytes, seconds, processes);
+      const PathResult d = MeasureConcurrent(stub, bytes, seconds, processes),
+                       m = MeasureConcurrent(front, bytes, seconds, processes);
       direct[r].stub = d.stub, direct[r].per_second = d.per_second, direct[r].failed += d.failed;
       mesh[r].outbound = m.outbound, mesh[r].inbound = m.inbound, mesh[r].stub = m.stub;
       mesh[r].per_second = m.per_second, mesh[r].failed += m.failed;
     }
-    const auto spread = [&](const std::vector<Way>& ways, const std::function<double(const Way&)>& of,
-                            double q) {
+    const auto spread = [&](const std::vector<PathResult>& paths,
+                            const std::function<double(const PathResult&)>& of, double q) {
       std::vector<double> all;
-      for (const Way& way : ways) all.push_back(of(way));
+      for (const PathResult& path : paths) all.push_back(of(path));
       return Quantile(all, q);
     };
-    const auto print = [&](const char* name, const std::vector<Way>& ways) {
-      const auto least = [&](const std::function<double(const Way&)>& of) { return spread(ways, of, 0); };
+    const auto print = [&](const char* name, const std::vector<PathResult>& paths) {
+      const auto least = [&](const std::function<double(const PathResult&)>& of) {
+        return spread(paths, of, 0);
+      };
       std::uint64_t failed = 0;
-      for (const Way& way : ways) failed += way.failed;
+      for (const PathResult& path : paths) failed += path.failed;
       std::printf("%-8zu %-7s %9.3f %9.3f %9.3f | %11.1f %11.1f %9.1f %10.0f %7lu\n", bytes, name,
-                  least([](const Way& w) { return Quantile(w.ms, 0.5); }),
-                  least([](const Way& w) { return Quantile(w.ms, 0.99); }),
-                  least([](const Way& w) { return Quantile(w.ms, 0.999); }),
-                  least([](const Way& w) { return w.outbound; }),
-                  least([](const Way& w) { return w.inbound; }), least([](const Way& w) { return w.stub; }),
+                  least([](const PathResult& w) { return Quantile(w.ms, 0.5); }),
+                  least([](const PathResult& w) { return Quantile(w.ms, 0.99); }),
+                  least([](const PathResult& w) { return Quantile(w.ms, 0.999); }),
+                  least([](const PathResult& w) { return w.outbound; }),
+                  least([](const PathResult& w) { return w.inbound; }),
+                  least([](const PathResult& w) { return w.stub; }),
                   spread(
-                      ways, [](const Way& w) { return w.per_second; }, 1),
+                      paths, [](const PathResult& w) { return w.per_second; }, 1),
                   failed);
     };
     print("direct", direct);
     print("mesh", mesh);
-    const auto both = [](const Way& w) { return w.outbound + w.inbound; };
-    const auto alone = [](const Way& w) { return w.alone; };
+    const auto both = [](const PathResult& w) { return w.outbound + w.inbound; };
+    const auto sequential_us = [](const PathResult& w) { return w.sequential_us; };
     std::printf(
-        "         added by the mesh, median of %d rounds (least, most): p50 %.3f ms (%.3f, %.3f), p99 %.3f "
+        "         added by the mesh, median of %d rounds (min, max): p50 %.3f ms (%.3f, %.3f), p99 %.3f "
         "ms (%.3f, "
         "%.3f)\n",
         kRounds, Quantile(added50, 0.5), Quantile(added50, 0), Quantile(added50, 1), Quantile(added99, 0.5),
         Quantile(added99, 0), Quantile(added99, 1));
     std::printf(
-        "         both hops: %.1f us a request (most %.1f) with %d at once, %.1f us (%.1f) one at a time\n",
-        spread(mesh, both, 0), spread(mesh, both, 1), kCallersBusy, spread(mesh, alone, 0),
-        spread(mesh, alone, 1));
+        "         both proxies: %.1f us per request (max %.1f) with %d concurrent, %.1f us (%.1f) "
+        "sequential\n",
+        spread(mesh, both, 0), spread(mesh, both, 1), kConcurrentClients, spread(mesh, sequential_us, 0),
+        spread(mesh, sequential_us, 1));
   }
 }
 
@@ -425,11 +433,11 @@
   FLAGS_minloglevel = 2;
   google::InitGoogleLogging(argv[0]);
   const double seconds = argc > 1 ? std::atof(argv[1]) : 1.5;
-  if (seconds < 0.1 || seconds > 2) {  // nine rounds of three: it has to end in under a minute
-    std::fprintf(stderr, "usage: mesh_hop_cost [seconds a way, from 0.1 to 2]\n");
+  if (seconds < 0.1 || seconds > 2) {  // nine rounds of three; must end within a minute
+    std::fprintf(stderr, "usage: mesh_hop_cost [seconds per path, 0.1 to 2]\n");
     return 2;
   }
-  MeasureListing();
+  MeasureSnapshotUpdate();
   const auto stub = FreePort(), hop = FreePort(), front = FreePort();
   const pid_t server = Fork([&] { RunStub(stub); });
   const pid_t inbound = Fork([&] { RunInbound(hop, stub); });
--- a/bench/mesh/measure.hpp
+++ b/bench/mesh/measure.hpp
@@ -1,4 +1,4 @@
-// What the programs of this folder share: clocks of processes, memory, quantiles, a process of its own.
+// Shared by the benchmarks: CPU clocks, memory, quantiles, child processes.
 #ifndef FENNELHOLLOW_BENCH_MESH_MEASURE_HPP_
 #define FENNELHOLLOW_BENCH_MESH_MEASURE_HPP_
 
@@ -27,14 +27,14 @@
   ::clock_gettime(clock, &t);
   return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_nsec) * 1e-9;
 }
-// Of the monotonic clock, which all processes of a machine share; microseconds.
+// Monotonic clock shared by all processes of the machine, microseconds.
 inline Micros Now() { return static_cast<Micros>(Seconds(CLOCK_MONOTONIC) * 1e6); }
-// Processor seconds (user and system) of a process, of all its threads.
-inline double ProcessorTime(pid_t process) {
+// CPU seconds (user and system) of all threads of a process.
+inline double CpuSeconds(pid_t process) {
   clockid_t clock{};
   return ::clock_getcpuclockid(process, &clock) == 0 ? Seconds(clock) : 0;
 }
-// A line of /proc/PID/status, in KB: VmRSS, VmHWM.
+// A field of /proc/PID/status in KB, such as VmRSS or VmHWM.
 inline double MemoryKb(pid_t process, const std::string& line) {
   std::ifstream in("/proc/" + std::to_string(process) + "/status");
   for (std::string word; in >> word;) {
@@ -45,14 +45,14 @@
   }
   return 0;
 }
-// `values` may be in any order; 0 if there are none.
+// `values` may be unsorted; 0 if empty.
 inline double Quantile(std::vector<double> values, double q) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
   return values[static_cast<std::size_t>(q * static_cast<double>(values.size() - 1) + 0.5)];
 }
 
-// Runs `what` in a process of its own, which ends with this one.
+// Runs `what` in a child process, which dies with this one.
 inline pid_t Fork(const std::function<void()>& what) {
   std::fflush(stdout);
   const pid_t parent = ::getpid();
--- a/bench/start_bench.cpp
+++ b/bench/start_bench.cpp
@@ -1,5 +1,5 @@
-// What a build costs before anything is asked of it, beside an earlier build: time from its start until it
-// takes a connection, and memory then. Both in turn, so that a busy machine harms both alike.
+// Startup time until the first accepted connection, and memory at that time, compared with an earlier build.
+// Both builds run in turn, so that other load on the machine affects both.
 //   build/ci/start_bench build/deploy/fennelhollow EARLIER/build/deploy/fennelhollow
 #include <algorithm>
 #include <chrono>
@@ -9,33 +9,33 @@
 #include <vector>
 
 #include "rig/process.hpp"
-#include "rig/world.hpp"
+#include "rig/test_environment.hpp"
 
 namespace merlinrun::rig {
 namespace {
 
 constexpr int kRounds = 200;
-constexpr auto kLook = std::chrono::microseconds(50);  // between two tries to connect
-constexpr auto kMost = std::chrono::seconds(5);
+constexpr auto kPollInterval = std::chrono::microseconds(50);  // between two connection attempts
+constexpr auto kTimeout = std::chrono::seconds(5);
 
 struct Start {
   double ready_ms = 0;
   double memory_kib = 0;
 };
 
-std::optional<Start> StartOnce(World& world, const std::string& program) {
+std::optional<Start> StartOnce(TestEnvironment& env, const std::string& program) {
   const std::string listen = FreeAddress();
-  const auto begun = std::chrono::steady_clock::now();
-  const Process sidecar(program, world, {listen, "", "", ""});
-  while (std::chrono::steady_clock::now() - begun < kMost) {
-    Tcp::socket socket(world.io);
+  const auto started = std::chrono::steady_clock::now();
+  const Process sidecar(program, env, {listen, "", "", ""});
+  while (std::chrono::steady_clock::now() - started < kTimeout) {
+    Tcp::socket socket(env.io);
     boost::system::error_code error;
-    socket.connect(At(listen), error);
-    const auto took = std::chrono::steady_clock::now() - begun;
+    socket.connect(ParseEndpoint(listen), error);
+    const auto elapsed = std::chrono::steady_clock::now() - started;
     if (!error)
-      return Start{std::chrono::duration<double, std::milli>(took).count(),
+      return Start{std::chrono::duration<double, std::milli>(elapsed).count(),
                    static_cast<double>(sidecar.memory())};
-    std::this_thread::sleep_for(kLook);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return std::nullopt;
 }
@@ -46,13 +46,13 @@
 }
 
 int Compare(const char* const* programs) {
-  World world({{"sim-lookup", RetrySafety::kSafe, 1, 3'000'000, 1}}, 4, {},
-              ExampleDiameterFile("127.0.0.1:0"));
+  TestEnvironment env({{"sim-lookup", RetrySafety::kSafe, 1, 3'000'000, 1}}, 4, {},
+                      ExampleDiameterFile("127.0.0.1:0"));
   std::vector<Start> all[2];
   for (int round = 0; round < kRounds; ++round)
     for (int which = 0; which < 2; ++which) {
-      const auto start = StartOnce(world, programs[which]);
-      if (!start) return std::fprintf(stderr, "%s is not ready in time\n", programs[which]), 1;
+      const auto start = StartOnce(env, programs[which]);
+      if (!start) return std::fprintf(stderr, "%s was not ready in time\n", programs[which]), 1;
       all[which].push_back(*start);
     }
   std::printf("%-10s %12s %12s %12s\n", "build", "ready, p50", "ready, p90", "memory, p50");
--- a/rig/clients.cpp
+++ b/rig/clients.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "net/protocol.hpp"
-#include "rig/names.hpp"
+#include "rig/avp_codes.hpp"
 
 namespace merlinrun::rig {
 namespace {
@@ -16,17 +16,18 @@
 
 }  // namespace
 
-Traffic::Traffic(const std::vector<WorkClass>& classes, std::uint64_t count, std::uint64_t seed)
+TrafficGenerator::TrafficGenerator(const std::vector<TrafficClass>& classes, std::uint64_t count,
+                                   std::uint64_t seed)
     : classes_(classes), count_(count), random_(seed) {
-  for (const WorkClass& c : classes_) shares_ += c.share;
+  for (const TrafficClass& c : classes_) total_weight_ += c.weight;
 }
 
-const WorkClass* Traffic::Next() {
-  if (asked_ >= count_) return nullptr;
-  ++asked_;
-  int at = static_cast<int>(random_() % static_cast<std::uint64_t>(shares_));
-  for (const WorkClass& c : classes_)
-    if ((at -= c.share) < 0) return &c;
+const TrafficClass* TrafficGenerator::Next() {
+  if (issued_ >= count_) return nullptr;
+  ++issued_;
+  int at = static_cast<int>(random_() % static_cast<std::uint64_t>(total_weight_));
+  for (const TrafficClass& c : classes_)
+    if ((at -= c.weight) < 0) return &c;
   return &classes_.back();
 }
 
@@ -34,18 +35,18 @@
 
 struct HttpClient::Session {
   explicit Session(boost::asio::io_context& io) : socket(io) {}
-  bool over = false;  // its client has another, or is gone
+  bool over = false;  // replaced by another session, or the client is gone
   Tcp::socket socket;
   boost::beast::flat_buffer buffer;
   net::HttpRequest request;
   net::HttpResponse response;
 };
 
-HttpClient::HttpClient(boost::asio::io_context& io, core::Loop& loop, Ledger& ledger, Traffic& traffic,
-                       Tcp::endpoint sidecar, std::string name, Micros pause)
+HttpClient::HttpClient(boost::asio::io_context& io, core::Loop& loop, InvariantChecker& checker,
+                       TrafficGenerator& traffic, Tcp::endpoint sidecar, std::string name, Micros pause)
     : io_(io),
       loop_(loop),
-      ledger_(ledger),
+      checker_(checker),
       traffic_(traffic),
       sidecar_(sidecar),
       name_(std::move(name)),
@@ -59,8 +60,8 @@
   session_->socket.close(ignored);
 }
 
-void HttpClient::Die() {
-  if (!idle_) ledger_.ClientDied(name_ + "-" + std::to_string(last_));
+void HttpClient::Crash() {
+  if (!idle_) checker_.OnClientCrash(name_ + "-" + std::to_string(last_id_));
 }
 
 void HttpClient::Start() {
@@ -75,45 +76,45 @@
 }
 
 void HttpClient::Next() {
-  const WorkClass* const its_class = traffic_.Next();
-  idle_ = its_class == nullptr;
+  const TrafficClass* const traffic_class = traffic_.Next();
+  idle_ = traffic_class == nullptr;
   if (idle_) return;
-  const std::string id = name_ + "-" + std::to_string(++last_);
-  const bool safe = its_class->repeat == RetrySafety::kSafe;
+  const std::string id = name_ + "-" + std::to_string(++last_id_);
+  const bool safe = traffic_class->retry_safety == RetrySafety::kSafe;
   const auto session = session_;
   session->request = {safe ? http::verb::get : http::verb::post, "/api", 11};
   session->request.set(http::field::host, "origin.svc");
   session->request.set(net::kIdHeader, id);
-  session->request.set(net::kClassHeader, its_class->name);
+  session->request.set(net::kClassHeader, traffic_class->name);
   char deadline[32];
-  std::snprintf(deadline, sizeof deadline, "%.3f", static_cast<double>(its_class->deadline) / 1e6);
+  std::snprintf(deadline, sizeof deadline, "%.3f", static_cast<double>(traffic_class->deadline) / 1e6);
   session->request.set(net::kDeadlineHeader, deadline);
-  if (its_class->repeat == RetrySafety::kDeduplicated)
+  if (traffic_class->retry_safety == RetrySafety::kDeduplicated)
     session->request.set(net::kIdempotencyHeader, "k" + id);
   if (!safe) session->request.body() = "a port or an activation";
   session->request.prepare_payload();
-  ledger_.Asked(id, *its_class, loop_.Now());
+  checker_.OnRequest(id, *traffic_class, loop_.Now());
   http::async_write(session->socket, session->request, [this, session, id](ErrorCode error, std::size_t) {
     if (session->over) return;
     session->response = {};
-    if (error) return OnAnswer(session, id);
+    if (error) return OnAnswerReceived(session, id);
     http::async_read(session->socket, session->buffer, session->response,
                      [this, session, id](ErrorCode failed, std::size_t) {
                        if (session->over) return;
                        if (failed) session->response = {};
-                       OnAnswer(session, id);
+                       OnAnswerReceived(session, id);
                      });
   });
 }
 
-void HttpClient::OnAnswer(const std::shared_ptr<Session>& session, const std::string& id) {
+void HttpClient::OnAnswerReceived(const std::shared_ptr<Session>& session, const std::string& id) {
   const net::HttpResponse& response = session->response;
   const unsigned status = response.result_int();
-  if (response.version() == 0 || status == 0) return Start();  // no whole answer: it stays owed
-  const auto outcome = status == 200                    ? Ledger::Outcome::kServed
-                       : status == 503 || status == 429 ? Ledger::Outcome::kRefused
-                                                        : Ledger::Outcome::kFailed;
-  ledger_.Answered(id, outcome, response.body(), loop_.Now());
+  if (response.version() == 0 || status == 0) return Start();  // no complete response: it stays due
+  const auto outcome = status == 200                    ? InvariantChecker::Outcome::kServed
+                       : status == 503 || status == 429 ? InvariantChecker::Outcome::kRefused
+                                                        : InvariantChecker::Outcome::kFailed;
+  checker_.OnResponse(id, outcome, response.body(), loop_.Now());
   const bool kept = response.keep_alive();
   if (pause_ == 0) return kept ? Next() : Start();
   timer_->Start(pause_, [this, kept] { kept ? Next() : Start(); });
@@ -121,12 +122,12 @@
 
 // ---- Diameter ----
 
-DiameterClient::DiameterClient(boost::asio::io_context& io, core::Loop& loop, Ledger& ledger,
-                               Traffic& traffic, Tcp::endpoint sidecar, std::string host,
+DiameterClient::DiameterClient(boost::asio::io_context& io, core::Loop& loop, InvariantChecker& checker,
+                               TrafficGenerator& traffic, Tcp::endpoint sidecar, std::string host,
                                std::uint32_t application, std::size_t window, std::uint32_t state_id)
     : io_(io),
       loop_(loop),
-      ledger_(ledger),
+      checker_(checker),
       traffic_(traffic),
       sidecar_(sidecar),
       application_(application),
@@ -168,7 +169,7 @@
   up_ = false;
   if (connection_ != nullptr) connection_->Reset();
   ++identity_.state_id;
-  for (const auto& [hop, asked] : under_way_) ledger_.ClientDied(asked.id);
+  for (const auto& [hop, pending] : in_flight_) checker_.OnClientCrash(pending.id);
   Connect();
 }
 
@@ -182,26 +183,26 @@
   if (message == nullptr) return;
   if (message->header.request())
     return Send(diameter::MakeAnswer(identity_, *message, diameter::ResultCode::kSuccess));
-  if (message->header.application != 0) return OnAnswer(*message);
+  if (message->header.application != 0) return OnAnswerReceived(*message);
   if (message->header.command != diameter::kCapabilitiesExchange || up_) return;
   up_ = true;
-  for (auto& [hop, asked] : under_way_) {  // what had no answer when it died
-    asked.message.header.flags |= diameter::kRetransmitBit;
-    ledger_.AskedAgain(asked.id);
-    Send(asked.message);
+  for (auto& [hop, pending] : in_flight_) {  // unanswered before the restart
+    pending.message.header.flags |= diameter::kRetransmitBit;
+    checker_.OnRetransmit(pending.id);
+    Send(pending.message);
   }
-  Fill();
+  FillWindow();
 }
 
-void DiameterClient::Fill() {
-  while (up_ && under_way_.size() < window_) {
-    const WorkClass* const its_class = traffic_.Next();
-    if (its_class == nullptr) return;
-    Ask(*its_class);
+void DiameterClient::FillWindow() {
+  while (up_ && in_flight_.size() < window_) {
+    const TrafficClass* const traffic_class = traffic_.Next();
+    if (traffic_class == nullptr) return;
+    SendRequest(*traffic_class);
   }
 }
 
-std::string DiameterClient::Ask(const WorkClass& its_class) {
+std::string DiameterClient::SendRequest(const TrafficClass& traffic_class) {
   diameter::Message request;
   request.header = {diameter::kRequestBit | diameter::kProxiableBit, kCommand, application_, ++last_hop_,
                     ++last_end_};
@@ -210,32 +211,33 @@
   avps.Add(diameter::avp::kSessionId, identity_.host + ";1;" + std::to_string(last_end_));
   avps.Add(diameter::avp::kOriginHost, identity_.host).Add(diameter::avp::kOriginRealm, identity_.realm);
   avps.Add(diameter::avp::kDestinationRealm, "activation.example");
-  avps.Add(kClassCode, its_class.name, diameter::kMandatoryBit, kVendor);
-  avps.AddU32(kDeadlineCode, static_cast<std::uint32_t>(its_class.deadline / 1000), 0, kVendor);
+  avps.Add(kClassCode, traffic_class.name, diameter::kMandatoryBit, kVendor);
+  avps.AddU32(kDeadlineCode, static_cast<std::uint32_t>(traffic_class.deadline / 1000), 0, kVendor);
   avps.Add(kIdCode, id, 0, kVendor);
-  if (its_class.repeat == RetrySafety::kDeduplicated) avps.Add(kKeyCode, "k" + id, 0, kVendor);
+  if (traffic_class.retry_safety == RetrySafety::kDeduplicated) avps.Add(kKeyCode, "k" + id, 0, kVendor);
   request.avps = avps.Take();
-  ledger_.Asked(id, its_class, loop_.Now());
-  under_way_[last_hop_] = {id, request};
+  checker_.OnRequest(id, traffic_class, loop_.Now());
+  in_flight_[last_hop_] = {id, request};
   Send(request);
   return id;
 }
 
-void DiameterClient::OnAnswer(const diameter::Message& answer) {
+void DiameterClient::OnAnswerReceived(const diameter::Message& answer) {
   ++answers_;
   last_answer_ = answer;
-  const auto it = under_way_.find(answer.header.hop_by_hop);
-  if (it == under_way_.end()) return ledger_.Answered("?", Ledger::Outcome::kFailed, "", loop_.Now());
+  const auto it = in_flight_.find(answer.header.hop_by_hop);
+  if (it == in_flight_.end())
+    return checker_.OnResponse("?", InvariantChecker::Outcome::kFailed, "", loop_.Now());
   const auto code = diameter::ResultCodeOf(answer);
   const auto outcome =
-      code == diameter::ResultCode::kSuccess ? Ledger::Outcome::kServed
+      code == diameter::ResultCode::kSuccess ? InvariantChecker::Outcome::kServed
       : code == diameter::ResultCode::kTooBusy || code == diameter::ResultCode::kUnableToDeliver
-          ? Ledger::Outcome::kRefused
-          : Ledger::Outcome::kFailed;
+          ? InvariantChecker::Outcome::kRefused
+          : InvariantChecker::Outcome::kFailed;
   const auto token = diameter::Find(answer.avps, kTokenCode, kVendor);
-  ledger_.Answered(it->second.id, outcome, token ? std::string(token->data) : "", loop_.Now());
-  under_way_.erase(it);
-  Fill();
+  checker_.OnResponse(it->second.id, outcome, token ? std::string(token->data) : "", loop_.Now());
+  in_flight_.erase(it);
+  FillWindow();
 }
 
 }  // namespace merlinrun::rig
--- a/rig/clients.hpp
+++ b/rig/clients.hpp
@@ -1,5 +1,5 @@
-// Clients on loopback, each with so many requests under way at once: till applications over HTTP, and a back
-// office over Diameter that can die, come back and send again what it has no answer to.
+// Test clients on loopback with a fixed number of concurrent requests: HTTP clients, and a Diameter client
+// that can restart and retransmit its unanswered requests.
 #ifndef MERLINRUN_RIG_CLIENTS_HPP_
 #define MERLINRUN_RIG_CLIENTS_HPP_
 
@@ -16,97 +16,97 @@
 #include "core/loop.hpp"
 #include "diameter/io/connection.hpp"
 #include "diameter/messages.hpp"
-#include "rig/ledger.hpp"
+#include "rig/invariant_checker.hpp"
 
 namespace merlinrun::rig {
 
 using Tcp = boost::asio::ip::tcp;
 
-// Says what is asked for next, in the classes' proportions, until so many have been asked for.
-class Traffic {
+// Picks the class of each request at random by weight, up to a total number of requests.
+class TrafficGenerator {
  public:
-  Traffic(const std::vector<WorkClass>& classes, std::uint64_t count, std::uint64_t seed);
-  const WorkClass* Next();  // null when all have been asked for
-  // Nothing more is asked for.
-  void Finish() { count_ = asked_; }
-  std::uint64_t asked() const { return asked_; }
-  std::uint64_t left() const { return count_ - asked_; }
+  TrafficGenerator(const std::vector<TrafficClass>& classes, std::uint64_t count, std::uint64_t seed);
+  const TrafficClass* Next();  // null once all requests have been issued
+  // Issues no further requests.
+  void Stop() { count_ = issued_; }
+  std::uint64_t issued() const { return issued_; }
+  std::uint64_t remaining() const { return count_ - issued_; }
 
  private:
-  const std::vector<WorkClass>& classes_;
+  const std::vector<TrafficClass>& classes_;
   std::uint64_t count_;
-  std::uint64_t asked_ = 0;
-  int shares_ = 0;
+  std::uint64_t issued_ = 0;
+  int total_weight_ = 0;
   std::mt19937_64 random_;
 };
 
 class HttpClient {
  public:
-  // `name` makes the ids of its requests.
-  HttpClient(boost::asio::io_context& io, core::Loop& loop, Ledger& ledger, Traffic& traffic,
-             Tcp::endpoint sidecar, std::string name, Micros pause = 0);
+  // `name` is the prefix of its request ids.
+  HttpClient(boost::asio::io_context& io, core::Loop& loop, InvariantChecker& checker,
+             TrafficGenerator& traffic, Tcp::endpoint sidecar, std::string name, Micros pause = 0);
   ~HttpClient();
   void Start();
-  // Dies: what it has asked is owed nothing any more.
-  void Die();
+  // Simulates a crash: the pending request no longer needs a response.
+  void Crash();
   bool idle() const { return idle_; }
 
  private:
   struct Session;
   void Next();
-  void OnAnswer(const std::shared_ptr<Session>& session, const std::string& id);
+  void OnAnswerReceived(const std::shared_ptr<Session>& session, const std::string& id);
 
   boost::asio::io_context& io_;
   core::Loop& loop_;
-  Ledger& ledger_;
-  Traffic& traffic_;
+  InvariantChecker& checker_;
+  TrafficGenerator& traffic_;
   const Tcp::endpoint sidecar_;
   const std::string name_;
-  const Micros pause_;  // between an answer and the next request
+  const Micros pause_;  // between a response and the next request
   std::unique_ptr<core::Timer> timer_;
-  std::uint64_t last_ = 0;
+  std::uint64_t last_id_ = 0;
   std::shared_ptr<Session> session_;
   bool idle_ = true;
 };
 
 class DiameterClient {
  public:
-  DiameterClient(boost::asio::io_context& io, core::Loop& loop, Ledger& ledger, Traffic& traffic,
-                 Tcp::endpoint sidecar, std::string host, std::uint32_t application, std::size_t window,
-                 std::uint32_t state_id = 1);
+  DiameterClient(boost::asio::io_context& io, core::Loop& loop, InvariantChecker& checker,
+                 TrafficGenerator& traffic, Tcp::endpoint sidecar, std::string host,
+                 std::uint32_t application, std::size_t window, std::uint32_t state_id = 1);
   ~DiameterClient();
   void Start();
-  // Dies with its connection, and is back at once with a new Origin-State-Id; what had no answer is sent
-  // again with the same end-to-end ids and the T flag.
+  // Resets the connection and reconnects at once with a new Origin-State-Id; unanswered requests are
+  // retransmitted with the same end-to-end ids and the T flag.
   void Restart();
-  bool idle() const { return under_way_.empty(); }
+  bool idle() const { return in_flight_.empty(); }
   bool up() const { return up_; }
-  // Sends one request of this class now, whatever the window; gives back its id.
-  std::string Ask(const WorkClass& its_class);
+  // Sends one request of this class immediately, regardless of the window; returns its id.
+  std::string SendRequest(const TrafficClass& traffic_class);
   std::uint64_t answers() const { return answers_; }
   const diameter::Message& last() const { return last_answer_; }
 
  private:
-  struct Asked {
+  struct PendingRequest {
     std::string id;
     diameter::Message message;
   };
   void Connect();
   void OnFrame(std::string_view frame);
-  void OnAnswer(const diameter::Message& answer);
-  void Fill();
+  void OnAnswerReceived(const diameter::Message& answer);
+  void FillWindow();
   void Send(const diameter::Message& message);
 
   boost::asio::io_context& io_;
   core::Loop& loop_;
-  Ledger& ledger_;
-  Traffic& traffic_;
+  InvariantChecker& checker_;
+  TrafficGenerator& traffic_;
   const Tcp::endpoint sidecar_;
   const std::uint32_t application_;
   const std::size_t window_;
   diameter::Identity identity_;
   diameter::ConnectionPtr connection_;
-  std::map<std::uint32_t, Asked> under_way_;  // by hop-by-hop id
+  std::map<std::uint32_t, PendingRequest> in_flight_;  // by hop-by-hop id
   std::uint32_t last_hop_ = 0;
   std::uint32_t last_end_ = 0;
   std::uint64_t answers_ = 0;
--- a/rig/cluster/cluster.hpp
+++ b/rig/cluster/cluster.hpp
@@ -1,5 +1,5 @@
-// Several processes of the program between stand-in servers in two zones, each with a discovery, a link to
-// every server and clients of its own. The ledger of the world judges the rules over all of them together.
+// Several sidecar processes and test servers in two or three zones. Each sidecar has its own discovery,
+// clients and a fault proxy to every server. One invariant checker covers all of them.
 #ifndef MERLINRUN_RIG_CLUSTER_CLUSTER_HPP_
 #define MERLINRUN_RIG_CLUSTER_CLUSTER_HPP_
 
@@ -10,23 +10,23 @@
 #include <string>
 #include <vector>
 
-#include "rig/cluster/link.hpp"
-#include "rig/cluster/mesh.hpp"
+#include "rig/cluster/fault_proxy.hpp"
+#include "rig/cluster/report_network.hpp"
 #include "rig/process.hpp"
-#include "rig/world.hpp"
+#include "rig/test_environment.hpp"
 
 namespace merlinrun::rig {
 
 struct ClusterOptions {
   int sidecars = 8;
   int servers = 12;
-  int clients = 3;         // of each sidecar, each with one request under way
-  Micros pause = 30'000;   // of a client after each answer
-  std::uint64_t seed = 1;  // of the mix of classes, and of chance on the ways of words
+  int clients = 3;         // per sidecar, each with one active request
+  Micros pause = 30'000;   // of a client after each response
+  std::uint64_t seed = 1;  // of traffic classes and report faults
   int zones = 2;
-  bool words = false;  // sidecars tell one another what they meet
-  // Their words go straight to one another and not through the mesh, which has a socket for each pair.
-  bool straight = false;
+  bool peer_reports = false;  // sidecars exchange zone health by datagrams
+  // Datagrams go directly between sidecars, without the ReportNetwork and its socket for each pair.
+  bool direct_reports = false;
   ServerOptions server;
 };
 
@@ -37,39 +37,43 @@
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
-  World& world() { return world_; }
+  TestEnvironment& env() { return env_; }
   std::size_t size() const { return nodes_.size(); }
-  // The ways from one sidecar to all servers of a zone.
-  void SetLinks(std::size_t sidecar, const DataCentre& zone, Link::Mode mode);
-  void SetLinks(const DataCentre& zone, Link::Mode mode);
-  Mesh& mesh() { return *mesh_; }  // only where there are words
-  // Tells all sidecars' discoveries.
-  void List(const Server& server, const std::string& lifecycle);
+  // Sets the mode of the proxies from one sidecar, or from all, to the servers of a zone.
+  void SetLinks(std::size_t sidecar, const DataCentre& zone, FaultProxy::Mode mode);
+  void SetLinks(const DataCentre& zone, FaultProxy::Mode mode);
+  ReportNetwork& report_network() {
+    return *report_network_;
+  }  // only with peer reports through the test network
+  // Updates the server's lifecycle in every sidecar's discovery.
+  void SetLifecycle(const Server& server, const std::string& lifecycle);
   void Signal(std::size_t sidecar, int signal) const;
-  // The operator replaces the orders on zones of all of them, and tells them so.
-  void Order(const std::string& text) const;
-  // Ends it at once, as a machine that loses power, and starts it again.
+  // Replaces the operator's zone overrides of all sidecars and reloads them.
+  void SetZoneOverrides(const std::string& text) const;
+  // Kills the sidecar with SIGKILL; Start starts it again.
   void Kill(std::size_t sidecar);
   void Start(std::size_t sidecar);
   bool Runs(std::size_t sidecar) const;
 
-  // The last line of its trace, null before the first.
+  // The last trace line as JSON; null before the first.
   nlohmann::json Trace(std::size_t sidecar) const;
-  // What it believes of a zone, "" before it was ever sent to; and how often it has changed its mind.
+  // The sidecar's stage of a zone, "" before its first request to it; and its number of stage changes.
   std::string Stage(std::size_t sidecar, const DataCentre& zone) const;
   std::uint64_t Epoch(std::size_t sidecar) const;
-  // Sidecars that believe this of the zone.
+  // Number of sidecars that have the zone in this stage.
   std::size_t Count(const DataCentre& zone, const std::string& stage) const;
-  // To which it is left, or tried by one attempt at a time; and to which it is not.
-  std::size_t Away(const DataCentre& zone) const { return Count(zone, "left") + Count(zone, "on-trial"); }
-  std::size_t Back(const DataCentre& zone) const { return Count(zone, "returning") + Count(zone, "serving"); }
-  // Connections that came up on the ways to a zone, from all sidecars.
+  // Number of sidecars that have ejected the zone (or only probe it), and that use it.
+  std::size_t Ejected(const DataCentre& zone) const { return Count(zone, "left") + Count(zone, "on-trial"); }
+  std::size_t InUse(const DataCentre& zone) const {
+    return Count(zone, "returning") + Count(zone, "serving");
+  }
+  // Connections accepted by the proxies to a zone.
   std::uint64_t Accepted(const DataCentre& zone) const;
 
-  // Nothing more is asked; true once every client has its last answer.
-  bool Finish();
-  // Every broken rule and every answer that is still owed, a line each.
-  std::string Faults();
+  // Stops the traffic; true once all clients have received their last response.
+  bool StopTraffic();
+  // Violations and overdue responses, one line each.
+  std::string Violations();
 
  private:
   struct Node;
@@ -77,10 +81,10 @@
 
   const std::string program_;
   const ClusterOptions options_;
-  World world_;
-  Traffic traffic_;
-  std::unique_ptr<Mesh> mesh_;
-  std::vector<std::string> peers_;  // where words go straight
+  TestEnvironment env_;
+  TrafficGenerator traffic_;
+  std::unique_ptr<ReportNetwork> report_network_;
+  std::vector<std::string> peers_;  // report addresses for direct_reports
   std::vector<std::unique_ptr<Node>> nodes_;
 };
 
--- a/rig/cluster/link.cpp
+++ b/rig/cluster/fault_proxy.cpp
@@ -1,4 +1,4 @@
-#include "rig/cluster/link.hpp"
+#include "rig/cluster/fault_proxy.hpp"
 
 #include <algorithm>
 #include <array>
@@ -7,14 +7,14 @@
 #include <utility>
 
 #include "rig/process.hpp"
-#include "rig/world.hpp"
+#include "rig/test_environment.hpp"
 
 namespace merlinrun::rig {
 namespace {
 
 using ErrorCode = boost::system::error_code;
 
-// The peer sees a reset and no orderly end.
+// Closes with a TCP reset.
 void Reset(Tcp::socket& socket) {
   ErrorCode ignored;
   socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-struct Link::Pair {
+struct FaultProxy::Pair {
   Pair(boost::asio::io_context& io, Tcp::socket accepted) : near(std::move(accepted)), far(io) {}
   void End() {
     Reset(near);
@@ -35,16 +35,17 @@
   std::array<char, 16384> to_near;
 };
 
-Link::Link(boost::asio::io_context& io, std::function<Tcp::endpoint()> target)
-    : io_(io), target_(std::move(target)), address_(At(FreeAddress())) {
+FaultProxy::FaultProxy(boost::asio::io_context& io, std::function<Tcp::endpoint()> target)
+    : io_(io), target_(std::move(target)), address_(ParseEndpoint(FreeAddress())) {
   Listen();
 }
 
-Link::~Link() { ResetAll(); }
+FaultProxy::~FaultProxy() { ResetAll(); }
 
-void Link::Set(Mode mode) {
+void FaultProxy::Set(Mode mode) {
   const Mode before = std::exchange(mode_, mode);
-  const bool lost = before == Mode::kSwallow || before == Mode::kDeaf || before == Mode::kMute;
+  const bool lost =
+      before == Mode::kBlackhole || before == Mode::kDropResponses || before == Mode::kDropRequests;
   const bool ends = mode == Mode::kRefuse || mode == Mode::kReset;
   if (ends || (lost && mode != before)) ResetAll();
   if (mode == Mode::kRefuse) {
@@ -54,14 +55,14 @@
   }
 }
 
-void Link::Listen() {
+void FaultProxy::Listen() {
   acceptor_ = std::make_unique<Tcp::acceptor>(io_, address_);
   Accept();
 }
 
-void Link::Accept() {
+void FaultProxy::Accept() {
   acceptor_->async_accept([this](ErrorCode error, Tcp::socket socket) {
-    if (error) return;  // closed, and this object may be gone
+    if (error) return;  // closed; this object may have been destroyed
     ++accepted_;
     const auto pair = std::make_shared<Pair>(io_, std::move(socket));
     if (mode_ == Mode::kReset) {
@@ -69,8 +70,8 @@
     } else {
       std::erase_if(pairs_, [](const auto& known) { return known.expired(); });
       pairs_.push_back(pair);
-      if (mode_ == Mode::kSwallow) {
-        Pump(pair, /*up=*/true);  // what comes is read, and goes nowhere
+      if (mode_ == Mode::kBlackhole) {
+        Pump(pair, /*up=*/true);  // reads and discards
       } else {
         pair->far.async_connect(target_(), [this, pair](ErrorCode failed) {
           if (failed) return pair->End();
@@ -86,26 +87,26 @@
   });
 }
 
-// One direction: `up` is from the sidecar to the server.
-void Link::Pump(const std::shared_ptr<Pair>& pair, bool up) {
+// Copies one direction; `up` is from the sidecar to the server.
+void FaultProxy::Pump(const std::shared_ptr<Pair>& pair, bool up) {
   Tcp::socket& from = up ? pair->near : pair->far;
   auto& buffer = up ? pair->to_far : pair->to_near;
   from.async_read_some(boost::asio::buffer(buffer), [this, pair, up](ErrorCode error, std::size_t size) {
-    // What is cut off is kept open and silent: the pair waits for its reset.
-    if (mode_ == Mode::kSwallow && !error) return Pump(pair, up);
-    if (mode_ == Mode::kDeaf && !up && !error) return Pump(pair, up);
-    if (mode_ == Mode::kMute && up && !error) return Pump(pair, up);
+    // Dropped traffic keeps the connection open and silent until it is reset.
+    if (mode_ == Mode::kBlackhole && !error) return Pump(pair, up);
+    if (mode_ == Mode::kDropResponses && !up && !error) return Pump(pair, up);
+    if (mode_ == Mode::kDropRequests && up && !error) return Pump(pair, up);
     Tcp::socket& to = up ? pair->far : pair->near;
     ErrorCode ignored;
     if (error == boost::asio::error::eof) return void(to.shutdown(Tcp::socket::shutdown_send, ignored));
     if (error) return pair->End();
-    if (mode_ != Mode::kSlow || up) return Write(pair, up, size);
-    const auto timer = std::make_shared<boost::asio::steady_timer>(io_, kSlowBy);
+    if (mode_ != Mode::kDelayResponses || up) return Write(pair, up, size);
+    const auto timer = std::make_shared<boost::asio::steady_timer>(io_, kResponseDelay);
     timer->async_wait([this, pair, up, size, timer](ErrorCode) { Write(pair, up, size); });
   });
 }
 
-void Link::Write(const std::shared_ptr<Pair>& pair, bool up, std::size_t size) {
+void FaultProxy::Write(const std::shared_ptr<Pair>& pair, bool up, std::size_t size) {
   auto& bytes = up ? pair->to_far : pair->to_near;
   boost::asio::async_write(up ? pair->far : pair->near, boost::asio::buffer(bytes.data(), size),
                            [this, pair, up](ErrorCode failed, std::size_t) {
@@ -114,7 +115,7 @@
                            });
 }
 
-void Link::ResetAll() {
+void FaultProxy::ResetAll() {
   for (const auto& known : pairs_)
     if (const auto pair = known.lock()) pair->End();
   pairs_.clear();
--- a/rig/discovery.cpp
+++ b/rig/discovery.cpp
@@ -11,7 +11,7 @@
 
 using diameter::ErrorCode;
 
-constexpr Micros kBeat = 2'000'000;  // an empty line comes that often
+constexpr Micros kKeepaliveInterval = 2'000'000;  // sends an empty line
 
 std::string Text(const Tcp::endpoint& address) {
   return address.address().to_string() + ":" + std::to_string(address.port());
@@ -25,13 +25,13 @@
   boost::asio::streambuf input;
 };
 
-Discovery::Discovery(boost::asio::io_context& io, core::Loop& loop, Ledger& ledger)
+Discovery::Discovery(boost::asio::io_context& io, core::Loop& loop, InvariantChecker& checker)
     : loop_(loop),
-      ledger_(ledger),
+      checker_(checker),
       acceptor_(io, Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0)),
-      beat_(loop.NewTimer()) {
+      keepalive_timer_(loop.NewTimer()) {
   Accept();
-  Beat();
+  SendKeepalive();
 }
 
 Discovery::~Discovery() {
@@ -69,20 +69,20 @@
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   boost::asio::write(session->socket, boost::asio::buffer(head), ignored);
   watches_.push_back(session);
-  Chunk(*session, List().dump() + "\n");
+  WriteChunk(*session, List().dump() + "\n");
 }
 
-void Discovery::Chunk(Session& session, const std::string& text) {
+void Discovery::WriteChunk(Session& session, const std::string& text) {
   char size[16];
   std::snprintf(size, sizeof size, "%zx\r\n", text.size());
   ErrorCode ignored;
   boost::asio::write(session.socket, boost::asio::buffer(size + text + "\r\n"), ignored);
 }
 
-void Discovery::Beat() {
-  beat_->Start(kBeat, [this] {
-    for (const auto& session : watches_) Chunk(*session, "\n");
-    Beat();
+void Discovery::SendKeepalive() {
+  keepalive_timer_->Start(kKeepaliveInterval, [this] {
+    for (const auto& session : watches_) WriteChunk(*session, "\n");
+    SendKeepalive();
   });
 }
 
@@ -100,10 +100,10 @@
   entries_[id] = entry;
   ++generation_;
   if (lifecycle == "removed") entries_.erase(id);
-  lifecycle == "up" ? ledger_.Listed(id) : ledger_.Told(id, loop_.Now());
+  lifecycle == "up" ? checker_.OnListed(id) : checker_.OnDrainNotified(id, loop_.Now());
   const nlohmann::json change = {
       {"generation", generation_}, {"reset", false}, {"instances", nlohmann::json::array({entry})}};
-  for (const auto& session : watches_) Chunk(*session, change.dump() + "\n");
+  for (const auto& session : watches_) WriteChunk(*session, change.dump() + "\n");
 }
 
 nlohmann::json Discovery::List() const {
--- a/rig/mesh/http.cpp
+++ b/rig/mesh/http.cpp
@@ -22,7 +22,7 @@
   return request;
 }
 
-asio::awaitable<std::optional<Response>> Caller::Call(Request request, milliseconds timeout) {
+asio::awaitable<std::optional<Response>> HttpConnection::Call(Request request, milliseconds timeout) {
   boost::system::error_code error;
   if (stream_ == nullptr) {
     stream_ = std::make_unique<beast::tcp_stream>(io_.get_executor());
--- a/rig/mesh/http.hpp
+++ b/rig/mesh/http.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 calls of the stand-ins, as coroutines on one thread.
+// HTTP/1.1 client of the test programs, as coroutines on one thread.
 #ifndef FENNELHOLLOW_RIG_MESH_HTTP_HPP_
 #define FENNELHOLLOW_RIG_MESH_HTTP_HPP_
 
@@ -15,7 +15,7 @@
 #include <memory>
 #include <optional>
 #include <string>
-#include <utility>  // before Asio, whose awaitable.hpp forgets it
+#include <utility>  // missing in awaitable.hpp of Asio 1.74
 
 namespace fennelhollow::rig {
 
@@ -37,18 +37,18 @@
 
 asio::awaitable<void> Sleep(asio::io_context& io, milliseconds time);
 
-// A kept connection to one address.
-class Caller {
+// A keep-alive connection to one address.
+class HttpConnection {
  public:
-  Caller(asio::io_context& io, Address address) : io_(io), address_(std::move(address)) {}
-  // Absent: no answer, or no whole one, within `timeout`; the next call opens a new connection.
+  HttpConnection(asio::io_context& io, Address address) : io_(io), address_(std::move(address)) {}
+  // Returns nullopt without a complete response within `timeout`; the next call reconnects.
   asio::awaitable<std::optional<Response>> Call(Request request, milliseconds timeout);
   const Address& address() const { return address_; }
 
  private:
   asio::io_context& io_;
   const Address address_;
-  std::unique_ptr<beast::tcp_stream> stream_;  // null: none is open
+  std::unique_ptr<beast::tcp_stream> stream_;  // null: not connected
   beast::flat_buffer buffer_;
 };
 
--- a/rig/mesh/node_process.cpp
+++ b/rig/mesh/node_process.cpp
@@ -17,7 +17,7 @@
   asio::io_context io;
   std::random_device random;
   for (int attempt = 0; attempt < 50; ++attempt) {
-    // Below the ports that the system gives to those who dial.
+    // Below the ephemeral port range.
     Ports ports{static_cast<std::uint16_t>(20'000 + 16 * (random() % 700))};
     std::vector<Tcp::acceptor> held;
     bool free = true;
@@ -107,7 +107,7 @@
   const pid_t parent = ::getpid();
   pid_ = ::fork();
   if (pid_ != 0) return pid_ > 0;
-  // In the child: ends with its parent, however that ends.
+  // Child process: dies with its parent.
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (::getppid() != parent) ::_exit(127);
   const int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
--- a/rig/mesh/node_process.hpp
+++ b/rig/mesh/node_process.hpp
@@ -1,4 +1,4 @@
-// A machine of the mesh on loopback: the real program as a child process, with its settings file.
+// A node of the mesh on loopback: fennelhollow-node as a child process with its settings file.
 #ifndef FENNELHOLLOW_RIG_MESH_NODE_PROCESS_HPP_
 #define FENNELHOLLOW_RIG_MESH_NODE_PROCESS_HPP_
 
@@ -13,7 +13,7 @@
 
 namespace fennelhollow::rig {
 
-// Every machine uses the same ports, counted from a base.
+// Every node uses the same ports, relative to a base.
 struct Ports {
   std::uint16_t base = 0;
   std::uint16_t outbound() const { return base; }
@@ -24,7 +24,7 @@
   std::uint16_t first_internal() const { return static_cast<std::uint16_t>(base + 5); }
   std::uint16_t last_internal() const { return static_cast<std::uint16_t>(base + 8); }
 };
-// Ports that are free at all of these addresses; base 0: none were found.
+// Finds ports that are free at all of these addresses; base 0: none found.
 Ports FindPorts(const std::vector<std::string>& ips);
 
 class NodeProcess {
@@ -32,34 +32,33 @@
   enum class Role { kCore, kSidecar };
   struct Options {
     std::string program;
-    std::filesystem::path folder;  // of all processes; gets this one's settings, data and log
+    std::filesystem::path folder;  // shared by all processes; holds their settings, data and logs
     std::string name;
     Role role = Role::kCore;
     std::string ip;
-    std::string service;  // that runs beside a sidecar
+    std::string service;  // of the application beside a sidecar
     Ports ports;
     std::vector<std::string> seeds;  // IPs
-    // Where it listens for other processes; port 0: where they are told to come.
+    // Listen address for other nodes; port 0: the announced address.
     Address internal_listen;
     std::vector<std::string> arguments;
   };
   explicit NodeProcess(Options options) : options_(std::move(options)) {}
-  ~NodeProcess();  // kills and reaps it
+  ~NodeProcess();  // kills and reaps the process
   NodeProcess(const NodeProcess&) = delete;
   NodeProcess& operator=(const NodeProcess&) = delete;
 
-  // False: no process could be started. Again after its end: with the disk that it left, unless that was
-  // lost.
+  // Starts, or restarts with the existing data directory. False if the process can't be started.
   bool Start();
-  // At once, and waits for its end.
+  // Sends SIGKILL and waits for the exit.
   void Kill();
-  // Of one that does not run.
+  // Deletes the data. Call only while the process is stopped.
   void LoseDisk();
   bool runs() const { return pid_ > 0; }
   void Signal(int signal) const;
-  // Looks whether it has ended, and reaps it.
+  // True if the process has exited; reaps it.
   bool Ended();
-  int status() const { return status_; }  // as it exited; -1: by a signal, or it hasn't
+  int status() const { return status_; }  // exit status; -1: running or killed by a signal
 
   Address outbound() const { return {options_.ip, options_.ports.outbound()}; }
   Address readiness() const { return {options_.ip, options_.ports.readiness()}; }
--- a/rig/mesh/server.cpp
+++ b/rig/mesh/server.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr const char* kHealthPath = "/health";
-constexpr milliseconds kBeatWithin{1000};
+constexpr milliseconds kHeartbeatTimeout{1000};
 constexpr milliseconds kIdle{10'000};
 
-// Closed with a reset, as the kernel closes what a process that died held.
+// Closes with a TCP reset, as the kernel does for a crashed process.
 void Reset(beast::tcp_stream& stream) {
   boost::system::error_code ignored;
   stream.socket().set_option(asio::socket_base::linger(true, 0), ignored);
@@ -25,27 +25,27 @@
 
 }  // namespace
 
-Server::Server(asio::io_context& io, Options options, Runs& runs)
-    : io_(io), options_(std::move(options)), runs_(runs), acceptor_(io), room_(io) {
+Server::Server(asio::io_context& io, Options options, ExecutionCounts& runs)
+    : io_(io), options_(std::move(options)), runs_(runs), acceptor_(io), slot_available_(io) {
   const Tcp::endpoint at = options_.address.Endpoint();
   acceptor_.open(at.protocol());
   acceptor_.set_option(asio::socket_base::reuse_address(true));
   acceptor_.bind(at);
   acceptor_.listen();
-  room_.expires_at(Clock::time_point::max());
+  slot_available_.expires_at(Clock::time_point::max());
 }
 
 void Server::Start() {
   asio::co_spawn(io_, Accept(shared_from_this()), asio::detached);
-  asio::co_spawn(io_, Beat(shared_from_this()), asio::detached);
+  asio::co_spawn(io_, SendHeartbeats(shared_from_this()), asio::detached);
 }
 
-void Server::Die() {
+void Server::Crash() {
   ended_ = true;
   boost::system::error_code ignored;
   acceptor_.close(ignored);
   for (const Stream& stream : std::set<Stream>(streams_)) Reset(*stream);
-  room_.cancel();
+  slot_available_.cancel();
 }
 
 asio::awaitable<void> Server::Accept(std::shared_ptr<Server> self) {
@@ -71,8 +71,8 @@
     stream->expires_after(kIdle);
     co_await http::async_read(*stream, buffer, request, asio::redirect_error(asio::use_awaitable, error));
     if (error || self->ended_) break;
-    stream->expires_never();  // it has what its caller allows
-    Response response = co_await self->Answer(request);
+    stream->expires_never();  // the client sets the deadline
+    Response response = co_await self->HandleRequest(request);
     if (self->ended_) break;
     response.set("Keep-Alive", "timeout=10");
     response.prepare_payload();
@@ -82,7 +82,7 @@
   stream->close();
 }
 
-asio::awaitable<Response> Server::Answer(const Request& request) {
+asio::awaitable<Response> Server::HandleRequest(const Request& request) {
   const std::string id(request["Attempt-Id"]);
   Response response(http::status::ok, 11);
   if (!id.empty()) response.set("Attempt-Id", id);
@@ -113,24 +113,25 @@
   ++waiting_;
   while (busy_ >= options_.slots && !ended_) {
     boost::system::error_code woken;
-    co_await room_.async_wait(asio::redirect_error(asio::use_awaitable, woken));
+    co_await slot_available_.async_wait(asio::redirect_error(asio::use_awaitable, woken));
   }
   --waiting_;
   if (ended_) co_return response;
   ++busy_;
-  ++counters_.ran;
+  ++counters_.executed;
   ++runs_[id];
-  std::uniform_int_distribution<std::int64_t> work(options_.least_work.count(), options_.most_work.count());
-  co_await Sleep(io_, milliseconds(work(random_) * slow_down_));
+  std::uniform_int_distribution<std::int64_t> service_time(options_.min_service_time.count(),
+                                                           options_.max_service_time.count());
+  co_await Sleep(io_, milliseconds(service_time(random_) * slowdown_));
   --busy_;
-  room_.cancel_one();
+  slot_available_.cancel_one();
   response.set("Server-Seal", Seal(id));
   response.set("Ran-By", options_.service);
   response.body() = Body(id);
   co_return response;
 }
 
-std::string Server::Report() {
+std::string Server::HeartbeatBody() {
   const nlohmann::json report = {
       {"address", options_.address.Text()},
       {"information",
@@ -140,30 +141,31 @@
   return report.dump();
 }
 
-asio::awaitable<void> Server::Beat(std::shared_ptr<Server> self) {
+asio::awaitable<void> Server::SendHeartbeats(std::shared_ptr<Server> self) {
   const std::string path = "/-/Instances.";
   const std::string host = self->options_.control.Text();
-  Caller caller(self->io_, self->options_.control);
+  HttpConnection connection(self->io_, self->options_.control);
   bool drain_told = false;
   while (!self->ended_) {
     const bool drains = self->draining_;
-    const auto answer = co_await caller.Call(
-        MakeRequest(http::verb::post, path + "Heartbeat/" + self->options_.id, host, self->Report()),
-        kBeatWithin);
+    const auto answer = co_await connection.Call(
+        MakeRequest(http::verb::post, path + "Heartbeat/" + self->options_.id, host, self->HeartbeatBody()),
+        kHeartbeatTimeout);
     const bool taken = answer && answer->result_int() / 100 == 2;
-    if (!taken) ++self->counters_.beats_failed;
+    if (!taken) ++self->counters_.heartbeats_failed;
     if (drains && taken) drain_told = true;
-    // A change of state is told soon, the rest as the platform has it.
-    const auto until = Clock::now() + (drain_told ? self->options_.drain : self->options_.beat);
+    // Reports a change of state at once, otherwise once per heartbeat interval.
+    const auto until =
+        Clock::now() + (drain_told ? self->options_.drain_time : self->options_.heartbeat_interval);
     while (Clock::now() < until && !self->ended_ && self->draining_ == drains)
       co_await Sleep(self->io_, milliseconds(20));
     if (drain_told) break;
   }
   if (self->ended_) co_return;
-  co_await Sleep(self->io_, milliseconds(200));  // a little more
-  co_await caller.Call(MakeRequest(http::verb::post, path + "Departure/" + self->options_.id, host, "{}"),
-                       kBeatWithin);
-  self->Die();
+  co_await Sleep(self->io_, milliseconds(200));  // time for requests in flight
+  co_await connection.Call(MakeRequest(http::verb::post, path + "Departure/" + self->options_.id, host, "{}"),
+                           kHeartbeatTimeout);
+  self->Crash();
 }
 
 }  // namespace fennelhollow::rig
--- a/rig/mesh/server.hpp
+++ b/rig/mesh/server.hpp
@@ -1,5 +1,5 @@
-// A stand-in application server: slots and a short queue, beats to its own machine's sidecar, and three ends:
-// by order, by death, by the end of the rig.
+// Test application server with slots and a short queue that sends heartbeats to the sidecar of its node. It
+// can drain or crash.
 #ifndef FENNELHOLLOW_RIG_MESH_SERVER_HPP_
 #define FENNELHOLLOW_RIG_MESH_SERVER_HPP_
 
@@ -14,36 +14,36 @@
 
 namespace fennelhollow::rig {
 
-// Which requests servers have run, and how often: by Attempt-Id.
-using Runs = std::map<std::string, int>;
+// Number of executions by Attempt-Id, over all servers.
+using ExecutionCounts = std::map<std::string, int>;
 
 class Server : public std::enable_shared_from_this<Server> {
  public:
   struct Options {
     std::string id, service;
     Address address;
-    Address control;  // of its own machine: where its beats go
+    Address control;  // of its own node, for heartbeats
     int slots = 8, queue = 8;
     int connections = 100;
-    milliseconds beat{500}, drain{1000};
-    milliseconds least_work{5}, most_work{20};
+    milliseconds heartbeat_interval{500}, drain_time{1000};
+    milliseconds min_service_time{5}, max_service_time{20};
   };
   struct Counters {
-    std::uint64_t ran = 0, not_executed = 0, wrong_instance = 0, beats_failed = 0;
+    std::uint64_t executed = 0, not_executed = 0, wrong_instance = 0, heartbeats_failed = 0;
   };
-  // Throws boost::system::system_error if the address can't be listened on. `runs` must outlive it.
-  Server(asio::io_context& io, Options options, Runs& runs);
+  // Throws boost::system::system_error if it can't listen on the address. `runs` must outlive it.
+  Server(asio::io_context& io, Options options, ExecutionCounts& runs);
   void Start();
-  // Says that it drains, serves on for a while, departs, ends.
+  // Reports draining, keeps serving for a while, deregisters and stops.
   void Drain() { draining_ = true; }
-  // At once: connections are reset, what it works on is never answered, nobody is told.
-  void Die();
-  // Runs take so many times as long from now on.
-  void SlowDown(int times) { slow_down_ = times; }
+  // Simulates a crash: resets connections, never answers active requests, does not deregister.
+  void Crash();
+  // Multiplies the service time from now on.
+  void SlowDown(int times) { slowdown_ = times; }
   const Counters& counters() const { return counters_; }
   const Options& options() const { return options_; }
 
-  // What a whole answer to this request holds.
+  // Body and Server-Seal of the response to this request.
   static std::string Body(const std::string& id) { return "ran " + id + std::string(200, '.'); }
   static std::string Seal(const std::string& id) { return "seal." + id; }
 
@@ -51,21 +51,21 @@
   using Stream = std::shared_ptr<beast::tcp_stream>;
   static asio::awaitable<void> Accept(std::shared_ptr<Server> self);
   static asio::awaitable<void> Serve(std::shared_ptr<Server> self, Stream stream);
-  static asio::awaitable<void> Beat(std::shared_ptr<Server> self);
-  asio::awaitable<Response> Answer(const Request& request);
-  std::string Report();
+  static asio::awaitable<void> SendHeartbeats(std::shared_ptr<Server> self);
+  asio::awaitable<Response> HandleRequest(const Request& request);
+  std::string HeartbeatBody();
 
   asio::io_context& io_;
   const Options options_;
-  Runs& runs_;
+  ExecutionCounts& runs_;
   Tcp::acceptor acceptor_;
   std::set<Stream> streams_;
   std::mt19937 random_{7};
   std::uint64_t sequence_ = 0;
   int busy_ = 0, waiting_ = 0;
-  int slow_down_ = 1;
+  int slowdown_ = 1;
   bool draining_ = false, ended_ = false;
-  asio::steady_timer room_;  // one of those that wait is woken by each end
+  asio::steady_timer slot_available_;  // wakes one waiting request for each finished one
   Counters counters_;
 };
 
--- a/rig/process.cpp
+++ b/rig/process.cpp
@@ -19,7 +19,7 @@
 
 namespace merlinrun::rig {
 
-std::filesystem::path NewFolder() {
+std::filesystem::path MakeTempDirectory() {
   static std::atomic<int> count = 0;
   const auto folder = std::filesystem::temp_directory_path() /
                       ("fennelhollow-rig-" + std::to_string(::getpid()) + "-" + std::to_string(++count));
@@ -27,19 +27,19 @@
   return folder;
 }
 
-Tcp::endpoint At(const std::string& address) { return net::ParseAddress(address).value(); }
+Tcp::endpoint ParseEndpoint(const std::string& address) { return net::ParseAddress(address).value(); }
 
-Process::Process(const std::string& program, const World& world, const Options& options)
-    : folder_(NewFolder()) {
-  std::ofstream(folder_ / "config.json") << (options.config.empty() ? world.Config() : options.config);
+Process::Process(const std::string& program, const TestEnvironment& env, const Options& options)
+    : folder_(MakeTempDirectory()) {
+  std::ofstream(folder_ / "config.json") << (options.config.empty() ? env.Config() : options.config);
   std::ofstream(folder_ / "trace.toml") << options.trace;
   std::ofstream(folder_ / "fleet.toml") << options.fleet;
-  Order("");
+  WriteZoneOverrides("");
   std::ofstream(folder_ / "diameter.toml") << options.diameter_file;
   std::vector<std::string> environment = {"EDGE_CONFIG=" + (folder_ / "config.json").string(),
                                           "EDGE_LISTEN=" + options.listen};
   if (!options.ops.empty()) environment.push_back("EDGE_OPS=" + options.ops);
-  if (!options.temporary.empty()) environment.push_back("TMPDIR=" + options.temporary);
+  if (!options.tmpdir.empty()) environment.push_back("TMPDIR=" + options.tmpdir);
   if (!options.diameter_file.empty())
     environment.push_back("EDGE_DIAMETER=" + (folder_ / "diameter.toml").string());
   if (!options.trace.empty()) environment.push_back("EDGE_TRACE=" + (folder_ / "trace.toml").string());
@@ -55,8 +55,8 @@
   if (!options.trace.empty())
     ::posix_spawn_file_actions_addopen(&files, 2, (folder_ / "log").c_str(), O_WRONLY | O_CREAT | O_APPEND,
                                        0600);
-  // The rig's listeners are not the sidecar's: one that was inherited would go on taking connections after
-  // the rig has closed it.
+  // The child must not inherit the listeners of the test servers: it would keep accepting connections after
+  // they are closed.
   ::posix_spawn_file_actions_addclosefrom_np(&files, 3);
   if (::posix_spawn(&pid_, program.c_str(), &files, nullptr, arguments, pointers.data()) != 0) pid_ = -1;
   ::posix_spawn_file_actions_destroy(&files);
@@ -74,12 +74,14 @@
 
 void Process::Signal(int signal) const { ::kill(pid_, signal); }
 
-void Process::Order(const std::string& text) const { std::ofstream(folder_ / "zones.toml") << text; }
+void Process::WriteZoneOverrides(const std::string& text) const {
+  std::ofstream(folder_ / "zones.toml") << text;
+}
 
-int Process::Wait(World& world) {
+int Process::Wait(TestEnvironment& env) {
   int status = 0;
   const auto ended = [&] { return ::waitpid(pid_, &status, WNOHANG) == pid_; };
-  if (!world.RunUntil(ended, std::chrono::seconds(20))) return -1;
+  if (!env.RunUntil(ended, std::chrono::seconds(20))) return -1;
   pid_ = -1;
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
@@ -95,7 +97,7 @@
   std::string text((std::istreambuf_iterator<char>(file)), {});
   std::istringstream fields(text.substr(text.rfind(')') + 2));
   std::string skipped;
-  for (int i = 0; i < 11; ++i) fields >> skipped;  // up to the 14th field, utime (proc(5))
+  for (int i = 0; i < 11; ++i) fields >> skipped;  // skips to the 14th field, utime (proc(5))
   double user = 0;
   double system = 0;
   fields >> user >> system;
@@ -119,30 +121,30 @@
   return 0;
 }
 
-OpsReply Call(const std::string& address, const std::string& method, const std::string& path) {
+HttpReply HttpCall(const std::string& address, const std::string& method, const std::string& path) {
   namespace http = boost::beast::http;
   boost::asio::io_context io;
   Tcp::socket socket(io);
   boost::system::error_code error;
-  socket.connect(At(address), error);
+  socket.connect(ParseEndpoint(address), error);
   if (error) return {};
   http::request<http::empty_body> request(http::string_to_verb(method), path, 11);
   http::write(socket, request, error);
   boost::beast::flat_buffer buffer;
   http::response<http::string_body> response;
   if (!error) http::read(socket, buffer, response, error);
-  return error ? OpsReply{} : OpsReply{response.result_int(), response.body()};
+  return error ? HttpReply{} : HttpReply{response.result_int(), response.body()};
 }
 
-bool WaitForReady(World& world, const std::string& ops) {
-  return world.RunUntil([&] { return Call(ops, "GET", "/api/ready").status == 200; },
-                        std::chrono::seconds(10));
+bool WaitForReady(TestEnvironment& env, const std::string& ops) {
+  return env.RunUntil([&] { return HttpCall(ops, "GET", "/api/ready").status == 200; },
+                      std::chrono::seconds(10));
 }
 
-bool WaitFor(World& world, const Tcp::endpoint& address) {
-  return world.RunUntil(
+bool WaitForListener(TestEnvironment& env, const Tcp::endpoint& address) {
+  return env.RunUntil(
       [&] {
-        Tcp::socket socket(world.io);
+        Tcp::socket socket(env.io);
         boost::system::error_code error;
         socket.connect(address, error);
         return !error;
--- a/rig/process.hpp
+++ b/rig/process.hpp
@@ -1,4 +1,4 @@
-// A sidecar as a process of its own, with its files in a folder of its own. Ended with the object.
+// A sidecar process with a temporary directory for its files. Killed when the object is destroyed.
 #ifndef MERLINRUN_RIG_PROCESS_HPP_
 #define MERLINRUN_RIG_PROCESS_HPP_
 
@@ -7,42 +7,42 @@
 #include <filesystem>
 #include <string>
 
-#include "rig/world.hpp"
+#include "rig/test_environment.hpp"
 
 namespace merlinrun::rig {
 
-// The loopback address that this text names.
-Tcp::endpoint At(const std::string& address);
+// Parses "ip:port"; throws if it is malformed.
+Tcp::endpoint ParseEndpoint(const std::string& address);
 
 class Process {
  public:
   struct Options {
     std::string listen;
-    std::string diameter_file;   // its text; empty: Diameter is off
-    std::string ops;             // the second address; empty: none
-    std::string temporary;       // TMPDIR, shared with other processes of the same sidecar; empty: none
-    nlohmann::json config = {};  // the whole of it; empty: the world's
-    std::string trace = {};      // the trace file's text; empty: no trace. It goes to the log
-    std::string fleet = {};      // the text of the file on words between sidecars; empty: none are said
+    std::string diameter_file;  // file content; empty: Diameter is off
+    std::string ops;            // admin address; empty: none
+    std::string tmpdir;         // TMPDIR, shared by the processes of one sidecar across upgrades; empty: none
+    nlohmann::json config = {};  // full configuration; empty: the environment's
+    std::string trace = {};      // trace file content; empty: no trace. The trace is written to the log
+    std::string fleet = {};      // peer report settings file content; empty: peer reports are off
   };
-  Process(const std::string& program, const World& world, const Options& options);
+  Process(const std::string& program, const TestEnvironment& env, const Options& options);
   ~Process();
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
   bool runs() const;
   void Signal(int signal) const;
-  // Its exit status once it has ended by itself, which is waited for; -1 if a signal ended it or it does not.
-  int Wait(World& world);
-  // Writes its file of orders on zones, which it reads at its start and at SIGHUP.
-  void Order(const std::string& text) const;
-  // Descriptors that it holds.
+  // Waits up to 20 s for the process to exit; returns its exit status, or -1 on timeout or death by signal.
+  int Wait(TestEnvironment& env);
+  // Writes the zone override file, which the process reads at startup and on SIGHUP.
+  void WriteZoneOverrides(const std::string& text) const;
+  // Number of open file descriptors.
   std::size_t descriptors() const;
-  // CPU that it has used so far, in microseconds.
+  // CPU time used so far, microseconds.
   double cpu() const;
-  // The last bytes that it has written to standard error, where it has a trace; empty otherwise.
+  // The last `last` bytes of standard error if tracing is on; empty otherwise.
   std::string Log(std::size_t last) const;
-  // Memory that it holds, in KiB (VmRSS).
+  // Resident memory (VmRSS), KiB.
   long memory() const;
 
  private:
@@ -50,21 +50,21 @@
   pid_t pid_ = -1;
 };
 
-// A folder of its own below the system's temporary one; the caller removes it.
-std::filesystem::path NewFolder();
+// Creates a directory below the system's temporary directory; the caller removes it.
+std::filesystem::path MakeTempDirectory();
 
-// An answer of the second address; status 0: there was none.
-struct OpsReply {
+// Response of the admin address; status 0: no response.
+struct HttpReply {
   unsigned status = 0;
   std::string body;
 };
-OpsReply Call(const std::string& address, const std::string& method, const std::string& path);
+HttpReply HttpCall(const std::string& address, const std::string& method, const std::string& path);
 
-// Waits until the process behind this second address says that it can serve.
-bool WaitForReady(World& world, const std::string& ops);
+// Waits until the process behind this admin address reports readiness.
+bool WaitForReady(TestEnvironment& env, const std::string& ops);
 
-// Waits until the address takes a connection; false if it does not.
-bool WaitFor(World& world, const Tcp::endpoint& address);
+// Waits until the address accepts a connection; false on timeout.
+bool WaitForListener(TestEnvironment& env, const Tcp::endpoint& address);
 
 }  // namespace merlinrun::rig
 
--- a/rig/server.cpp
+++ b/rig/server.cpp
@@ -8,7 +8,7 @@
 
 #include "diameter/messages.hpp"
 #include "net/protocol.hpp"
-#include "rig/names.hpp"
+#include "rig/avp_codes.hpp"
 
 namespace merlinrun::rig {
 namespace {
@@ -16,7 +16,7 @@
 namespace http = boost::beast::http;
 using diameter::ErrorCode;
 
-constexpr std::size_t kMostHeard = 64;
+constexpr std::size_t kMaxBaseMessages = 64;
 
 void Reset(Tcp::socket& socket) {
   ErrorCode ignored;
@@ -26,25 +26,25 @@
 
 }  // namespace
 
-// A request at the server, from its arrival to its answer.
+// A request from arrival to response.
 struct Server::Work {
   std::string id;
   std::string key;
-  const WorkClass* its_class = nullptr;
-  std::function<void(Fault, const std::string& token)> answer;  // called once, unless the server dies
+  const TrafficClass* traffic_class = nullptr;
+  std::function<void(Fault, const std::string& token)> answer;  // called once, unless the server crashes
   std::function<void()> decline;
   std::string token;
   Fault fault = Fault::kNone;
-  bool gone = false;  // its client has closed: what has not begun never does
+  bool gone = false;  // the client closed the connection: it is not executed if still queued
 
-  // To whoever is still there; what it calls may let go of it.
-  void Answer(Fault how, const std::string& its_token) {
+  // Responds if the client is still connected. The callback may release the session.
+  void Answer(Fault how, const std::string& response_token) {
     const auto call = std::exchange(answer, nullptr);
-    if (!gone && call) call(how, its_token);
+    if (!gone && call) call(how, response_token);
     decline = nullptr;
   }
-  // Lets go of the session, which holds on to this.
-  void Leave() {
+  // Releases the session, which owns this request.
+  void Abandon() {
     gone = true;
     answer = nullptr;
     decline = nullptr;
@@ -64,7 +64,7 @@
                      [self = shared_from_this()](ErrorCode error, std::size_t) { self->OnRead(error); });
   }
   void Kill() {
-    if (work_ != nullptr) work_->Leave();
+    if (work_ != nullptr) work_->Abandon();
     dead_ = true;
     Reset(socket_);
   }
@@ -78,20 +78,20 @@
     work_->id = text(net::kIdHeader);
     work_->key = text(net::kIdempotencyHeader);
     const std::string name = text(net::kClassHeader);
-    for (const WorkClass& c : owner_.classes_)
-      if (c.name == name) work_->its_class = &c;
+    for (const TrafficClass& c : owner_.classes_)
+      if (c.name == name) work_->traffic_class = &c;
     const auto self = shared_from_this();
     work_->answer = [self](Fault fault, const std::string& token) { self->Answer(fault, token); };
     work_->decline = [self] { self->Write(http::status::service_unavailable, "full", true); };
-    owner_.Take(work_);
+    owner_.Handle(work_);
   }
   void Answer(Fault fault, const std::string& token) {
-    if (dead_ || fault == Fault::kSilence) return;
+    if (dead_ || fault == Fault::kNoResponse) return;
     if (fault == Fault::kError) return Write(http::status::internal_server_error, "broken", false);
-    if (fault == Fault::kGarbage || fault == Fault::kWrongAnswer || fault == Fault::kCut) {
+    if (fault == Fault::kGarbage || fault == Fault::kWrongAnswer || fault == Fault::kTruncate) {
       ErrorCode ignored;
       const std::string text =
-          fault == Fault::kCut ? "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf" : "\1\2\3\r\n\r\n";
+          fault == Fault::kTruncate ? "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf" : "\1\2\3\r\n\r\n";
       boost::asio::write(socket_, boost::asio::buffer(text), ignored);
       return End();
     }
@@ -112,7 +112,7 @@
   }
   void End() {
     if (std::exchange(dead_, true)) return;
-    if (work_ != nullptr) work_->Leave();
+    if (work_ != nullptr) work_->Abandon();
     ErrorCode ignored;
     socket_.close(ignored);
     owner_.http_.erase(number_);
@@ -128,7 +128,7 @@
   bool dead_ = false;
 };
 
-// ---- Diameter: by hand, not by the machine under test ----
+// ---- Diameter: implemented here, independently of the peer state machine under test ----
 
 class Server::DiameterSession : public std::enable_shared_from_this<DiameterSession> {
  public:
@@ -148,7 +148,7 @@
   }
   void Kill() {
     dead_ = true;
-    for (const auto& work : std::exchange(works_, {})) work->Leave();
+    for (const auto& work : std::exchange(works_, {})) work->Abandon();
     connection_->Reset();
   }
 
@@ -159,7 +159,7 @@
     const auto* message = std::get_if<diameter::Message>(&decoded);
     if (message == nullptr) return End();
     if (message->header.application != 0 && message->header.request()) return OnRequest(*message);
-    if (owner_.heard_.size() < kMostHeard) owner_.heard_.push_back(*message);
+    if (owner_.base_messages_.size() < kMaxBaseMessages) owner_.base_messages_.push_back(*message);
     if (message->header.command == diameter::kDeviceWatchdog) ++owner_.watchdogs_;
     if (message->header.request()) {
       const bool cer = message->header.command == diameter::kCapabilitiesExchange;
@@ -180,8 +180,8 @@
     auto work = std::make_shared<Work>();
     work->id = text(map->id);
     work->key = text(map->idempotency);
-    for (const WorkClass& c : owner_.classes_)
-      if (c.name == text(map->class_name)) work->its_class = &c;
+    for (const TrafficClass& c : owner_.classes_)
+      if (c.name == text(map->class_name)) work->traffic_class = &c;
     const auto self = shared_from_this();
     work->answer = [self, request](Fault fault, const std::string& token) {
       self->Answer(request, fault, token);
@@ -191,12 +191,12 @@
           diameter::MakeError(self->owner_.identity_, request, {diameter::ResultCode::kTooBusy, {}, "full"}));
     };
     works_.push_back(work);
-    if (works_.size() > 2 * kMostHeard)
+    if (works_.size() > 2 * kMaxBaseMessages)
       std::erase_if(works_, [](const auto& w) { return w.use_count() == 1; });
-    owner_.Take(std::move(work));
+    owner_.Handle(std::move(work));
   }
   void Answer(const diameter::Message& request, Fault fault, const std::string& token) {
-    if (dead_ || fault == Fault::kSilence || owner_.mute_) return;
+    if (dead_ || fault == Fault::kNoResponse || owner_.unresponsive_) return;
     if (fault == Fault::kError)
       return Send(diameter::MakeError(owner_.identity_, request,
                                       {diameter::ResultCode::kUnableToComply, {}, "broken"}));
@@ -213,16 +213,16 @@
     more.Add(kTokenCode, token, 0, kVendor);
     answer.avps += more.bytes();
     if (fault == Fault::kWrongAnswer) ++answer.header.end_to_end;
-    if (fault == Fault::kCut) {
-      const std::string whole = diameter::Encode(answer.header, answer.avps);
-      connection_->Write(std::string_view(whole).substr(0, whole.size() / 2));
+    if (fault == Fault::kTruncate) {
+      const std::string encoded = diameter::Encode(answer.header, answer.avps);
+      connection_->Write(std::string_view(encoded).substr(0, encoded.size() / 2));
       return connection_->Close();
     }
     Send(answer);
   }
   void End() {
     if (std::exchange(dead_, true)) return;
-    for (const auto& work : std::exchange(works_, {})) work->Leave();
+    for (const auto& work : std::exchange(works_, {})) work->Abandon();
     const auto self = shared_from_this();
     connection_->Close();
     owner_.diameter_.erase(number_);
@@ -237,12 +237,12 @@
 
 // ---- The server ----
 
-Server::Server(boost::asio::io_context& io, core::Loop& loop, Ledger& ledger, DataCentre& centre,
-               const std::vector<WorkClass>& classes, const diameter::Application& application,
+Server::Server(boost::asio::io_context& io, core::Loop& loop, InvariantChecker& checker, DataCentre& centre,
+               const std::vector<TrafficClass>& classes, const diameter::Application& application,
                ServerOptions options)
     : io_(io),
       loop_(loop),
-      ledger_(ledger),
+      checker_(checker),
       centre_(centre),
       classes_(classes),
       application_(application),
@@ -256,10 +256,10 @@
   Listen();
 }
 
-Server::~Server() { Die(); }
+Server::~Server() { Crash(); }
 
 void Server::Listen() {
-  started_ = options_.cold_for > 0 ? loop_.Now() : 0;
+  started_ = options_.cold_start_time > 0 ? loop_.Now() : 0;
   identity_.state_id =
       static_cast<std::uint32_t>(loop_.Now() / 1'000'000) + static_cast<std::uint32_t>(life_);
   http_acceptor_ = std::make_unique<Tcp::acceptor>(io_, http_address_, true);
@@ -306,11 +306,11 @@
   });
 }
 
-void Server::Part(diameter::DisconnectCause cause) {
+void Server::Disconnect(diameter::DisconnectCause cause) {
   for (const auto& [number, session] : diameter_) session->Send(diameter::MakeDpr(identity_, cause));
 }
 
-void Server::Die() {
+void Server::Crash() {
   if (std::exchange(dead_, true)) return;
   ++life_;
   ErrorCode ignored;
@@ -318,54 +318,55 @@
   diameter_acceptor_->close(ignored);
   for (const auto& [number, session] : std::exchange(http_, {})) session->Kill();
   for (const auto& [number, session] : std::exchange(diameter_, {})) session->Kill();
-  for (const auto& work : std::exchange(running_, {})) ledger_.Ended(work->id);
+  for (const auto& work : std::exchange(running_, {})) checker_.OnExecutionEnd(work->id);
   queue_.clear();
   busy_ = 0;
-  borne_.clear();
-  borne_work_ = 0;
+  cold_load_.clear();
+  cold_load_sum_ = 0;
 }
 
 void Server::Restart() {
-  Die();
+  Crash();
   dead_ = false;
   Listen();
 }
 
-double Server::Warmth() const {
-  if (started_ == 0 || options_.cold_for <= 0) return 1;
-  const double age = static_cast<double>(loop_.Now() - started_) / static_cast<double>(options_.cold_for);
+double Server::WarmupFactor() const {
+  if (started_ == 0 || options_.cold_start_time <= 0) return 1;
+  const double age =
+      static_cast<double>(loop_.Now() - started_) / static_cast<double>(options_.cold_start_time);
   return std::min(1.0, options_.cold_share + (1 - options_.cold_share) * age);
 }
 
-// Counts what a cold server is sent over the window, whether it takes it or not.
-void Server::Bear(const Work& work) {
-  if (Warmth() >= 1) return;
+// Adds a request to the load of a cold server, whether it is accepted or not.
+void Server::TrackColdLoad(const Work& work) {
+  if (WarmupFactor() >= 1) return;
   const Micros now = loop_.Now();
-  borne_.emplace_back(now, work.its_class->work);
-  borne_work_ += work.its_class->work;
-  while (borne_.front().first < now - options_.fall_window) {
-    borne_work_ -= borne_.front().second;
-    borne_.pop_front();
+  cold_load_.emplace_back(now, work.traffic_class->service_time);
+  cold_load_sum_ += work.traffic_class->service_time;
+  while (cold_load_.front().first < now - options_.overload_window) {
+    cold_load_sum_ -= cold_load_.front().second;
+    cold_load_.pop_front();
   }
   const double capacity =
-      options_.cores * options_.speed * Warmth() * static_cast<double>(options_.fall_window);
-  if (static_cast<double>(borne_work_) <= options_.overload_factor * capacity) return;
-  ledger_.FellOver(options_.id);
-  borne_.clear();
-  borne_work_ = 0;
+      options_.cores * options_.speed * WarmupFactor() * static_cast<double>(options_.overload_window);
+  if (static_cast<double>(cold_load_sum_) <= options_.overload_factor * capacity) return;
+  checker_.OnOverload(options_.id);
+  cold_load_.clear();
+  cold_load_sum_ = 0;
 }
 
-void Server::Take(std::shared_ptr<Work> work) {
+void Server::Handle(std::shared_ptr<Work> work) {
   ++arrived_;
-  ledger_.Arrived(options_.id, loop_.Now());
-  if (work->its_class == nullptr || work->id.empty()) return work->decline();
-  Bear(*work);
-  work->fault = script_ ? script_(work->id, work->its_class->name) : Fault::kNone;
+  checker_.OnArrival(options_.id, loop_.Now());
+  if (work->traffic_class == nullptr || work->id.empty()) return work->decline();
+  TrackColdLoad(*work);
+  work->fault = script_ ? script_(work->id, work->traffic_class->name) : Fault::kNone;
   if (work->fault == Fault::kDecline || queue_.size() >= options_.queue) return work->decline();
   if (!work->key.empty()) {
     const auto seen = centre_.keys.find(work->key);
     if (seen != centre_.keys.end() && loop_.Now() < seen->second.at + centre_.window) {
-      const std::string token = seen->second.token;  // dropped: it is answered as the first was
+      const std::string token = seen->second.token;  // deduplicated: gets the first response
       return loop_.After(0, [work, token] { work->Answer(Fault::kNone, token); });
     }
   }
@@ -377,11 +378,11 @@
   ++busy_;
   running_.push_back(work);
   work->token = options_.id + "/" + std::to_string(++last_token_);
-  ledger_.Began(work->id, options_.id, work->token, loop_.Now());
+  checker_.OnExecutionStart(work->id, options_.id, work->token, loop_.Now());
   if (!work->key.empty()) centre_.keys[work->key] = {loop_.Now(), work->token};
-  if (work->fault == Fault::kDie) return loop_.Post([this] { Die(); });
-  const auto time =
-      static_cast<Micros>(static_cast<double>(work->its_class->work) / (options_.speed * Warmth()));
+  if (work->fault == Fault::kCrash) return loop_.Post([this] { Crash(); });
+  const auto time = static_cast<Micros>(static_cast<double>(work->traffic_class->service_time) /
+                                        (options_.speed * WarmupFactor()));
   loop_.After(time, [this, work, life = life_] {
     if (life == life_) Finish(work);
   });
@@ -390,7 +391,7 @@
 void Server::Finish(const std::shared_ptr<Work>& work) {
   --busy_;
   std::erase(running_, work);
-  ledger_.Ended(work->id);
+  checker_.OnExecutionEnd(work->id);
   work->Answer(work->fault, work->token);
   while (busy_ < options_.cores && !queue_.empty()) {
     const auto next = queue_.front();
--- a/rig/server.hpp
+++ b/rig/server.hpp
@@ -1,5 +1,5 @@
-// A stand-in activation server on loopback. It speaks HTTP and Diameter, has cores, a queue and a cold start,
-// drops repeats together with the others of its data centre, and does what a script says at the worst moment.
+// Test application server on loopback. It speaks HTTP and Diameter, simulates cores, a queue and a cold
+// start, deduplicates by idempotency key within its data centre, and injects scripted faults.
 #ifndef MERLINRUN_RIG_SERVER_HPP_
 #define MERLINRUN_RIG_SERVER_HPP_
 
@@ -17,13 +17,13 @@
 #include "core/loop.hpp"
 #include "diameter/application.hpp"
 #include "diameter/io/connection.hpp"
-#include "rig/ledger.hpp"
+#include "rig/invariant_checker.hpp"
 
 namespace merlinrun::rig {
 
 using Tcp = boost::asio::ip::tcp;
 
-// What a data centre's servers remember of keys.
+// Idempotency keys shared by the servers of a data centre.
 struct DataCentre {
   std::string name;
   Micros window = 12'000'000;
@@ -38,48 +38,51 @@
   std::string id;
   int cores = 4;
   double speed = 1;
-  std::size_t queue = 64;        // requests that wait; one more is declined
-  std::size_t connections = 76;  // one more is closed at once
-  Micros cold_for = 0;           // since it started; 0 = warm at once
+  std::size_t queue = 64;        // queued requests; further ones are declined
+  std::size_t connections = 76;  // further ones are closed at once
+  Micros cold_start_time = 0;    // warm-up time after a start; 0: warm at once
   double cold_share = 0.32;
-  double overload_factor = 4;  // more than so many times its capacity for `fall_window`, and it falls over
-  Micros fall_window = 2'000'000;
+  double overload_factor =
+      4;  // multiple of its capacity during `overload_window` that overloads a cold server
+  Micros overload_window = 2'000'000;
 };
 
 class Server {
  public:
-  // What it does with a request instead of serving it.
+  // Fault injected instead of a normal response.
   enum class Fault {
     kNone,
-    kDie,          // with the request begun, and all others that it holds
-    kSilence,      // takes it and never answers
-    kError,        // runs it and says that it failed
-    kDecline,      // does not run it
-    kWrongAnswer,  // runs it and answers with ids of no request of its connection
-    kGarbage,      // runs it and answers with noise
-    kCut,          // runs it and closes the connection with half an answer sent
+    kCrash,        // the process dies with this and all other active requests
+    kNoResponse,   // accepts the request and never responds
+    kError,        // executes it and responds with an error
+    kDecline,      // does not execute it
+    kWrongAnswer,  // executes it and responds with ids that match no request
+    kGarbage,      // executes it and responds with invalid bytes
+    kTruncate,     // executes it and closes the connection after half a response
   };
   using Script = std::function<Fault(const std::string& id, const std::string& class_name)>;
 
-  Server(boost::asio::io_context& io, core::Loop& loop, Ledger& ledger, DataCentre& centre,
-         const std::vector<WorkClass>& classes, const diameter::Application& application,
+  Server(boost::asio::io_context& io, core::Loop& loop, InvariantChecker& checker, DataCentre& centre,
+         const std::vector<TrafficClass>& classes, const diameter::Application& application,
          ServerOptions options);
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  // The process dies: connections are reset, new ones refused, what it held is gone.
-  void Die();
+  // Simulates a crash: resets connections, refuses new ones, drops active requests.
+  void Crash();
   bool dead() const { return dead_; }
-  // It starts anew at once, cold, under the same name and at the same addresses.
+  // Restarts at once, cold, with the same id and addresses.
   void Restart();
-  // Asks its Diameter peers to part.
-  void Part(diameter::DisconnectCause cause);
-  // Its Diameter side opens a connection to a sidecar.
+  // Sends a Disconnect-Peer-Request to its Diameter peers.
+  void Disconnect(diameter::DisconnectCause cause);
+  // Opens a Diameter connection to a sidecar.
   void ConnectTo(const Tcp::endpoint& sidecar);
 
   void set_script(Script script) { script_ = std::move(script); }
-  void set_mute(bool mute) { mute_ = mute; }  // Diameter: answers no request, watchdogs all the same
+  void set_unresponsive(bool unresponsive) {
+    unresponsive_ = unresponsive;
+  }  // Diameter: answers watchdogs only
 
   const ServerOptions& options() const { return options_; }
   const DataCentre& centre() const { return centre_; }
@@ -89,8 +92,8 @@
   std::uint64_t arrived() const { return arrived_; }
   std::uint64_t watchdogs() const { return watchdogs_; }
   std::size_t connections() const { return http_.size() + diameter_.size(); }
-  // Messages of its Diameter side that were no request of the application, by command, for tests.
-  const std::vector<diameter::Message>& heard() const { return heard_; }
+  // Received Diameter base protocol messages.
+  const std::vector<diameter::Message>& base_messages() const { return base_messages_; }
 
  private:
   struct Work;
@@ -100,22 +103,22 @@
   void Listen();
   void AcceptHttp();
   void AcceptDiameter();
-  void Take(std::shared_ptr<Work> work);
+  void Handle(std::shared_ptr<Work> work);
   void Run(const std::shared_ptr<Work>& work);
   void Finish(const std::shared_ptr<Work>& work);
-  void Bear(const Work& work);
-  double Warmth() const;
+  void TrackColdLoad(const Work& work);
+  double WarmupFactor() const;
 
   boost::asio::io_context& io_;
   core::Loop& loop_;
-  Ledger& ledger_;
+  InvariantChecker& checker_;
   DataCentre& centre_;
-  const std::vector<WorkClass>& classes_;
+  const std::vector<TrafficClass>& classes_;
   const diameter::Application& application_;
   const ServerOptions options_;
   diameter::Identity identity_;
   Script script_;
-  bool mute_ = false;
+  bool unresponsive_ = false;
   bool dead_ = false;
   std::uint64_t life_ = 0;
   Micros started_ = 0;
@@ -130,11 +133,11 @@
   int busy_ = 0;
   std::deque<std::shared_ptr<Work>> queue_;
   std::vector<std::shared_ptr<Work>> running_;
-  std::deque<std::pair<Micros, Micros>> borne_;  // arrival and work, while it is cold
-  Micros borne_work_ = 0;
+  std::deque<std::pair<Micros, Micros>> cold_load_;  // arrival and service time of requests while cold
+  Micros cold_load_sum_ = 0;
   std::uint64_t arrived_ = 0;
   std::uint64_t watchdogs_ = 0;
-  std::vector<diameter::Message> heard_;
+  std::vector<diameter::Message> base_messages_;
 };
 
 }  // namespace merlinrun::rig
--- a/rig/sim/core_process.cpp
+++ b/rig/sim/core_process.cpp
@@ -10,11 +10,11 @@
 
 constexpr Micros kTick = 25 * kMillisecond;
 constexpr Micros kDialTimeout = kSecond;
-constexpr Micros kDialPause = 100 * kMillisecond;
-constexpr Micros kHeldFor = kSecond;
-constexpr Micros kOpenTakes = 20 * kMillisecond;
-constexpr Micros kCheckTakes = 2 * kMillisecond;
-constexpr Micros kFlushWithin = 200 * kMillisecond;
+constexpr Micros kRedialDelay = 100 * kMillisecond;
+constexpr Micros kStableAfter = kSecond;
+constexpr Micros kOpenTime = 20 * kMillisecond;
+constexpr Micros kBackgroundTime = 2 * kMillisecond;
+constexpr Micros kFlushTimeout = 200 * kMillisecond;
 
 }  // namespace
 
@@ -27,11 +27,11 @@
       random_(settings_.incarnation),
       replica_(*this, {settings_.self, settings_.incarnation, {}}) {
   network_.Start(settings_.self, *this, settings_.incarnation);
-  Later(events_.now() + kOpenTakes, [this] { Open(); });
-  Later(events_.now() + kTick, [this] { Tick(); });
+  RunAt(events_.now() + kOpenTime, [this] { Open(); });
+  RunAt(events_.now() + kTick, [this] { Tick(); });
 }
 
-void CoreProcess::Later(Micros when, std::function<void()> what) {
+void CoreProcess::RunAt(Micros when, std::function<void()> what) {
   network_.Deliver(when, settings_.self, settings_.incarnation, std::move(what));
 }
 
@@ -44,72 +44,72 @@
   replica.seed_peers = settings_.seeds;
   replica_.Start(std::move(replica));
   if (terminated_at_ >= 0) replica_.PrepareShutdown();
-  Observe();
+  NotifyObserver();
 }
 
 void CoreProcess::Tick() {
   replica_.OnTick();
-  Observe();
-  Later(events_.now() + kTick, [this] { Tick(); });
-  EndIfDone();
+  NotifyObserver();
+  RunAt(events_.now() + kTick, [this] { Tick(); });
+  ExitIfDone();
 }
 
 void CoreProcess::Submit(control::CallKind kind, std::string body,
                          std::function<void(control::Response)> reply) {
   replica_.Submit(kind, std::move(body), std::move(reply));
-  Observe();
+  NotifyObserver();
 }
 
-// As node::Core does it.
+// Same sequence as node::Core.
 void CoreProcess::Terminate() {
   if (terminated_at_ >= 0) return;
   terminated_at_ = events_.now();
   replica_.PrepareShutdown();
 }
 
-void CoreProcess::EndIfDone() {
+void CoreProcess::ExitIfDone() {
   if (terminated_at_ < 0 || ended_) return;
   const Micros since = events_.now() - terminated_at_;
   if (replica_.HasPendingCalls() && since < 2 * kSecond) return;
-  if (!replica_.ReadyForShutdown() && since < settings_.leave_within) return;
-  if (replica_.IsLeader() && since < settings_.leave_within + kFlushWithin) return;
+  if (!replica_.ReadyForShutdown() && since < settings_.shutdown_timeout) return;
+  if (replica_.IsLeader() && since < settings_.shutdown_timeout + kFlushTimeout) return;
   ended_ = true;
   events_.At(events_.now(), observer_.on_ended);
 }
 
 // ---- disk and threads
 
-void CoreProcess::Write(const consensus::PersistentState& durable, std::uint64_t token) {
-  disk_.under_way = durable;
+void CoreProcess::Write(const consensus::PersistentState& state, std::uint64_t token) {
+  disk_.in_progress = state;
   const Micros done =
-      std::max(events_.now(), disk_.stalled_until) + disk_.write_takes + random_.Upto(disk_.write_takes / 2);
-  // The thread that writes stops with a frozen process, the disk with a stall that comes in the midst.
-  Later(done, [this, token] {
+      std::max(events_.now(), disk_.stalled_until) + disk_.write_time + random_.Upto(disk_.write_time / 2);
+  // A frozen process doesn't complete the write; a disk stall that began meanwhile restarts it.
+  RunAt(done, [this, token] {
     if (events_.now() < disk_.stalled_until) {
-      const consensus::PersistentState again = *disk_.under_way;
-      return Write(again, token);
+      const consensus::PersistentState unwritten = *disk_.in_progress;
+      return Write(unwritten, token);
     }
     const bool ok = !disk_.full;
-    if (ok) disk_.synced = disk_.under_way;
-    disk_.under_way.reset();
+    if (ok) disk_.synced = disk_.in_progress;
+    disk_.in_progress.reset();
     replica_.OnWritten(token, ok);
-    Observe();
+    NotifyObserver();
   });
 }
 
 bool CoreProcess::RunInBackground(std::function<void()> work, std::function<void()> done) {
   work();
-  Later(events_.now() + random_.Upto(kCheckTakes), [this, done = std::move(done)] {
+  RunAt(events_.now() + random_.Upto(kBackgroundTime), [this, done = std::move(done)] {
     done();
-    Observe();
+    NotifyObserver();
   });
   return true;
 }
 
 void CoreProcess::Post(std::function<void()> next) {
-  Later(events_.now(), [this, next = std::move(next)] {
+  RunAt(events_.now(), [this, next = std::move(next)] {
     next();
-    Observe();
+    NotifyObserver();
   });
 }
 
@@ -130,8 +130,8 @@
   peer.up = false;
 }
 
-void CoreProcess::SendToSidecars(const std::vector<SidecarLink>& links, const push::CoreUpdate& news) {
-  const std::string frame = transport::Pack(news);
+void CoreProcess::SendToSidecars(const std::vector<SidecarLink>& links, const push::CoreUpdate& update) {
+  const std::string frame = transport::Pack(update);
   for (const SidecarLink link : links) network_.Send(link, settings_.self, frame);
 }
 
@@ -148,7 +148,7 @@
   for (const Network::LinkId id : older) {
     incoming_.erase(id);
     network_.Close(id, settings_.self);
-    replica_.OnSidecarDown(id);  // of a core, this says nothing
+    replica_.OnSidecarDown(id);  // no effect if the link is from a core
   }
   incoming_[link] = from;
 }
@@ -165,14 +165,14 @@
   const auto it = incoming_.find(link);
   if (it == incoming_.end()) return;
   const Address from = it->second;
-  if (auto tell = from.starts_with("side") ? transport::Unpack<push::SidecarReport>(frame)
-                                           : absl::StatusOr<push::SidecarReport>(absl::NotFoundError(""));
-      tell.ok()) {
-    replica_.OnSidecarReport(link, *tell);
+  if (auto report = from.starts_with("side") ? transport::Unpack<push::SidecarReport>(frame)
+                                             : absl::StatusOr<push::SidecarReport>(absl::NotFoundError(""));
+      report.ok()) {
+    replica_.OnSidecarReport(link, *report);
   } else {
     replica_.OnPeerFrame(from, frame);
   }
-  Observe();
+  NotifyObserver();
 }
 
 void CoreProcess::OnDown(Network::LinkId link, bool refused) {
@@ -187,14 +187,14 @@
 }
 
 void CoreProcess::OnPeerDown(const Address& to, Peer& peer, bool refused) {
-  const bool held = peer.up && events_.now() - peer.up_at >= kHeldFor;
+  const bool was_stable = peer.up && events_.now() - peer.up_at >= kStableAfter;
   peer.link = 0;
   peer.up = false;
-  peer.retry_at = events_.now() + kDialPause;
-  if (held) DialPeer(to, peer);
+  peer.retry_at = events_.now() + kRedialDelay;
+  if (was_stable) DialPeer(to, peer);
   replica_.OnPeerDown(to);
   if (refused) replica_.OnPeerConnectionRefused(to);
-  Observe();
+  NotifyObserver();
 }
 
 }  // namespace fennelhollow::sim
--- a/rig/sim/core_process.hpp
+++ b/rig/sim/core_process.hpp
@@ -1,4 +1,4 @@
-// One process of a core in the simulation: the product's ControlReplica over simulated links and a disk.
+// A core process of the simulation: control::ControlReplica over a simulated network and disk.
 #ifndef FENNELHOLLOW_RIG_SIM_CORE_PROCESS_HPP_
 #define FENNELHOLLOW_RIG_SIM_CORE_PROCESS_HPP_
 
@@ -24,17 +24,17 @@
     std::uint64_t incarnation = 1;
     std::vector<Address> seeds;
     bool first_start = false;
-    Micros leave_within = 3 * kSecond;
+    Micros shutdown_timeout = 3 * kSecond;
   };
   struct Events {
-    std::function<void(const CoreProcess&)> on_step;  // something may have been committed
-    std::function<void()> on_ended;                   // after Terminate
+    std::function<void(const CoreProcess&)> on_step;  // an entry may have been committed
+    std::function<void()> on_ended;                   // shutdown after Terminate is complete
   };
 
-  // All references must outlive it.
+  // All references must outlive this object.
   CoreProcess(EventQueue& events, Network& network, Disk& disk, Settings settings, Events observer);
 
-  void Terminate();  // SIGTERM
+  void Terminate();  // Handles SIGTERM.
   void Submit(control::CallKind kind, std::string body, std::function<void(control::Response)> reply);
 
   const control::ControlReplica& replica() const { return replica_; }
@@ -49,7 +49,7 @@
 
  private:
   struct Peer {
-    Network::LinkId link = 0;  // 0 = none
+    Network::LinkId link = 0;  // 0: none
     bool up = false;
     Micros up_at = 0;
     Micros retry_at = 0;
@@ -58,20 +58,20 @@
   // control::ControlReplicaHost
   Micros Now() const override { return events_.now(); }
   bool SendToPeer(const consensus::ReplicaId& to, std::string_view frame) override;
-  void SendToSidecars(const std::vector<SidecarLink>& links, const push::CoreUpdate& news) override;
+  void SendToSidecars(const std::vector<SidecarLink>& links, const push::CoreUpdate& update) override;
   void CloseSidecar(SidecarLink link) override;
-  void Write(const consensus::PersistentState& durable, std::uint64_t token) override;
+  void Write(const consensus::PersistentState& state, std::uint64_t token) override;
   bool RunInBackground(std::function<void()> work, std::function<void()> done) override;
   std::string ControlAddress(const consensus::ReplicaId& core) const override { return core; }
   void Post(std::function<void()> next) override;
 
-  void Later(Micros when, std::function<void()> what);
+  void RunAt(Micros when, std::function<void()> what);
   void Open();
   void Tick();
-  void EndIfDone();
+  void ExitIfDone();
   void DialPeer(const Address& to, Peer& peer);
   void OnPeerDown(const Address& to, Peer& peer, bool refused);
-  void Observe() { observer_.on_step(*this); }
+  void NotifyObserver() { observer_.on_step(*this); }
 
   EventQueue& events_;
   Network& network_;
--- a/rig/sim/disk.hpp
+++ b/rig/sim/disk.hpp
@@ -1,4 +1,4 @@
-// A core's disk: what was synced stays; a write under way when the power goes is kept or lost.
+// Simulated disk of a core: synced state survives; a write in progress at a crash is kept or lost.
 #ifndef FENNELHOLLOW_RIG_SIM_DISK_HPP_
 #define FENNELHOLLOW_RIG_SIM_DISK_HPP_
 
@@ -10,22 +10,22 @@
 namespace fennelhollow::sim {
 
 struct Disk {
-  static constexpr Micros kWriteTakes = 2 * kMillisecond;  // two commits
+  static constexpr Micros kWriteTime = 2 * kMillisecond;  // two commits
 
   std::optional<consensus::PersistentState> synced;
-  std::optional<consensus::PersistentState> under_way;
-  Micros write_takes = kWriteTakes;
+  std::optional<consensus::PersistentState> in_progress;
+  Micros write_time = kWriteTime;
   Micros stalled_until = 0;
   bool full = false;
 
-  // The process ends in the midst of a write, or the power goes.
-  void CutShort(bool kept) {
-    if (kept && under_way) synced = under_way;
-    under_way.reset();
+  // The process was killed or lost power.
+  void InterruptWrite(bool kept) {
+    if (kept && in_progress) synced = in_progress;
+    in_progress.reset();
   }
-  void Lose() {
+  void Wipe() {
     synced.reset();
-    under_way.reset();
+    in_progress.reset();
   }
 };
 
--- a/rig/sim/event_queue.hpp
+++ b/rig/sim/event_queue.hpp
@@ -1,4 +1,4 @@
-// Virtual time: events in the order of their times, and of their making where these are equal.
+// Virtual time: runs events in order of time, then of insertion.
 #ifndef FENNELHOLLOW_RIG_SIM_EVENT_QUEUE_HPP_
 #define FENNELHOLLOW_RIG_SIM_EVENT_QUEUE_HPP_
 
--- a/rig/sim/network.cpp
+++ b/rig/sim/network.cpp
@@ -5,7 +5,7 @@
 namespace fennelhollow::sim {
 
 namespace {
-constexpr Micros kUserTimeout = 2 * kSecond;  // TCP_USER_TIMEOUT of the product's links
+constexpr Micros kUserTimeout = 2 * kSecond;  // TCP_USER_TIMEOUT of transport::Link
 }  // namespace
 
 // ---- processes
@@ -16,9 +16,10 @@
   m.incarnation = incarnation;
   m.powered = true;
   m.frozen_until = 0;
-  for (auto& [id, link] : links_) {  // what was held up for a machine without power finds another process
-    for (const std::size_t way : {0U, 1U}) {
-      if (!link.ways[way].queue.empty()) events_.At(events_.now(), [this, id = id, way] { Pump(id, way); });
+  for (auto& [id, link] : links_) {  // frames sent during a power loss reach the next process
+    for (const std::size_t sender : {0U, 1U}) {
+      if (!link.directions[sender].queue.empty())
+        events_.At(events_.now(), [this, id = id, sender] { DeliverDue(id, sender); });
     }
   }
 }
@@ -49,12 +50,12 @@
   machines_[machine].frozen_until = std::max(machines_[machine].frozen_until, until);
 }
 
-bool Network::Runs(const Address& machine) const {
+bool Network::IsRunning(const Address& machine) const {
   const auto it = machines_.find(machine);
   return it != machines_.end() && it->second.process != nullptr;
 }
 
-bool Network::Frozen(const Address& machine) const {
+bool Network::IsFrozen(const Address& machine) const {
   const auto it = machines_.find(machine);
   return it != machines_.end() && events_.now() < it->second.frozen_until;
 }
@@ -82,7 +83,7 @@
   return link.ends[0].machine == machine ? 0 : 1;
 }
 
-bool Network::Alive(const End& end) const {
+bool Network::IsAlive(const End& end) const {
   const auto it = machines_.find(end.machine);
   return end.open && it != machines_.end() && it->second.process != nullptr &&
          it->second.incarnation == end.incarnation;
@@ -100,16 +101,16 @@
 
 void Network::Accept(LinkId id, Micros dialled, Micros timeout) {
   const auto it = links_.find(id);
-  if (it == links_.end() || !Alive(it->second.ends[0])) return Drop(id);
+  if (it == links_.end() || !IsAlive(it->second.ends[0])) return Drop(id);
   Link& link = it->second;
   const Address from = link.ends[0].machine, to = link.ends[1].machine;
   if (Blocked(from, to) || Blocked(to, from)) {
-    events_.At(dialled + timeout, [this, id] { TellDown(id, 0, false); });
+    events_.At(dialled + timeout, [this, id] { NotifyDown(id, 0, false); });
     return;
   }
   const Machine& acceptor = machines_[to];
   if (acceptor.process == nullptr) {
-    events_.At(events_.now() + Delay(), [this, id] { TellDown(id, 0, true); });
+    events_.At(events_.now() + Delay(), [this, id] { NotifyDown(id, 0, true); });
     return;
   }
   link.ends[1].incarnation = acceptor.incarnation;
@@ -127,10 +128,10 @@
   const auto it = links_.find(id);
   if (it == links_.end()) return false;
   Link& link = it->second;
-  const std::size_t way = EndOf(link, from);
-  if (!link.ends[way].open) return false;
-  Machine& to = machines_[link.ends[1 - way].machine];
-  Direction& direction = link.ways[way];
+  const std::size_t sender = EndOf(link, from);
+  if (!link.ends[sender].open) return false;
+  Machine& to = machines_[link.ends[1 - sender].machine];
+  Direction& direction = link.directions[sender];
   Micros due = events_.now() + Delay();
   if (to.bandwidth > 0) {
     const auto takes = static_cast<Micros>(static_cast<double>(frame.size()) / to.bandwidth * 1e6);
@@ -141,34 +142,34 @@
   bytes_ += frame.size();
   largest_frame_ = std::max(largest_frame_, frame.size());
   direction.queue.emplace_back(direction.last, std::move(frame));
-  events_.At(direction.last, [this, id, way] { Pump(id, way); });
+  events_.At(direction.last, [this, id, sender] { DeliverDue(id, sender); });
   return true;
 }
 
-void Network::Pump(LinkId id, std::size_t way) {
+void Network::DeliverDue(LinkId id, std::size_t sender) {
   const auto it = links_.find(id);
   if (it == links_.end()) return;
   Link& link = it->second;
-  Direction& direction = link.ways[way];
-  const End& from = link.ends[way];
-  const End& to = link.ends[1 - way];
+  Direction& direction = link.directions[sender];
+  const End& from = link.ends[sender];
+  const End& to = link.ends[1 - sender];
   while (!direction.queue.empty() && direction.queue.front().first <= events_.now()) {
     if (Blocked(from.machine, to.machine)) {
-      if (direction.held_since >= 0) return;
-      direction.held_since = events_.now();
+      if (direction.blocked_since >= 0) return;
+      direction.blocked_since = events_.now();
       events_.At(events_.now() + kUserTimeout,
-                 [this, id, way, since = direction.held_since] { GiveUp(id, way, since); });
+                 [this, id, sender, since = direction.blocked_since] { TimeOut(id, sender, since); });
       return;
     }
-    direction.held_since = -1;
-    if (!Alive(to)) {  // another process, or none: it answers with a reset
+    direction.blocked_since = -1;
+    if (!IsAlive(to)) {  // the process is gone: the sender gets a reset
       direction.queue.clear();
-      if (!Blocked(to.machine, from.machine)) TellDown(id, way, false);
+      if (!Blocked(to.machine, from.machine)) NotifyDown(id, sender, false);
       return;
     }
     const std::string frame = std::move(direction.queue.front().second);
     direction.queue.pop_front();
-    Deliver(events_.now(), to.machine, to.incarnation, [this, id, end = 1 - way, frame] {
+    Deliver(events_.now(), to.machine, to.incarnation, [this, id, end = 1 - sender, frame] {
       const auto at = links_.find(id);
       if (at == links_.end() || !at->second.ends[end].open) return;
       machines_[at->second.ends[end].machine].process->OnFrame(id, frame);
@@ -176,15 +177,15 @@
   }
 }
 
-void Network::GiveUp(LinkId id, std::size_t way, Micros since) {
+void Network::TimeOut(LinkId id, std::size_t sender, Micros since) {
   const auto it = links_.find(id);
-  if (it == links_.end() || it->second.ways[way].held_since != since) return;
-  it->second.ways[way].queue.clear();
-  it->second.ways[way].held_since = -1;
-  TellDown(id, way, false);
+  if (it == links_.end() || it->second.directions[sender].blocked_since != since) return;
+  it->second.directions[sender].queue.clear();
+  it->second.directions[sender].blocked_since = -1;
+  NotifyDown(id, sender, false);
 }
 
-void Network::TellDown(LinkId id, std::size_t end, bool refused) {
+void Network::NotifyDown(LinkId id, std::size_t end, bool refused) {
   const auto it = links_.find(id);
   if (it == links_.end() || !it->second.ends[end].open) return;
   const End gone = it->second.ends[end];
@@ -194,22 +195,22 @@
   if (!it->second.ends[1 - end].open) Drop(id);
 }
 
-// The end `by` is gone; the other one hears of it if the way is open, else when it sends.
+// End `by` is gone; the other end learns of it now if the network lets it through, else when it next sends.
 void Network::Reset(LinkId id, std::size_t by) {
   const auto it = links_.find(id);
   if (it == links_.end()) return;
   Link& link = it->second;
   link.ends[by].open = false;
   if (Blocked(link.ends[by].machine, link.ends[1 - by].machine)) return;
-  events_.At(events_.now() + Delay(), [this, id, other = 1 - by] { TellDown(id, other, false); });
+  events_.At(events_.now() + Delay(), [this, id, other = 1 - by] { NotifyDown(id, other, false); });
 }
 
 void Network::Close(LinkId id, const Address& from) {
   const auto it = links_.find(id);
   if (it == links_.end()) return;
-  // What was sent before still arrives.
+  // Frames sent before the close still arrive.
   const std::size_t end = EndOf(it->second, from);
-  const Micros last = std::max(it->second.ways[end].last, events_.now());
+  const Micros last = std::max(it->second.directions[end].last, events_.now());
   it->second.ends[end].open = false;
   events_.At(last, [this, id, end] { Reset(id, end); });
 }
@@ -218,15 +219,15 @@
   events_.At(events_.now(), [this, id] { links_.erase(id); });
 }
 
-// ---- trouble
+// ---- faults
 
 void Network::Heal(const Address& from, const Address& to) {
   if (cuts_.erase({from, to}) == 0) return;
   for (auto& [id, link] : links_) {
-    for (const std::size_t way : {0U, 1U}) {
-      if (link.ways[way].queue.empty()) continue;
-      link.ways[way].held_since = -1;
-      events_.At(events_.now(), [this, id = id, way] { Pump(id, way); });
+    for (const std::size_t sender : {0U, 1U}) {
+      if (link.directions[sender].queue.empty()) continue;
+      link.directions[sender].blocked_since = -1;
+      events_.At(events_.now(), [this, id = id, sender] { DeliverDue(id, sender); });
     }
   }
 }
@@ -240,7 +241,7 @@
       resets.emplace_back(id, 1);
     }
   }
-  for (const auto& [id, end] : resets) TellDown(id, end, false);
+  for (const auto& [id, end] : resets) NotifyDown(id, end, false);
 }
 
 }  // namespace fennelhollow::sim
--- a/rig/sim/network.hpp
+++ b/rig/sim/network.hpp
@@ -1,5 +1,5 @@
-// Simulated machines and TCP-like links between them: delay, bandwidth, order within a link, cuts each way
-// that hold bytes up, resets, processes that are killed (reset) or lose power (silence), frozen processes.
+// Simulated machines and TCP-like links with delay, bandwidth and in-order delivery. Faults: one-way
+// partitions that hold back bytes, resets, killed processes (reset), power loss (silence), frozen processes.
 #ifndef FENNELHOLLOW_RIG_SIM_NETWORK_HPP_
 #define FENNELHOLLOW_RIG_SIM_NETWORK_HPP_
 
@@ -23,12 +23,12 @@
  public:
   using LinkId = std::uint64_t;
 
-  // What a running process is told.
+  // Callbacks to a running process.
   class Process {
    public:
     virtual ~Process() = default;
     virtual void OnAccepted(LinkId link, const Address& from) = 0;
-    virtual void OnUp(LinkId link) = 0;  // of one that it dialled
+    virtual void OnUp(LinkId link) = 0;  // of a link that it dialed
     virtual void OnFrame(LinkId link, const std::string& frame) = 0;
     virtual void OnDown(LinkId link, bool refused) = 0;
   };
@@ -38,28 +38,28 @@
   // ---- processes
 
   void Start(const Address& machine, Process& process, std::uint64_t incarnation);
-  void Kill(const Address& machine);                  // its links are reset
-  void PowerOff(const Address& machine);              // nobody is told; on again at Start
-  void Freeze(const Address& machine, Micros until);  // never shorter than it was told before
-  bool Runs(const Address& machine) const;
-  bool Frozen(const Address& machine) const;
-  // Something that happens to one incarnation of a process; while it is frozen, once it wakes.
+  void Kill(const Address& machine);                  // resets its links
+  void PowerOff(const Address& machine);              // peers are not notified; Start powers on
+  void Freeze(const Address& machine, Micros until);  // never shortens a previous freeze
+  bool IsRunning(const Address& machine) const;
+  bool IsFrozen(const Address& machine) const;
+  // Runs an event for one incarnation of a process; if it is frozen, when it resumes.
   void Deliver(Micros when, const Address& machine, std::uint64_t incarnation, std::function<void()> what);
 
-  // ---- links; all of them to be called by the process at that end
+  // ---- links; each call names the calling end
 
   LinkId Dial(const Address& from, const Address& to, Micros timeout);
   bool Send(LinkId link, const Address& from, std::string frame);
   void Close(LinkId link, const Address& from);
 
-  // ---- trouble
+  // ---- faults
 
   void Cut(const Address& from, const Address& to) { cuts_.insert({from, to}); }
   void Heal(const Address& from, const Address& to);
   bool IsCut(const Address& from, const Address& to) const { return cuts_.count({from, to}) > 0; }
   void ResetLinks(const Address& machine, double share);
   void SetDelay(Micros least, Micros spread) { delay_ = {least, spread}; }
-  // Bytes a second into this machine; 0 = no bound.
+  // Bytes per second into this machine; 0: unlimited.
   void SetBandwidth(const Address& machine, double bytes_per_s) {
     machines_[machine].bandwidth = bytes_per_s;
   }
@@ -74,12 +74,12 @@
     bool powered = true;
     Micros frozen_until = 0;
     double bandwidth = 0;
-    Micros busy_until = 0;  // its link, inwards
+    Micros busy_until = 0;  // of its inbound bandwidth
   };
   struct Direction {
-    std::deque<std::pair<Micros, std::string>> queue;  // due at
+    std::deque<std::pair<Micros, std::string>> queue;  // delivery time, frame
     Micros last = 0;
-    Micros held_since = -1;
+    Micros blocked_since = -1;
   };
   struct End {
     Address machine;
@@ -87,18 +87,18 @@
     bool open = false;
   };
   struct Link {
-    std::array<End, 2> ends;  // who dialled, who accepted
-    std::array<Direction, 2> ways;
+    std::array<End, 2> ends;  // dialer, acceptor
+    std::array<Direction, 2> directions;
   };
 
   Micros Delay();
   bool Blocked(const Address& from, const Address& to) const;
   std::size_t EndOf(const Link& link, const Address& machine) const;
-  bool Alive(const End& end) const;
+  bool IsAlive(const End& end) const;
   void Accept(LinkId id, Micros dialled, Micros timeout);
-  void Pump(LinkId id, std::size_t way);
-  void GiveUp(LinkId id, std::size_t way, Micros since);
-  void TellDown(LinkId id, std::size_t end, bool refused);
+  void DeliverDue(LinkId id, std::size_t sender);
+  void TimeOut(LinkId id, std::size_t sender, Micros since);
+  void NotifyDown(LinkId id, std::size_t end, bool refused);
   void Reset(LinkId id, std::size_t by);
   void Drop(LinkId id);
 
--- a/rig/sim/schedule.cpp
+++ b/rig/sim/schedule.cpp
@@ -16,13 +16,13 @@
     "disk_full",    "terminate",   "replace",      "replace_gone",   "kill_all",     "power_all",
     "power_on_ack", "wipe_on_ack", "sidecar_kill", "sidecar_freeze", "answers_lost", "slow_links"};
 
-// Founders that lose power before their first write are none: nothing happens before it.
+// No faults before the initial voters have made their first write.
 constexpr Micros kFirstFault = 4 * kSecond;
 
 Micros DrawLength(merlinrun::Random& random, FaultKind kind) {
   if (kind == FaultKind::kReplacePlanned) return 200 * kMillisecond + random.Upto(2 * kSecond);
   if (kind == FaultKind::kReplaceGone) return 100 * kMillisecond + random.Upto(2 * kSecond);
-  // Cut off for 20 s at most; mostly for less, so that more faults fit in.
+  // Up to 20 s, usually up to 4 s so that more faults fit into a run.
   const double most = random.Unit() < 0.15 ? 20.0 : 4.0;
   return 50 * kMillisecond + random.Upto(static_cast<Micros>(most * 1e6));
 }
@@ -48,7 +48,7 @@
     fault.at = at / kMillisecond * kMillisecond;
     fault.kind = kinds[random.Below(kinds.size())];
     fault.target = random.Unit() < 0.4 ? kAtLeader : static_cast<int>(random.Below(60));
-    fault.lasts = DrawLength(random, fault.kind) / kMillisecond * kMillisecond;
+    fault.duration = DrawLength(random, fault.kind) / kMillisecond * kMillisecond;
     schedule.faults.push_back(fault);
   }
   return schedule;
@@ -60,7 +60,7 @@
       << " operators " << schedule.operators << " length_ms " << schedule.length / kMillisecond << "\n";
   for (const Fault& fault : schedule.faults) {
     out << fault.at / kMillisecond << " " << NameOf(fault.kind) << " " << fault.target << " "
-        << fault.lasts / kMillisecond << "\n";
+        << fault.duration / kMillisecond << "\n";
   }
   return out.str();
 }
@@ -74,15 +74,15 @@
         operators >> schedule.operators >> length >> length_ms))
     return std::nullopt;
   schedule.length = length_ms * kMillisecond;
-  Micros at = 0, lasts = 0;
+  Micros at = 0, duration = 0;
   std::string name;
   Fault fault;
-  while (in >> at >> name >> fault.target >> lasts) {
+  while (in >> at >> name >> fault.target >> duration) {
     const auto kind = std::find(kNames.begin(), kNames.end(), name);
     if (kind == kNames.end()) return std::nullopt;
     fault.kind = static_cast<FaultKind>(kind - kNames.begin());
     fault.at = at * kMillisecond;
-    fault.lasts = lasts * kMillisecond;
+    fault.duration = duration * kMillisecond;
     schedule.faults.push_back(fault);
   }
   if (!in.eof()) return std::nullopt;
--- a/rig/sim/schedule.hpp
+++ b/rig/sim/schedule.hpp
@@ -1,4 +1,4 @@
-// A simulated run as a value: one seed and a list of faults give one history, byte for byte.
+// A fault schedule: the seed and the list of faults determine the history of a run exactly.
 #ifndef FENNELHOLLOW_RIG_SIM_SCHEDULE_HPP_
 #define FENNELHOLLOW_RIG_SIM_SCHEDULE_HPP_
 
@@ -13,31 +13,31 @@
 namespace fennelhollow::sim {
 
 enum class FaultKind {
-  kKill,      // SIGKILL of a core, back after `lasts`
+  kKill,      // SIGKILL of a core, restarted after `duration`
   kPower,     // a core loses power
-  kWipe,      // and its disk
-  kFreeze,    // a core stands still
-  kCutCores,  // a core is cut off from the other cores, both ways
+  kWipe,      // a core loses power and its disk
+  kFreeze,    // a core is paused
+  kCutCores,  // a core is partitioned from the other cores
   kCutAll,    // and from all sidecars
-  kCutIn,     // hears no other core
-  kCutOut,    // is not heard by any
-  kCutPair,   // one core and the next are cut off from the others
+  kCutIn,     // inbound traffic from other cores is cut
+  kCutOut,    // outbound traffic to other cores is cut
+  kCutPair,   // one core and the next are partitioned from the others
   kReset,     // half of a core's links are reset
-  kDiskSlow,  // 30 times as slow
+  kDiskSlow,  // 30 times slower
   kDiskStall,
   kDiskFull,
-  kTerminate,       // SIGTERM, starts again after `lasts`
-  kReplacePlanned,  // a new core, SIGTERM to an old one after `lasts`, which never comes back
-  kReplaceGone,     // a core goes for good, a new one comes after `lasts`
+  kTerminate,       // SIGTERM, restarted after `duration`
+  kReplacePlanned,  // a new core joins, an old one gets SIGTERM after `duration` and does not return
+  kReplaceGone,     // a core is lost for good, a new one joins after `duration`
   kKillAll,
   kPowerAll,
-  kPowerOnAck,  // the core that acknowledges next loses power
-  kWipeOnAck,   // a core loses its disk when the next acknowledgement is given
+  kPowerOnAck,  // the next core to acknowledge a change loses power
+  kWipeOnAck,   // a core loses its disk at the next acknowledgement
   kSidecarKill,
   kSidecarFreeze,
-  kAnswersLost,  // of operators
-  kSlowLinks,    // between all machines: 20 ms and more each way
-  kCount,        // not a kind
+  kResponsesLost,  // responses to operators
+  kSlowLinks,      // 20 ms and more between all machines
+  kCount,          // number of kinds
 };
 inline constexpr int kFaultKinds = static_cast<int>(FaultKind::kCount);
 const char* NameOf(FaultKind kind);
@@ -45,9 +45,8 @@
 struct Fault {
   Micros at = 0;  // from the start of the run
   FaultKind kind = FaultKind::kKill;
-  int target =
-      0;  // of the cores (or sidecars) that there are then, modulo their number; kAtLeader: the leader
-  Micros lasts = 0;
+  int target = 0;  // index into the current cores (or sidecars), modulo their number; or kAtLeader
+  Micros duration = 0;
 };
 inline constexpr int kAtLeader = -1;
 
@@ -57,13 +56,14 @@
   int sidecars = 6;
   int operators = 3;
   Micros length = 30 * kSecond;
-  std::vector<Fault> faults;  // by time
+  std::vector<Fault> faults;  // ordered by time
 };
 
-// A swarm: each seed draws which kinds of faults it has at all, then their times.
+// Generates a schedule: the seed selects a subset of fault kinds, then their times.
 Schedule Draw(std::uint64_t seed);
 
-// One line a fault, "at_ms kind target lasts_ms"; first "seed N cores N sidecars N operators N length_ms N".
+// Text format: a line "seed N cores N sidecars N operators N length_ms N", then one line per fault:
+// "at_ms kind target duration_ms".
 std::string Write(const Schedule& schedule);
 std::optional<Schedule> Read(std::string_view text);
 
--- a/rig/sim/sidecar_process.cpp
+++ b/rig/sim/sidecar_process.cpp
@@ -43,7 +43,7 @@
   Tick();
 }
 
-std::string SidecarProcess::Text() const {
+std::string SidecarProcess::DebugString() const {
   std::string text = "subscribed to " + client_.subscribed_core() + ", hears";
   for (const std::string& core : client_.ResponsiveCores(events_.now())) text += " " + core;
   text += ", knows";
@@ -53,11 +53,11 @@
 
 void SidecarProcess::Tick() {
   client_.OnTick(events_.now());
-  Relink();
+  UpdateLinks();
   network_.Deliver(events_.now() + kTick, self_, incarnation_, [this] { Tick(); });
 }
 
-void SidecarProcess::Relink() {
+void SidecarProcess::UpdateLinks() {
   const std::vector<std::string> wanted = client_.DesiredLinks(events_.now());
   for (auto it = links_.begin(); it != links_.end();) {
     if (std::find(wanted.begin(), wanted.end(), it->first) != wanted.end()) {
@@ -72,33 +72,33 @@
   }
 }
 
-const Address* SidecarProcess::CoreOf(Network::LinkId link) const {
+const Address* SidecarProcess::CoreFor(Network::LinkId link) const {
   const auto it =
       std::find_if(links_.begin(), links_.end(), [&](const auto& item) { return item.second == link; });
   return it == links_.end() ? nullptr : &it->first;
 }
 
 void SidecarProcess::OnUp(Network::LinkId link) {
-  if (const Address* core = CoreOf(link)) client_.OnLinkUp(events_.now(), Address(*core));
+  if (const Address* core = CoreFor(link)) client_.OnLinkUp(events_.now(), Address(*core));
 }
 
 void SidecarProcess::OnFrame(Network::LinkId link, const std::string& frame) {
-  const Address* core = CoreOf(link);
-  const auto news = transport::Unpack<push::CoreUpdate>(frame);
-  if (core != nullptr && news.ok()) client_.OnUpdate(events_.now(), Address(*core), *news);
+  const Address* core = CoreFor(link);
+  const auto update = transport::Unpack<push::CoreUpdate>(frame);
+  if (core != nullptr && update.ok()) client_.OnUpdate(events_.now(), Address(*core), *update);
 }
 
 void SidecarProcess::OnDown(Network::LinkId link, bool) {
-  const Address* core = CoreOf(link);
+  const Address* core = CoreFor(link);
   if (core == nullptr) return;
   const Address address = *core;
   links_.erase(address);
   client_.OnLinkDown(events_.now(), address);
 }
 
-void SidecarProcess::Send(const std::string& address, const push::SidecarReport& tell) {
+void SidecarProcess::Send(const std::string& address, const push::SidecarReport& report) {
   if (const auto it = links_.find(address); it != links_.end())
-    network_.Send(it->second, self_, transport::Pack(tell));
+    network_.Send(it->second, self_, transport::Pack(report));
 }
 
 }  // namespace fennelhollow::sim
--- a/rig/sim/sidecar_process.hpp
+++ b/rig/sim/sidecar_process.hpp
@@ -1,4 +1,4 @@
-// The control half of a sidecar in the simulation: the product's push client over simulated links.
+// The control-plane client of a sidecar in the simulation: push::Client over the simulated network.
 #ifndef FENNELHOLLOW_RIG_SIM_SIDECAR_PROCESS_HPP_
 #define FENNELHOLLOW_RIG_SIM_SIDECAR_PROCESS_HPP_
 
@@ -15,14 +15,14 @@
 
 class SidecarProcess : public Network::Process, private push::Client::Sink {
  public:
-  // `on_state`: a newer committed state (configuration::Ledger::Write) is in force here.
+  // `on_state`: a newer committed state (configuration::ReplicatedState) was applied.
   SidecarProcess(EventQueue& events, Network& network, Address self, std::uint64_t incarnation,
                  std::vector<Address> seeds,
                  std::function<void(std::uint64_t entry, const std::string& state)> on_state);
 
   std::uint64_t entry() const { return client_.entry(); }
-  // For messages: whom it takes news from, and which cores it hears and knows.
-  std::string Text() const;
+  // For messages: its subscription and the cores that it hears and knows.
+  std::string DebugString() const;
 
   // Network::Process
   void OnAccepted(Network::LinkId, const Address&) override {}
@@ -32,15 +32,17 @@
 
  private:
   // push::Client::Sink
-  void Send(const std::string& address, const push::SidecarReport& tell) override;
-  void OnState(std::uint64_t entry, const std::string& ledger) override { on_state_(entry, ledger); }
+  void Send(const std::string& address, const push::SidecarReport& report) override;
+  void OnState(std::uint64_t entry, const std::string& committed_state) override {
+    on_state_(entry, committed_state);
+  }
   void OnSnapshot(const registry::Snapshot&, std::size_t, std::size_t) override {}
   void OnShares(const std::vector<quota::Share>&, Micros) override {}
   void OnCores(const std::vector<std::string>&) override {}
 
   void Tick();
-  void Relink();
-  const Address* CoreOf(Network::LinkId link) const;
+  void UpdateLinks();
+  const Address* CoreFor(Network::LinkId link) const;
 
   EventQueue& events_;
   Network& network_;
--- a/rig/soak/cluster.cpp
+++ b/rig/soak/cluster.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr int kServerSlots = 4;
-constexpr milliseconds kLeastWork{20}, kMostWork{60};
-constexpr milliseconds kStatusWithin{500};
-// Runs side by side have networks of their own: 127.16.0.* to 127.255.255.*.
+constexpr milliseconds kMinServiceTime{20}, kMaxServiceTime{60};
+constexpr milliseconds kStatusTimeout{500};
+// Concurrent runs use networks of their own, 127.16.0.* to 127.255.255.*.
 constexpr std::uint64_t kFirstNetwork = 16, kNetworks = 240;
 constexpr std::size_t kFirstHost = 11;
 
@@ -22,11 +22,11 @@
 
 }  // namespace
 
-Cluster::Cluster(asio::io_context& io, Options options, Ledger& ledger)
-    : io_(io), options_(std::move(options)), ledger_(ledger) {}
+Cluster::Cluster(asio::io_context& io, Options options, ConsistencyChecker& checker)
+    : io_(io), options_(std::move(options)), checker_(checker) {}
 
 Cluster::~Cluster() {
-  for (const auto& server : servers_) server->Die();
+  for (const auto& server : servers_) server->Crash();
   nodes_.clear();
   std::error_code ignored;
   if (!folder_.empty()) std::filesystem::remove_all(folder_, ignored);
@@ -61,7 +61,7 @@
     nodes_.push_back(std::make_unique<NodeProcess>(node));
   }
   network_ = std::make_unique<RelayNetwork>(io_, machines);
-  wanted_.assign(count, true);
+  should_run_.assign(count, true);
   for (const auto& node : nodes_)
     if (!node->Start()) return false;
   servers_.resize(options_.sidecars);
@@ -76,51 +76,54 @@
   server.address = this->sidecar(sidecar).application();
   server.control = this->sidecar(sidecar).control();
   server.slots = kServerSlots;
-  server.least_work = kLeastWork;
-  server.most_work = kMostWork;
+  server.min_service_time = kMinServiceTime;
+  server.max_service_time = kMaxServiceTime;
   servers_[sidecar] = std::make_shared<Server>(io_, server, runs_);
-  servers_[sidecar]->SlowDown(slow_down_);
+  servers_[sidecar]->SlowDown(slowdown_);
   servers_[sidecar]->Start();
 }
 
 void Cluster::Kill(std::size_t machine) {
-  wanted_[machine] = false;
+  should_run_[machine] = false;
   nodes_[machine]->Kill();
 }
 
 void Cluster::Restart(std::size_t machine) {
-  if (wanted_[machine]) return;
-  wanted_[machine] = true;
-  if (!nodes_[machine]->Start()) ledger_.Fault(nodes_[machine]->name() + " can't be started again");
+  if (should_run_[machine]) return;
+  should_run_[machine] = true;
+  if (!nodes_[machine]->Start())
+    checker_.ReportViolation(nodes_[machine]->name() + " could not be restarted");
 }
 
 void Cluster::ReplaceServer(std::size_t sidecar) {
-  servers_[sidecar]->Die();
+  servers_[sidecar]->Crash();
   StartServer(sidecar);
 }
 
 void Cluster::SlowDownServers(int times) {
-  slow_down_ = times;
+  slowdown_ = times;
   for (const auto& server : servers_) server->SlowDown(times);
 }
 
-double Cluster::RunsPerSecond() const {
-  const double run_s = std::chrono::duration<double>(kLeastWork + kMostWork).count() / 2 * slow_down_;
-  return static_cast<double>(servers_.size()) * kServerSlots / run_s;
+double Cluster::CapacityPerSecond() const {
+  const double service_time_s =
+      std::chrono::duration<double>(kMinServiceTime + kMaxServiceTime).count() / 2 * slowdown_;
+  return static_cast<double>(servers_.size()) * kServerSlots / service_time_s;
 }
 
 void Cluster::CheckProcesses() {
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    if (!wanted_[i] || !nodes_[i]->Ended()) continue;
-    wanted_[i] = false;
-    ledger_.Fault(nodes_[i]->name() + " ended by itself, status " + std::to_string(nodes_[i]->status()));
+    if (!should_run_[i] || !nodes_[i]->Ended()) continue;
+    should_run_[i] = false;
+    checker_.ReportViolation(nodes_[i]->name() + " exited unexpectedly with status " +
+                             std::to_string(nodes_[i]->status()));
   }
 }
 
 asio::awaitable<std::optional<nlohmann::json>> Cluster::StatusOf(std::size_t machine) {
-  Caller caller(io_, nodes_[machine]->control());
-  const auto answer =
-      co_await caller.Call(MakeRequest(http::verb::get, "/-/Status", caller.address().Text()), kStatusWithin);
+  HttpConnection connection(io_, nodes_[machine]->control());
+  const auto answer = co_await connection.Call(
+      MakeRequest(http::verb::get, "/-/Status", connection.address().Text()), kStatusTimeout);
   if (!answer || answer->result_int() != 200) co_return std::nullopt;
   auto status = nlohmann::json::parse(answer->body(), nullptr, false);
   if (!status.is_object()) co_return std::nullopt;
--- a/rig/soak/cluster.hpp
+++ b/rig/soak/cluster.hpp
@@ -1,5 +1,4 @@
-// The machines of a soak run: cores, sidecars with a stand-in server beside each, and the network between
-// them.
+// The nodes of a soak run: cores, sidecars with a test server beside each, and the network between them.
 #ifndef FENNELHOLLOW_RIG_SOAK_CLUSTER_HPP_
 #define FENNELHOLLOW_RIG_SOAK_CLUSTER_HPP_
 
@@ -15,7 +14,7 @@
 #include "rig/mesh/node_process.hpp"
 #include "rig/mesh/server.hpp"
 #include "rig/mesh/shop.hpp"
-#include "rig/soak/ledger.hpp"
+#include "rig/soak/consistency_checker.hpp"
 #include "rig/soak/relay_network.hpp"
 
 namespace fennelhollow::rig::soak {
@@ -29,12 +28,12 @@
     std::size_t sidecars = 6;
   };
 
-  Cluster(asio::io_context& io, Options options, Ledger& ledger);
+  Cluster(asio::io_context& io, Options options, ConsistencyChecker& checker);
   ~Cluster();
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
-  // False: no ports, folder or process is to be had.
+  // False if ports, the directory or a process are not available.
   bool Start();
   std::size_t cores() const { return options_.cores; }
   std::size_t sidecars() const { return options_.sidecars; }
@@ -43,20 +42,20 @@
   NodeProcess& sidecar(std::size_t i) { return node(cores() + i); }
   RelayNetwork& network() { return *network_; }
 
-  // Ends a process by SIGKILL and starts it again.
+  // Kills a process with SIGKILL; Restart starts it again.
   void Kill(std::size_t machine);
   void Restart(std::size_t machine);
-  // The server beside a sidecar dies and says nothing; another one starts in its place.
+  // Crashes the server beside a sidecar and starts another one in its place.
   void ReplaceServer(std::size_t sidecar);
   void SlowDownServers(int times);
-  // What all servers together can run.
-  double RunsPerSecond() const;
-  // Processes that ended though nobody ended them are faults.
+  // Requests per second that all servers together can serve.
+  double CapacityPerSecond() const;
+  // Reports processes that exited on their own as violations.
   void CheckProcesses();
 
   asio::awaitable<std::optional<nlohmann::json>> StatusOf(std::size_t machine);
-  const Runs& runs() const { return runs_; }
-  // The ends of all logs, for people.
+  const ExecutionCounts& runs() const { return runs_; }
+  // The end of each node's log.
   std::string Logs() const;
 
  private:
@@ -64,15 +63,15 @@
 
   asio::io_context& io_;
   const Options options_;
-  Ledger& ledger_;
+  ConsistencyChecker& checker_;
   std::filesystem::path folder_;
   std::vector<std::unique_ptr<NodeProcess>> nodes_;
-  std::vector<bool> wanted_;  // that are to run
+  std::vector<bool> should_run_;  // by node; false while it is down by injection
   std::unique_ptr<RelayNetwork> network_;
   std::vector<std::shared_ptr<Server>> servers_;  // by sidecar
   int server_count_ = 0;
-  int slow_down_ = 1;
-  Runs runs_;
+  int slowdown_ = 1;
+  ExecutionCounts runs_;
 };
 
 }  // namespace fennelhollow::rig::soak
--- a/rig/soak/main.cpp
+++ b/rig/soak/main.cpp
@@ -1,10 +1,10 @@
-// fennelhollow_soak: real processes of the mesh on loopback under drawn faults, judged by a ledger. Exit
-// status: 0 if nothing was broken, 1 if something was, 2 for arguments that make no sense.
+// fennelhollow_soak: runs node processes on loopback under random faults and checks their guarantees. Exit
+// status: 0: no violation, 1: violations, 2: invalid arguments.
 //
 //   fennelhollow_soak PROGRAM [--seed N] [--for SECONDS] [--seeds COUNT] [--jobs N] [--verbose]
 //
-// --seed repeats a run: the same faults are drawn at the same times. The processes' own timing is real, so
-// what comes of them may differ. --seeds plays so many from that one on, --jobs of them side by side.
+// --seed determines the faults and their times; the timing of the processes is real, so results may differ.
+// --seeds runs several seeds, counting up from the first, --jobs of them concurrently.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -24,7 +24,7 @@
 using fennelhollow::rig::soak::Run;
 using fennelhollow::rig::soak::RunOptions;
 
-// Eleven processes a run: 200 at most.
+// About eleven processes per run.
 constexpr std::uint64_t kMostJobs = 16;
 
 struct Arguments {
@@ -48,7 +48,7 @@
   for (int i = 2; i < argc; ++i) {
     const std::string_view name = argv[i];
     if (name == "--verbose") {
-      out.run.talkative = true;
+      out.run.verbose = true;
       continue;
     }
     const auto value = i + 1 < argc ? Number(argv[++i]) : std::nullopt;
@@ -67,15 +67,15 @@
   return out;
 }
 
-// Each run is a process of its own. The number of broken ones.
+// Forks a process for each run. Returns the number of failed ones.
 int PlayAll(const Arguments& arguments) {
   std::uint64_t running = 0;
-  int broken = 0;
+  int failed_runs = 0;
   const auto wait = [&] {
     int status = 0;
     ::wait(&status);
     --running;
-    if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) ++broken;
+    if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) ++failed_runs;
   };
   for (std::uint64_t i = 0; i < arguments.seeds; ++i) {
     while (running >= arguments.jobs) wait();
@@ -91,7 +91,7 @@
     ++running;
   }
   while (running > 0) wait();
-  return broken;
+  return failed_runs;
 }
 
 }  // namespace
@@ -107,7 +107,7 @@
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   std::signal(SIGPIPE, SIG_IGN);
   if (arguments->seeds == 1) return Run(arguments->run) ? 0 : 1;
-  const int broken = PlayAll(*arguments);
-  std::printf("%lu runs, %d broken\n", arguments->seeds, broken);
-  return broken == 0 ? 0 : 1;
+  const int failed_runs = PlayAll(*arguments);
+  std::printf("%lu runs, %d failed\n", arguments->seeds, failed_runs);
+  return failed_runs == 0 ? 0 : 1;
 }
