--- a/rig/soak/operators.cpp
+++ b/rig/soak/operators.cpp
@@ -8,23 +8,23 @@
 namespace fennelhollow::rig::soak {
 namespace {
 
-constexpr milliseconds kCallWithin{1000}, kReadWithin{1000};
-constexpr milliseconds kFirstPause{50}, kLongestPause{400};
+constexpr milliseconds kCallTimeout{1000}, kReadTimeout{1000};
+constexpr milliseconds kMinBackoff{50}, kMaxBackoff{400};
 constexpr milliseconds kGiveUpAfter{25'000};
-constexpr milliseconds kBeginWithin{15'000};
-constexpr milliseconds kReadEvery{300};
-constexpr int kChangePauseMs = 900;  // drawn up to this
+constexpr milliseconds kBeginTimeout{15'000};
+constexpr milliseconds kReadInterval{300};
+constexpr int kChangePauseMs = 900;  // upper bound of a random pause
 constexpr int kOperators = 2;
 constexpr int kRedirects = 2;
-// An operator hears nothing of so many of the answers, and sends the same call again.
-constexpr double kAnswersLost = 0.2;
-constexpr double kRepeatTaken = 0.1;
-constexpr std::size_t kMostAdded = 10;
-// Of these, so many of the newest are in no change's way.
-constexpr std::size_t kLasting = 4;
+// Share of responses that an operator ignores, so that it sends the same call again.
+constexpr double kResponseLoss = 0.2;
+constexpr double kResendShare = 0.1;
+constexpr std::size_t kMaxAddedRoutes = 10;
+// Changes remove the oldest routes, never one of these newest ones.
+constexpr std::size_t kStableRoutes = 4;
 constexpr const char* kReadPath = "/-/Configuration.Read";
 
-// As operators add routes: no aim, no priority, no timeout.
+// With default target latency, priority and timeout.
 nlohmann::json AddedRoute(const std::string& name) {
   return ConfigurationItem("routes", name,
                            {{"host", kHost},
@@ -34,9 +34,11 @@
                             {"attempts", 2}});
 }
 
-Ledger::Routes SetOf(const std::vector<std::string>& names) { return {names.begin(), names.end()}; }
+ConsistencyChecker::Routes SetOf(const std::vector<std::string>& names) {
+  return {names.begin(), names.end()};
+}
 
-// The text before the path of an absolute address, without its scheme: ip:port.
+// The ip:port part of an absolute URL.
 std::string HostOf(const std::string& location) {
   const auto begin = location.find("//");
   if (begin == std::string::npos) return {};
@@ -45,50 +47,52 @@
 
 }  // namespace
 
-Operators::Operators(asio::io_context& io, Cluster& cluster, Ledger& ledger, std::uint64_t seed)
-    : io_(io), cluster_(cluster), ledger_(ledger), random_(seed) {}
+Operators::Operators(asio::io_context& io, Cluster& cluster, ConsistencyChecker& checker, std::uint64_t seed)
+    : io_(io), cluster_(cluster), checker_(checker), random_(seed) {}
 
-asio::awaitable<bool> Operators::Begin() {
+asio::awaitable<bool> Operators::ApplyFirstConfiguration() {
   Change first;
   first.version = 3;
   first.path = "/-/Configuration.Replace";
   first.body = FirstConfiguration().dump();
-  const Ledger::Routes no_added_routes;
-  ledger_.OnSent(first.version, first.base, no_added_routes);
-  const auto until = Clock::now() + kBeginWithin;
+  const ConsistencyChecker::Routes no_added_routes;
+  checker_.OnSent(first.version, first.base, no_added_routes);
+  const auto until = Clock::now() + kBeginTimeout;
   while (Clock::now() < until) {
     const unsigned status = co_await Call(first, random_() % cluster_.cores());
     if (status == 200) {
-      OnTaken(first);
+      OnChangeAcknowledged(first);
       co_return true;
     }
-    co_await Sleep(io_, kFirstPause);
+    co_await Sleep(io_, kMinBackoff);
   }
   co_return false;
 }
 
 void Operators::Start() {
-  for (int i = 0; i < kOperators; ++i) asio::co_spawn(io_, Operate(i), asio::detached);
-  for (std::size_t i = 0; i < cluster_.cores(); ++i) asio::co_spawn(io_, ReadOn(i), asio::detached);
+  for (int i = 0; i < kOperators; ++i) asio::co_spawn(io_, RunOperator(i), asio::detached);
+  for (std::size_t i = 0; i < cluster_.cores(); ++i) asio::co_spawn(io_, ReadPeriodically(i), asio::detached);
 }
 
-Operators::Known Operators::KnownAfter(const Change& change) { return {change.version, change.added}; }
+Operators::ConfigurationView Operators::ViewAfter(const Change& change) {
+  return {change.version, change.added};
+}
 
-void Operators::OnTaken(const Change& change) {
-  ledger_.OnAcknowledged(change.version);
+void Operators::OnChangeAcknowledged(const Change& change) {
+  checker_.OnAcknowledged(change.version);
   last_acknowledged_ = Clock::now();
   if (change.version > newest_.version) newest_ = {change.version, change.added};
 }
 
-std::vector<std::string> Operators::LastingRoutes() const {
+std::vector<std::string> Operators::StableRoutes() const {
   const auto& added = newest_.added;
-  return {added.end() - static_cast<std::ptrdiff_t>(std::min(added.size(), kLasting)), added.end()};
+  return {added.end() - static_cast<std::ptrdiff_t>(std::min(added.size(), kStableRoutes)), added.end()};
 }
 
-Operators::Change Operators::NextChange(const Known& base, int number) {
+Operators::Change Operators::NextChange(const ConfigurationView& base, int number) {
   Change change;
   change.base = base.version;
-  // In uneven steps, and never the other operator's number.
+  // Skips version numbers; the last digit is unique to each operator.
   change.version = (base.version / 10 + 1 + static_cast<std::int64_t>(random_() % 2)) * 10 + number;
   change.added = base.added;
   const std::string name = "added-" + std::to_string(change.version);
@@ -96,7 +100,7 @@
   nlohmann::json body = {{"version", change.version},
                          {"baseVersion", change.base},
                          {"upsert", {{"resourceList", {AddedRoute(name)}}}}};
-  if (change.added.size() > kMostAdded) {
+  if (change.added.size() > kMaxAddedRoutes) {
     body["remove"] = {{"routes", {change.added.front()}}};
     change.added.erase(change.added.begin());
   }
@@ -105,41 +109,41 @@
   return change;
 }
 
-asio::awaitable<void> Operators::Operate(int number) {
+asio::awaitable<void> Operators::RunOperator(int number) {
   ++running_;
-  std::optional<Known> known = newest_;
+  std::optional<ConfigurationView> known = newest_;
   while (!stopped_) {
     co_await Sleep(io_, milliseconds(random_() % kChangePauseMs));
-    if (!known) known = co_await ReadFromAny();
+    if (!known) known = co_await ReadFromAnyCore();
     if (!known) continue;
     const Change change = NextChange(*known, number);
-    ledger_.OnSent(change.version, change.base, SetOf(change.added));
+    checker_.OnSent(change.version, change.base, SetOf(change.added));
     const Outcome outcome = co_await Send(change);
     known.reset();
-    if (outcome == Outcome::kTaken) known = KnownAfter(change);
+    if (outcome == Outcome::kAcknowledged) known = ViewAfter(change);
   }
   --running_;
 }
 
 asio::awaitable<Operators::Outcome> Operators::Send(const Change& change) {
   const auto until = Clock::now() + kGiveUpAfter;
-  milliseconds pause = kFirstPause;
-  bool taken = false;  // an answer said so, whether it was heard or not
+  milliseconds backoff = kMinBackoff;
+  bool acknowledged = false;  // even if the response was ignored
   while (Clock::now() < until && !stopped_) {
     const unsigned status = co_await Call(change, random_() % cluster_.cores());
-    const bool heard = Unit() >= kAnswersLost;
-    if (taken) ledger_.OnRepeated(change.version, status);
+    const bool received = UniformRandom() >= kResponseLoss;
+    if (acknowledged) checker_.OnResent(change.version, status);
     if (status == 200) {
-      taken = true;
-      OnTaken(change);
-      if (heard && Unit() >= kRepeatTaken) co_return Outcome::kTaken;
-    } else if (heard && status / 100 == 4 && status != 408 && status != 429) {
-      co_return taken ? Outcome::kTaken : Outcome::kRefused;
+      acknowledged = true;
+      OnChangeAcknowledged(change);
+      if (received && UniformRandom() >= kResendShare) co_return Outcome::kAcknowledged;
+    } else if (received && status / 100 == 4 && status != 408 && status != 429) {
+      co_return acknowledged ? Outcome::kAcknowledged : Outcome::kRefused;
     }
-    co_await Sleep(io_, pause);
-    pause = std::min(2 * pause, kLongestPause);
+    co_await Sleep(io_, backoff);
+    backoff = std::min(2 * backoff, kMaxBackoff);
   }
-  co_return taken ? Outcome::kTaken : Outcome::kUnclear;
+  co_return acknowledged ? Outcome::kAcknowledged : Outcome::kUnknown;
 }
 
 asio::awaitable<unsigned> Operators::Call(const Change& change, std::size_t core) {
@@ -150,9 +154,9 @@
     Address address;
     address.ip = at.substr(0, colon);
     address.port = static_cast<std::uint16_t>(std::stoi(at.substr(colon + 1)));
-    Caller caller(io_, address);
+    HttpConnection connection(io_, address);
     const auto answer =
-        co_await caller.Call(MakeRequest(http::verb::post, change.path, at, change.body), kCallWithin);
+        co_await connection.Call(MakeRequest(http::verb::post, change.path, at, change.body), kCallTimeout);
     if (!answer) co_return 0;
     if (answer->result_int() != 307) co_return answer->result_int();
     at = HostOf(std::string((*answer)[http::field::location]));
@@ -160,18 +164,18 @@
   co_return 0;
 }
 
-asio::awaitable<std::optional<Operators::Known>> Operators::ReadFrom(std::size_t core) {
-  Caller caller(io_, cluster_.node(core).control());
+asio::awaitable<std::optional<Operators::ConfigurationView>> Operators::ReadFrom(std::size_t core) {
+  HttpConnection connection(io_, cluster_.node(core).control());
   const auto sent = Clock::now();
-  const auto answer =
-      co_await caller.Call(MakeRequest(http::verb::get, kReadPath, caller.address().Text()), kReadWithin);
+  const auto answer = co_await connection.Call(
+      MakeRequest(http::verb::get, kReadPath, connection.address().Text()), kReadTimeout);
   if (!answer || answer->result_int() != 200) co_return std::nullopt;
   const auto read = nlohmann::json::parse(answer->body(), nullptr, false);
   if (!read.is_object()) {
-    ledger_.Fault(cluster_.node(core).name() + " answered a read with what is no configuration");
+    checker_.ReportViolation(cluster_.node(core).name() + " answered a read with an invalid configuration");
     co_return std::nullopt;
   }
-  Known known;
+  ConfigurationView known;
   known.version = read.value("version", std::int64_t{0});
   for (const auto& item : read.value("resourceList", nlohmann::json::array())) {
     const std::string name = item["metadata"].value("name", "");
@@ -181,18 +185,18 @@
   std::sort(known.added.begin(), known.added.end(), [](const std::string& a, const std::string& b) {
     return a.size() != b.size() ? a.size() < b.size() : a < b;
   });
-  ledger_.OnRead(cluster_.node(core).name(), sent, known.version, SetOf(known.added));
+  checker_.OnRead(cluster_.node(core).name(), sent, known.version, SetOf(known.added));
   co_return known;
 }
 
-asio::awaitable<std::optional<Operators::Known>> Operators::ReadFromAny() {
+asio::awaitable<std::optional<Operators::ConfigurationView>> Operators::ReadFromAnyCore() {
   co_return co_await ReadFrom(random_() % cluster_.cores());
 }
 
-asio::awaitable<void> Operators::ReadOn(std::size_t core) {
+asio::awaitable<void> Operators::ReadPeriodically(std::size_t core) {
   ++running_;
   while (!stopped_) {
-    co_await Sleep(io_, kReadEvery);
+    co_await Sleep(io_, kReadInterval);
     co_await ReadFrom(core);
   }
   --running_;
--- a/rig/soak/operators.hpp
+++ b/rig/soak/operators.hpp
@@ -1,5 +1,5 @@
-// Operators of a soak run: two that change the configuration at once, lose answers and repeat their calls,
-// and readers that ask every core for it.
+// Operators of a soak run: two change the configuration concurrently and repeat calls whose response they
+// ignore; readers poll the configuration of every core.
 #ifndef FENNELHOLLOW_RIG_SOAK_OPERATORS_HPP_
 #define FENNELHOLLOW_RIG_SOAK_OPERATORS_HPP_
 
@@ -10,33 +10,33 @@
 #include <vector>
 
 #include "rig/soak/cluster.hpp"
-#include "rig/soak/ledger.hpp"
+#include "rig/soak/consistency_checker.hpp"
 
 namespace fennelhollow::rig::soak {
 
 class Operators {
  public:
-  // A configuration as an operator knows it.
-  struct Known {
+  // A configuration as seen by an operator.
+  struct ConfigurationView {
     std::int64_t version = 0;
     std::vector<std::string> added;  // names of the added routes, oldest first
   };
 
-  Operators(asio::io_context& io, Cluster& cluster, Ledger& ledger, std::uint64_t seed);
+  Operators(asio::io_context& io, Cluster& cluster, ConsistencyChecker& checker, std::uint64_t seed);
 
-  // The first configuration; false if it is not taken.
-  asio::awaitable<bool> Begin();
-  // Until Stop.
+  // Sends the first configuration; false if it is not acknowledged.
+  asio::awaitable<bool> ApplyFirstConfiguration();
+  // Runs until Stop.
   void Start();
   void Stop() { stopped_ = true; }
   bool ended() const { return running_ == 0; }
 
-  // Reads from one core alone.
-  asio::awaitable<std::optional<Known>> ReadFrom(std::size_t core);
-  // The newest that was acknowledged, and its added routes that no change under way removes.
-  const Known& newest() const { return newest_; }
-  std::vector<std::string> LastingRoutes() const;
-  // Acknowledged changes, counted, and when the last one was.
+  // Reads from this core.
+  asio::awaitable<std::optional<ConfigurationView>> ReadFrom(std::size_t core);
+  // The newest acknowledged configuration, and those of its added routes that no pending change removes.
+  const ConfigurationView& newest() const { return newest_; }
+  std::vector<std::string> StableRoutes() const;
+  // Time of the last acknowledged change.
   Clock::time_point last_acknowledged() const { return last_acknowledged_; }
 
  private:
@@ -46,24 +46,24 @@
     std::vector<std::string> added;
     std::string path, body;
   };
-  enum class Outcome { kTaken, kRefused, kUnclear };
+  enum class Outcome { kAcknowledged, kRefused, kUnknown };
 
-  asio::awaitable<void> Operate(int number);
-  asio::awaitable<void> ReadOn(std::size_t core);
-  asio::awaitable<std::optional<Known>> ReadFromAny();
+  asio::awaitable<void> RunOperator(int number);
+  asio::awaitable<void> ReadPeriodically(std::size_t core);
+  asio::awaitable<std::optional<ConfigurationView>> ReadFromAnyCore();
   asio::awaitable<Outcome> Send(const Change& change);
-  // The status, 0 for no clear answer. Follows redirects.
+  // Returns the status, 0 without a response. Follows redirects.
   asio::awaitable<unsigned> Call(const Change& change, std::size_t core);
-  Change NextChange(const Known& base, int number);
-  static Known KnownAfter(const Change& change);
-  void OnTaken(const Change& change);
-  double Unit() { return std::uniform_real_distribution<double>()(random_); }
+  Change NextChange(const ConfigurationView& base, int number);
+  static ConfigurationView ViewAfter(const Change& change);
+  void OnChangeAcknowledged(const Change& change);
+  double UniformRandom() { return std::uniform_real_distribution<double>()(random_); }
 
   asio::io_context& io_;
   Cluster& cluster_;
-  Ledger& ledger_;
+  ConsistencyChecker& checker_;
   std::mt19937_64 random_;
-  Known newest_;
+  ConfigurationView newest_;
   Clock::time_point last_acknowledged_;
   int running_ = 0;
   bool stopped_ = false;
--- a/rig/soak/relay_network.cpp
+++ b/rig/soak/relay_network.cpp
@@ -15,11 +15,11 @@
 namespace {
 
 using Error = boost::system::error_code;
-using merlinrun::rig::Link;
+using merlinrun::rig::FaultProxy;
 
-// Of a frame: four bytes, big endian.
+// Length prefix of a frame, big endian.
 constexpr std::size_t kLengthBytes = 4;
-constexpr std::size_t kMostHello = 4096;
+constexpr std::size_t kMaxHelloBytes = 4096;
 
 auto Into(Error& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
@@ -33,7 +33,7 @@
 
 struct RelayNetwork::Connection {
   explicit Connection(Tcp::socket accepted) : near(std::move(accepted)), far(near.get_executor()) {}
-  void End() {
+  void ResetBoth() {
     Reset(near);
     Reset(far);
   }
@@ -50,35 +50,35 @@
 
 RelayNetwork::~RelayNetwork() = default;
 
-Link::Mode RelayNetwork::ModeOf(const Way& way) const {
-  const bool requests_lost = lost_.contains(way);
-  const bool answers_lost = lost_.contains({way.second, way.first});
-  if (requests_lost && answers_lost) return Link::Mode::kSwallow;
-  if (requests_lost) return Link::Mode::kMute;
-  return answers_lost ? Link::Mode::kDeaf : Link::Mode::kPass;
+FaultProxy::Mode RelayNetwork::ModeOf(const Direction& direction) const {
+  const bool requests_dropped = dropped_.contains(direction);
+  const bool responses_dropped = dropped_.contains({direction.second, direction.first});
+  if (requests_dropped && responses_dropped) return FaultProxy::Mode::kBlackhole;
+  if (requests_dropped) return FaultProxy::Mode::kDropRequests;
+  return responses_dropped ? FaultProxy::Mode::kDropResponses : FaultProxy::Mode::kPass;
 }
 
-Link& RelayNetwork::LinkOf(const Way& way) {
-  auto& link = links_[way];
-  if (link == nullptr) {
-    const Tcp::endpoint target = machines_[way.second].listens.Endpoint();
-    link = std::make_unique<Link>(io_, [target] { return target; });
-    link->Set(ModeOf(way));
+FaultProxy& RelayNetwork::ProxyFor(const Direction& direction) {
+  auto& proxy = proxies_[direction];
+  if (proxy == nullptr) {
+    const Tcp::endpoint target = machines_[direction.second].listens.Endpoint();
+    proxy = std::make_unique<FaultProxy>(io_, [target] { return target; });
+    proxy->Set(ModeOf(direction));
   }
-  return *link;
+  return *proxy;
 }
 
 void RelayNetwork::Update(std::size_t one, std::size_t other) {
-  for (const Way& way : {Way{one, other}, Way{other, one}})
-    if (const auto it = links_.find(way); it != links_.end()) it->second->Set(ModeOf(way));
+  for (const Direction& direction : {Direction{one, other}, Direction{other, one}})
+    if (const auto it = proxies_.find(direction); it != proxies_.end()) it->second->Set(ModeOf(direction));
 }
 
-void RelayNetwork::Lose(std::size_t from, std::size_t to) {
-  if (lost_.insert({from, to}).second) Update(from, to);
+void RelayNetwork::Drop(std::size_t from, std::size_t to) {
+  if (dropped_.insert({from, to}).second) Update(from, to);
 }
 
 void RelayNetwork::Restore(std::size_t from, std::size_t to) {
-  if (lost_.erase({from, to}) > 0) Update(from, to);
+  if (dropped_.erase({from, to}) > 0) Update(from, to);
 }
 
 asio::awaitable<void> RelayNetwork::Accept(std::size_t machine) {
@@ -93,9 +93,9 @@
 
 namespace {
 
-// One direction, until its end; the other side is told of it.
-asio::awaitable<void> Pump(Tcp::socket& from, Tcp::socket& to, std::shared_ptr<void> /*keeps*/,
-                           std::function<void()> broke) {
+// Copies one direction until it ends, then half-closes the other side, or calls `on_error`.
+asio::awaitable<void> CopyBytes(Tcp::socket& from, Tcp::socket& to, std::shared_ptr<void> /*keeps*/,
+                                std::function<void()> on_error) {
   std::array<char, 16384> bytes;
   Error error;
   while (true) {
@@ -108,38 +108,38 @@
   if (error == asio::error::eof)
     to.shutdown(Tcp::socket::shutdown_send, ignored);
   else
-    broke();
+    on_error();
 }
 
 }  // namespace
 
-// Reads the Hello, which is the first frame, for who dialled; then passes all of it on.
+// Identifies the dialing node by the Hello, the first frame, and forwards the connection.
 asio::awaitable<void> RelayNetwork::Serve(std::size_t machine, std::shared_ptr<Connection> connection) {
   Error error;
   std::string bytes(kLengthBytes, '\0');
   co_await asio::async_read(connection->near, asio::buffer(bytes), Into(error));
   std::size_t length = 0;
   for (const char byte : bytes) length = length << 8 | static_cast<unsigned char>(byte);
-  if (error || length > kMostHello) co_return connection->End();
+  if (error || length > kMaxHelloBytes) co_return connection->ResetBoth();
   bytes.resize(kLengthBytes + length);
   co_await asio::async_read(connection->near, asio::buffer(bytes.data() + kLengthBytes, length), Into(error));
-  if (error) co_return connection->End();
+  if (error) co_return connection->ResetBoth();
   const auto hello = transport::Unpack<transport::Hello>(std::string_view(bytes).substr(kLengthBytes));
-  if (!hello.ok()) co_return connection->End();
-  const auto dialler = std::find_if(machines_.begin(), machines_.end(), [&](const Machine& known) {
+  if (!hello.ok()) co_return connection->ResetBoth();
+  const auto dialer = std::find_if(machines_.begin(), machines_.end(), [&](const Machine& known) {
     return known.announced.Text() == hello->address;
   });
-  if (dialler == machines_.end()) co_return connection->End();
-  const Way way{static_cast<std::size_t>(dialler - machines_.begin()), machine};
-  const Tcp::endpoint at = LinkOf(way).address();
+  if (dialer == machines_.end()) co_return connection->ResetBoth();
+  const Direction direction{static_cast<std::size_t>(dialer - machines_.begin()), machine};
+  const Tcp::endpoint at = ProxyFor(direction).address();
   co_await connection->far.async_connect(at, Into(error));
   if (!error) co_await asio::async_write(connection->far, asio::buffer(bytes), Into(error));
-  if (error) co_return connection->End();
+  if (error) co_return connection->ResetBoth();
   connection->near.set_option(Tcp::no_delay(true), error);
   connection->far.set_option(Tcp::no_delay(true), error);
-  const auto broke = [connection] { connection->End(); };
-  asio::co_spawn(io_, Pump(connection->near, connection->far, connection, broke), asio::detached);
-  asio::co_spawn(io_, Pump(connection->far, connection->near, connection, broke), asio::detached);
+  const auto on_error = [connection] { connection->ResetBoth(); };
+  asio::co_spawn(io_, CopyBytes(connection->near, connection->far, connection, on_error), asio::detached);
+  asio::co_spawn(io_, CopyBytes(connection->far, connection->near, connection, on_error), asio::detached);
 }
 
 }  // namespace fennelhollow::rig::soak
--- a/rig/soak/relay_network.hpp
+++ b/rig/soak/relay_network.hpp
@@ -1,5 +1,5 @@
-// The network between the processes of a soak run: each one's internal address is a relay, which learns from
-// the Hello of a connection who dialled, and passes on through a rig/cluster link for that pair of machines.
+// Network between the processes of a soak run. The announced address of each node is a relay, which
+// identifies the dialing node by its Hello and forwards through the FaultProxy for this pair of nodes.
 #ifndef FENNELHOLLOW_RIG_SOAK_RELAY_NETWORK_HPP_
 #define FENNELHOLLOW_RIG_SOAK_RELAY_NETWORK_HPP_
 
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "rig/cluster/link.hpp"
+#include "rig/cluster/fault_proxy.hpp"
 #include "rig/mesh/http.hpp"
 
 namespace fennelhollow::rig::soak {
@@ -19,35 +19,34 @@
 class RelayNetwork {
  public:
   struct Machine {
-    Address announced;  // where others dial; the relay listens there
-    Address listens;    // where the process listens
+    Address announced;  // address of the relay, dialed by other nodes
+    Address listens;    // address of the process
   };
-  // Machines are known by their place in the list. Throws boost::system::system_error if an address can't be
-  // listened on.
+  // Nodes are identified by their index. Throws boost::system::system_error if it can't listen on an address.
   RelayNetwork(asio::io_context& io, std::vector<Machine> machines);
   ~RelayNetwork();
   RelayNetwork(const RelayNetwork&) = delete;
   RelayNetwork& operator=(const RelayNetwork&) = delete;
 
-  // What one machine sends to the other is lost from now on, silently; or arrives again.
-  void Lose(std::size_t from, std::size_t to);
+  // Starts or stops to drop silently what one node sends to another.
+  void Drop(std::size_t from, std::size_t to);
   void Restore(std::size_t from, std::size_t to);
 
  private:
-  using Way = std::pair<std::size_t, std::size_t>;  // who dials, who is dialled
+  using Direction = std::pair<std::size_t, std::size_t>;  // dialing node, dialed node
   struct Connection;
 
   asio::awaitable<void> Accept(std::size_t machine);
   asio::awaitable<void> Serve(std::size_t machine, std::shared_ptr<Connection> connection);
-  merlinrun::rig::Link& LinkOf(const Way& way);
-  merlinrun::rig::Link::Mode ModeOf(const Way& way) const;
+  merlinrun::rig::FaultProxy& ProxyFor(const Direction& direction);
+  merlinrun::rig::FaultProxy::Mode ModeOf(const Direction& direction) const;
   void Update(std::size_t one, std::size_t other);
 
   asio::io_context& io_;
   const std::vector<Machine> machines_;
   std::vector<std::unique_ptr<Tcp::acceptor>> acceptors_;
-  std::map<Way, std::unique_ptr<merlinrun::rig::Link>> links_;
-  std::set<Way> lost_;  // from, to
+  std::map<Direction, std::unique_ptr<merlinrun::rig::FaultProxy>> proxies_;
+  std::set<Direction> dropped_;  // from, to
 };
 
 }  // namespace fennelhollow::rig::soak
--- a/rig/soak/run.cpp
+++ b/rig/soak/run.cpp
@@ -11,47 +11,47 @@
 
 #include "rig/soak/clients.hpp"
 #include "rig/soak/cluster.hpp"
-#include "rig/soak/faults.hpp"
-#include "rig/soak/ledger.hpp"
+#include "rig/soak/consistency_checker.hpp"
+#include "rig/soak/fault_injector.hpp"
 #include "rig/soak/operators.hpp"
 
 namespace fennelhollow::rig::soak {
 namespace {
 
-// After the last fault everything holds again within this time.
-constexpr milliseconds kRecovery{15'000};
-constexpr milliseconds kAcknowledge{5'000};
-constexpr milliseconds kContact{3'000};
-constexpr milliseconds kMeasured{5'000};
-constexpr milliseconds kLeastStorm{5'000};
-constexpr int kStormSpreadMs = 8'000;
-constexpr milliseconds kGrace{4'000};
-constexpr milliseconds kStopWithin{10'000};
-constexpr milliseconds kLook{100};
-// Added routes are served no less often than this part of what the first ones are, given enough requests.
-constexpr double kLeastOfFirst = 0.25;
-constexpr std::uint64_t kEnough = 20;
-// In a calm time, of all requests or of what the servers can run, whichever is less.
-constexpr double kLeastServed = 0.6;
-constexpr int kMostSlowDown = 4;
+// Maximum time to recover after the last fault.
+constexpr milliseconds kRecoveryTimeout{15'000};
+constexpr milliseconds kAcknowledgeTimeout{5'000};
+constexpr milliseconds kReconnectTimeout{3'000};
+constexpr milliseconds kMeasurementWindow{5'000};
+constexpr milliseconds kMinFaultPhase{5'000};
+constexpr int kFaultPhaseSpreadMs = 8'000;
+constexpr milliseconds kShutdownGrace{4'000};
+constexpr milliseconds kStopTimeout{10'000};
+constexpr milliseconds kPollInterval{100};
+// Minimum served share of added routes relative to the first ones, given kMinSamples requests.
+constexpr double kMinAddedShare = 0.25;
+constexpr std::uint64_t kMinSamples = 20;
+// Minimum served share without faults, of all requests or of the servers' capacity, whichever is less.
+constexpr double kMinServedShare = 0.6;
+constexpr int kMaxSlowdown = 4;
 
 class Soak {
  public:
   explicit Soak(const RunOptions& options)
       : options_(options),
         random_(options.seed),
-        cluster_(io_, {options.program, options.seed}, ledger_),
-        operators_(io_, cluster_, ledger_, options.seed + 1),
-        clients_(io_, cluster_, operators_, ledger_, options.seed + 2),
-        faults_(io_, cluster_, options.seed + 3, begin_, options.talkative) {}
+        cluster_(io_, {options.program, options.seed}, checker_),
+        operators_(io_, cluster_, checker_, options.seed + 1),
+        clients_(io_, cluster_, operators_, checker_, options.seed + 2),
+        faults_(io_, cluster_, options.seed + 3, begin_, options.verbose) {}
 
-  bool Play() {
+  bool Execute() {
     if (!cluster_.Start()) {
-      std::printf("seed %lu: no ports, folder or process is to be had\n", options_.seed);
+      std::printf("seed %lu: no free ports, directory or process available\n", options_.seed);
       return false;
     }
-    asio::co_spawn(io_, Whole(), [this](std::exception_ptr error) {
-      if (error) ledger_.Fault("the run was ended by an exception");
+    asio::co_spawn(io_, RunAll(), [this](std::exception_ptr error) {
+      if (error) checker_.ReportViolation("the run was stopped by an exception");
       io_.stop();
     });
     io_.run();
@@ -59,113 +59,118 @@
   }
 
  private:
-  asio::awaitable<void> Whole() {
-    const bool begun = co_await operators_.Begin();
+  asio::awaitable<void> RunAll() {
+    const bool begun = co_await operators_.ApplyFirstConfiguration();
     if (!begun) {
-      ledger_.Fault("the first configuration is not taken");
+      checker_.ReportViolation("the first configuration was not acknowledged");
       co_return;
     }
     const bool up = co_await Recovered("the start");
     if (!up) co_return;
     operators_.Start();
     clients_.Start();
-    while (Clock::now() < begin_ + options_.length && ledger_.faults().empty()) co_await Round();
+    while (Clock::now() < begin_ + options_.length && checker_.violations().empty()) co_await Round();
     co_await Stop();
   }
 
-  // A storm, the recovery, and a calm time, in which servers may be short and after which nothing is owed.
+  // Injects faults, waits for recovery, then measures a fault-free interval with possibly overloaded servers.
   asio::awaitable<void> Round() {
-    co_await faults_.Storm(kLeastStorm + milliseconds(random_() % kStormSpreadMs));
-    if (random_() % 3 == 0) co_await faults_.AllDark();
-    const int slow_down = 1 + static_cast<int>(random_() % kMostSlowDown);
-    cluster_.SlowDownServers(slow_down);
-    const bool recovered = co_await Recovered("a storm");
+    co_await faults_.InjectFaults(kMinFaultPhase + milliseconds(random_() % kFaultPhaseSpreadMs));
+    if (random_() % 3 == 0) co_await faults_.KillEverything();
+    const int slowdown = 1 + static_cast<int>(random_() % kMaxSlowdown);
+    cluster_.SlowDownServers(slowdown);
+    const bool recovered = co_await Recovered("the faults");
     if (!recovered) co_return;
-    co_await Sleep(io_, kContact);
+    co_await Sleep(io_, kReconnectTimeout);
     const auto acknowledged = operators_.last_acknowledged();
     clients_.Measure();
-    co_await Sleep(io_, kMeasured);
-    Judge(clients_.EndMeasure(), slow_down);
+    co_await Sleep(io_, kMeasurementWindow);
+    CheckThroughput(clients_.EndMeasure(), slowdown);
     if (operators_.last_acknowledged() == acknowledged)
-      ledger_.Fault("no change was acknowledged for " + std::to_string(kAcknowledge.count()) +
-                    " ms in a calm time");
+      checker_.ReportViolation("no change was acknowledged for " +
+                               std::to_string(kAcknowledgeTimeout.count()) + " ms without faults");
     cluster_.CheckProcesses();
     cluster_.SlowDownServers(1);
     ++rounds_;
   }
 
-  void Judge(const Clients::Measured& measured, int slow_down) {
+  void CheckThroughput(const Clients::Measured& measured, int slowdown) {
     std::printf(
-        "seed %lu: %5.1f s  calm, servers %d times as slow: first routes %lu of %lu served, added %lu of "
+        "seed %lu: %5.1f s  no faults, servers slowed down %d times: first routes %lu of %lu served, added "
+        "%lu of "
         "%lu\n",
-        options_.seed, std::chrono::duration<double>(Clock::now() - begin_).count(), slow_down,
+        options_.seed, std::chrono::duration<double>(Clock::now() - begin_).count(), slowdown,
         measured.first.served, measured.first.sent, measured.added.served, measured.added.sent);
-    if (measured.added.sent >= kEnough && measured.added.share() < kLeastOfFirst * measured.first.share())
-      ledger_.Fault("added routes are served less than a quarter as often as the first ones");
-    const double seconds = std::chrono::duration<double>(kMeasured).count();
-    const double capacity = cluster_.RunsPerSecond() * seconds;
+    if (measured.added.sent >= kMinSamples &&
+        measured.added.share() < kMinAddedShare * measured.first.share())
+      checker_.ReportViolation(
+          "the served share of added routes is less than a quarter of that of the first ones");
+    const double seconds = std::chrono::duration<double>(kMeasurementWindow).count();
+    const double capacity = cluster_.CapacityPerSecond() * seconds;
     const auto sent = static_cast<double>(measured.first.sent + measured.added.sent);
     const auto served = static_cast<double>(measured.first.served + measured.added.served);
-    if (sent < kEnough || served < kLeastServed * std::min(sent, capacity))
-      ledger_.Fault("fewer requests are served in a calm time than servers have room for");
+    if (sent < kMinSamples || served < kMinServedShare * std::min(sent, capacity))
+      checker_.ReportViolation("fewer requests are served without faults than the servers have capacity for");
   }
 
-  // A change is acknowledged, all cores tell the newest configuration, all sidecars are ready.
+  // Recovered: a change is acknowledged, all cores report the newest configuration, all sidecars are ready.
   asio::awaitable<bool> Recovered(const char* after) {
     const auto from = Clock::now();
-    std::string lacks = "nothing";
-    while (Clock::now() < from + kRecovery) {
-      lacks = co_await Lacks(from);
-      if (lacks.empty()) co_return true;
-      co_await Sleep(io_, kLook);
+    std::string reason = "nothing";
+    while (Clock::now() < from + kRecoveryTimeout) {
+      reason = co_await NotRecoveredReason(from);
+      if (reason.empty()) co_return true;
+      co_await Sleep(io_, kPollInterval);
     }
-    ledger_.Fault("not recovered " + std::to_string(kRecovery.count()) + " ms after " + std::string(after) +
-                  ": " + lacks);
+    checker_.ReportViolation("not recovered " + std::to_string(kRecoveryTimeout.count()) + " ms after " +
+                             std::string(after) + ": " + reason);
     co_return false;
   }
 
-  asio::awaitable<std::string> Lacks(Clock::time_point from) {
+  asio::awaitable<std::string> NotRecoveredReason(Clock::time_point from) {
     cluster_.CheckProcesses();
     const bool operate = rounds_ > 0 || faults_.count() > 0;
     if (operate && operators_.last_acknowledged() < from) co_return "no change is acknowledged";
-    const std::int64_t newest = ledger_.newest_acknowledged();
+    const std::int64_t newest = checker_.newest_acknowledged();
     for (std::size_t i = 0; i < cluster_.cores(); ++i) {
       const auto known = co_await operators_.ReadFrom(i);
-      if (!known || known->version < newest) co_return cluster_.node(i).name() + " can't be read";
+      if (!known || known->version < newest)
+        co_return cluster_.node(i).name() + " does not return the newest configuration";
     }
     for (std::size_t i = 0; i < cluster_.sidecars(); ++i) {
-      Caller caller(io_, cluster_.sidecar(i).readiness());
+      HttpConnection connection(io_, cluster_.sidecar(i).readiness());
       const auto ready =
-          co_await caller.Call(MakeRequest(http::verb::get, "/-/readiness", kHost), kAcknowledge);
+          co_await connection.Call(MakeRequest(http::verb::get, "/-/readiness", kHost), kAcknowledgeTimeout);
       if (!ready || ready->result_int() != 200) co_return cluster_.sidecar(i).name() + " is not ready";
     }
     co_return "";
   }
 
-  // Lets all end in order.
+  // Stops clients and operators, then all processes in order.
   asio::awaitable<void> Stop() {
     clients_.Stop();
     operators_.Stop();
-    const auto until = Clock::now() + kStopWithin;
-    while ((!clients_.ended() || !operators_.ended()) && Clock::now() < until) co_await Sleep(io_, kLook);
-    ledger_.CheckRuns(cluster_.runs());
+    const auto until = Clock::now() + kStopTimeout;
+    while ((!clients_.ended() || !operators_.ended()) && Clock::now() < until)
+      co_await Sleep(io_, kPollInterval);
+    checker_.CheckExecutions(cluster_.runs());
     cluster_.CheckProcesses();
     for (std::size_t i = 0; i < cluster_.size(); ++i) cluster_.node(i).Signal(SIGTERM);
-    co_await Sleep(io_, kGrace);
+    co_await Sleep(io_, kShutdownGrace);
     for (std::size_t i = 0; i < cluster_.size(); ++i)
       if (!cluster_.node(i).Ended() || cluster_.node(i).status() != 0)
-        ledger_.Fault(cluster_.node(i).name() + " does not end in order after SIGTERM");
+        checker_.ReportViolation(cluster_.node(i).name() + " did not exit with status 0 after SIGTERM");
   }
 
   bool Report() const {
     std::printf(
         "seed %lu: %lu rounds, %lu faults, %lu changes acknowledged, %lu reads, %lu of %lu requests served: "
         "%s\n",
-        options_.seed, rounds_, faults_.count(), ledger_.acknowledged(), ledger_.reads(), clients_.served(),
-        clients_.sent(), ledger_.faults().empty() ? "nothing broken" : "BROKEN");
-    if (ledger_.faults().empty()) return true;
-    for (const std::string& fault : ledger_.faults()) std::printf("  broken: %s\n", fault.c_str());
-    for (const std::string& line : faults_.story()) std::printf("  %s\n", line.c_str());
+        options_.seed, rounds_, faults_.count(), checker_.acknowledged(), checker_.reads(), clients_.served(),
+        clients_.sent(), checker_.violations().empty() ? "ok" : "FAILED");
+    if (checker_.violations().empty()) return true;
+    for (const std::string& fault : checker_.violations()) std::printf("  violation: %s\n", fault.c_str());
+    for (const std::string& line : faults_.events()) std::printf("  %s\n", line.c_str());
     std::printf("%s", cluster_.Logs().c_str());
     return false;
   }
@@ -174,16 +179,16 @@
   const RunOptions options_;
   const Clock::time_point begin_ = Clock::now();
   std::mt19937_64 random_;
-  Ledger ledger_;
+  ConsistencyChecker checker_;
   Cluster cluster_;
   Operators operators_;
   Clients clients_;
-  Faults faults_;
+  FaultInjector faults_;
   std::uint64_t rounds_ = 0;
 };
 
 }  // namespace
 
-bool Run(const RunOptions& options) { return std::make_unique<Soak>(options)->Play(); }
+bool Run(const RunOptions& options) { return std::make_unique<Soak>(options)->Execute(); }
 
 }  // namespace fennelhollow::rig::soak
--- a/rig/soak/run.hpp
+++ b/rig/soak/run.hpp
@@ -1,4 +1,4 @@
-// One soak run: storms of drawn faults, and after each a calm time in which everything has to hold again.
+// A soak run: rounds of random faults, each followed by a fault-free interval.
 #ifndef FENNELHOLLOW_RIG_SOAK_RUN_HPP_
 #define FENNELHOLLOW_RIG_SOAK_RUN_HPP_
 
@@ -13,10 +13,10 @@
   std::string program;
   std::uint64_t seed = 1;
   milliseconds length{60'000};
-  bool talkative = false;
+  bool verbose = false;
 };
 
-// Prints what was broken, with the story of the run and its logs. True if nothing was.
+// Prints the violations with the fault history and logs. True if there were none.
 bool Run(const RunOptions& options);
 
 }  // namespace fennelhollow::rig::soak
--- a/rig/world.cpp
+++ b/rig/test_environment.cpp
@@ -1,4 +1,4 @@
-#include "rig/world.hpp"
+#include "rig/test_environment.hpp"
 
 #include <unistd.h>
 
@@ -14,17 +14,17 @@
 
 constexpr std::size_t kMostServers = 1000;
 
-// What operators are given as an example, the classes in it and all.
+// The example configuration in deploy/.
 nlohmann::json Example() {
   return nlohmann::json::parse(
       net::ReadFile(std::string(FENNELHOLLOW_SOURCE) + "/deploy/config.example.json"));
 }
 
-// The example's settings, with each class's times as the stand-ins have them.
-nlohmann::json SettingsJson(const std::vector<WorkClass>& classes) {
+// The example settings with the deadlines of the traffic classes.
+nlohmann::json SettingsJson(const std::vector<TrafficClass>& classes) {
   nlohmann::json settings = Example().at("settings");
   for (nlohmann::json& grade : settings.at("grades"))
-    for (const WorkClass& c : classes)
+    for (const TrafficClass& c : classes)
       if (grade.at("name") == c.name) {
         grade["aim_us"] = c.deadline / 2;
         grade["hard_limit_us"] = c.deadline;
@@ -34,15 +34,15 @@
 
 }  // namespace
 
-std::vector<WorkClass> ShortClasses() {
+std::vector<TrafficClass> ShortClasses() {
   return {{"sim-lookup", RetrySafety::kSafe, 4'000, 3'000'000, 40},
           {"plan-check", RetrySafety::kSafe, 6'000, 6'000'000, 28},
           {"activate", RetrySafety::kDeduplicated, 8'000, 6'000'000, 22},
           {"number-port", RetrySafety::kNever, 12'000, 5'000'000, 10}};
 }
 
-// Each call has a loopback address of its own, by process and number. Guards against a port that another
-// test, or a client's end of any connection, takes between here and its use.
+// Each call uses a new loopback address, derived from pid and a counter, so that no other test or client
+// socket takes the port before it is used.
 std::string FreeAddress() {
   static std::atomic<unsigned> count = 0;
   const auto pid = static_cast<unsigned>(::getpid());
@@ -59,27 +59,28 @@
   return text.replace(text.find(address), address.size(), listen);
 }
 
-World::World(std::vector<WorkClass> its_classes, int count, ServerOptions options,
-             const std::string& diameter_file, int its_zones)
-    : loop(io), classes(std::move(its_classes)), discovery(io, loop, ledger) {
+TestEnvironment::TestEnvironment(std::vector<TrafficClass> traffic_classes, int count, ServerOptions options,
+                                 const std::string& diameter_file, int zone_count)
+    : loop(io), classes(std::move(traffic_classes)), discovery(io, loop, checker) {
   east.name = "east";
   west.name = "west";
   south.name = "south";
   zones = {&east, &west};
-  if (its_zones > 2) zones.push_back(&south);
+  if (zone_count > 2) zones.push_back(&south);
   auto read = diameter::ParseApplication(diameter_file, "diameter.toml", ModuleSettings(), "n0");
   if (const auto* error = std::get_if<std::string>(&read)) throw std::invalid_argument(*error);
   application = std::get<diameter::Application>(std::move(read));
   if (static_cast<std::size_t>(count) > kMostServers) throw std::invalid_argument("too many servers");
   for (int i = 0; i < count; ++i) {
     options.id = "s-" + std::to_string(i);
-    servers.push_back(std::make_unique<Server>(
-        io, loop, ledger, *zones[static_cast<std::size_t>(i) % zones.size()], classes, application, options));
+    servers.push_back(std::make_unique<Server>(io, loop, checker,
+                                               *zones[static_cast<std::size_t>(i) % zones.size()], classes,
+                                               application, options));
     discovery.Set(*servers.back(), "up");
   }
 }
 
-nlohmann::json World::Config() const {
+nlohmann::json TestEnvironment::Config() const {
   const Tcp::endpoint at = discovery.address();
   nlohmann::json config = Example();
   config["discovery"] = at.address().to_string() + ":" + std::to_string(at.port());
@@ -89,11 +90,11 @@
   return config;
 }
 
-Settings World::ModuleSettings() const {
+Settings TestEnvironment::ModuleSettings() const {
   return drill::ParseSettings(net::FlattenSettings(SettingsJson(classes))).settings;
 }
 
-bool World::RunUntil(const std::function<bool()>& done, std::chrono::seconds most) {
+bool TestEnvironment::RunUntil(const std::function<bool()>& done, std::chrono::seconds most) {
   const auto end = std::chrono::steady_clock::now() + most;
   io.restart();
   while (!done()) {
@@ -104,7 +105,7 @@
   return true;
 }
 
-void World::RunFor(std::chrono::milliseconds time) {
+void TestEnvironment::RunFor(std::chrono::milliseconds time) {
   const auto end = std::chrono::steady_clock::now() + time;
   RunUntil([&] { return std::chrono::steady_clock::now() >= end; });
 }
--- a/tests/cluster/zones_test.cpp
+++ b/tests/cluster/zones_test.cpp
@@ -1,9 +1,9 @@
-// Eight processes of the program, and a zone that is lost, cut off, silent, back or half gone.
+// Eight sidecar processes and zones that fail, are partitioned, hang, recover or lose half of their servers.
 #include <gtest/gtest.h>
 
 #include <csignal>
 
-#include "tests/cluster/trial.hpp"
+#include "tests/cluster/cluster_test.hpp"
 
 namespace merlinrun::rig {
 namespace {
@@ -11,200 +11,200 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class ClusterZonesTest : public ClusterTrial {};
+class ClusterZonesTest : public ClusterTest {};
 
-TEST_F(ClusterZonesTest, AZoneThatDiesInAnInstantIsLeftByAllAndReturnedToByAll) {
+TEST_F(ClusterZonesTest, AllEjectACrashedZoneAndReturn) {
   Build();
-  LoseAndReturn(West());
-  ExpectEpochs(2);  // one leave, one return, and none of the other zone
-  End();
+  FailAndRecover(West());
+  ExpectEpochs(2);  // one ejection, one return, and none of the other zone
+  StopAndVerify();
 }
 
-TEST_F(ClusterZonesTest, AZoneThatSwallowsEverythingIsLeftByAll) {
+TEST_F(ClusterZonesTest, AllEjectABlackholedZone) {
   Build();
-  LoseAndReturn(West(), Link::Mode::kSwallow);
-  End();
+  FailAndRecover(West(), FaultProxy::Mode::kBlackhole);
+  StopAndVerify();
 }
 
-TEST_F(ClusterZonesTest, NobodyLeavesWhereNoZoneIsLost) {
+TEST_F(ClusterZonesTest, NobodyEjectsAHealthyZone) {
   Build();
-  For(seconds(4));
-  // Three in ten servers of a zone are gone, and the list does not tell it.
-  for (std::size_t s = 1; s < 4; s += 2) cluster_->world().servers[s]->Die();
-  For(seconds(4));
+  WaitFor(seconds(4));
+  // A third of a zone's servers crash without a change in discovery.
+  for (std::size_t s = 1; s < 4; s += 2) cluster_->env().servers[s]->Crash();
+  WaitFor(seconds(4));
   ExpectEpochs(0);
-  End();
+  StopAndVerify();
 }
 
-TEST_F(ClusterZonesTest, AZoneCutOffFromHalfOfThemIsLeftByThatHalfAlone) {
+TEST_F(ClusterZonesTest, OnlyTheAffectedHalfEjectsAPartitionedZone) {
   Build();
-  for (std::size_t i = 0; i < Size(); i += 2) cluster_->SetLinks(i, West(), Link::Mode::kRefuse);
-  EXPECT_TRUE(Until([&] { return Away(West()) == Size() / 2; }));
-  For(seconds(2));
+  for (std::size_t i = 0; i < Size(); i += 2) cluster_->SetLinks(i, West(), FaultProxy::Mode::kRefuse);
+  EXPECT_TRUE(WaitUntil([&] { return Ejected(West()) == Size() / 2; }));
+  WaitFor(seconds(2));
   for (std::size_t i = 0; i < Size(); ++i) EXPECT_EQ(cluster_->Epoch(i), i % 2 == 0 ? 1U : 0U) << i;
-  End();
+  StopAndVerify();
 }
 
-TEST_F(ClusterZonesTest, ASidecarWhoseOwnLinkIsCutAccusesNobody) {
+TEST_F(ClusterZonesTest, AnIsolatedSidecarEjectsNoZone) {
   Build();
-  cluster_->SetLinks(0, East(), Link::Mode::kRefuse);
-  cluster_->SetLinks(0, West(), Link::Mode::kRefuse);
-  For(seconds(3));
+  cluster_->SetLinks(0, East(), FaultProxy::Mode::kRefuse);
+  cluster_->SetLinks(0, West(), FaultProxy::Mode::kRefuse);
+  WaitFor(seconds(3));
   EXPECT_EQ(cluster_->Epoch(0), 0U);
-  cluster_->SetLinks(0, East(), Link::Mode::kPass);
-  cluster_->SetLinks(0, West(), Link::Mode::kPass);
-  EXPECT_TRUE(Until(
+  cluster_->SetLinks(0, East(), FaultProxy::Mode::kPass);
+  cluster_->SetLinks(0, West(), FaultProxy::Mode::kPass);
+  EXPECT_TRUE(WaitUntil(
       [&] { return cluster_->Stage(0, East()) == "serving" && cluster_->Stage(0, West()) == "serving"; }));
   ExpectEpochs(0);
-  End();
+  StopAndVerify();
 }
 
-TEST_F(ClusterZonesTest, ALeftZoneThatResetsAllIsTriedAndNotHammered) {
+TEST_F(ClusterZonesTest, AnEjectedZoneThatResetsIsProbedAtALowRate) {
   Build();
-  cluster_->SetLinks(West(), Link::Mode::kReset);
-  ASSERT_TRUE(Until([&] { return Away(West()) == Size(); }));
+  cluster_->SetLinks(West(), FaultProxy::Mode::kReset);
+  ASSERT_TRUE(WaitUntil([&] { return Ejected(West()) == Size(); }));
   const std::uint64_t before = cluster_->Accepted(West());
-  For(seconds(5));
-  // Waits are of 2 s in the mean once they have doubled, and of half a second before.
+  WaitFor(seconds(5));
+  // Probe intervals grow from half a second to 2 s on average.
   EXPECT_LE(cluster_->Accepted(West()) - before, Size() * 12);
   EXPECT_GE(cluster_->Accepted(West()) - before, Size() / 2);
-  End();
+  StopAndVerify();
 }
 
-TEST_F(ClusterZonesTest, AZoneThatFlapsIsHeldOffForLongerEachTime) {
+TEST_F(ClusterZonesTest, AFlappingZoneIsEjectedEachTime) {
   Build();
   for (int times = 0; times < 3; ++times) {
-    cluster_->SetLinks(West(), Link::Mode::kRefuse);
-    ASSERT_TRUE(Until([&] { return Away(West()) == Size(); }));
-    cluster_->SetLinks(West(), Link::Mode::kPass);
-    ASSERT_TRUE(Until([&] { return Back(West()) == Size(); }));
+    cluster_->SetLinks(West(), FaultProxy::Mode::kRefuse);
+    ASSERT_TRUE(WaitUntil([&] { return Ejected(West()) == Size(); }));
+    cluster_->SetLinks(West(), FaultProxy::Mode::kPass);
+    ASSERT_TRUE(WaitUntil([&] { return InUse(West()) == Size(); }));
   }
   ExpectEpochs(6);
-  End();
+  StopAndVerify();
 }
 
-TEST_F(ClusterZonesTest, BothZonesSickEmptiesNobodysFleet) {
+TEST_F(ClusterZonesTest, TheLastZoneIsNeverEjected) {
   Build();
-  cluster_->SetLinks(West(), Link::Mode::kRefuse);
-  ASSERT_TRUE(Until([&] { return Away(West()) == Size(); }));
-  cluster_->SetLinks(East(), Link::Mode::kRefuse);
-  For(seconds(2));
-  EXPECT_EQ(Away(East()), 0U);  // the last one is never left
-  cluster_->SetLinks(West(), Link::Mode::kPass);
-  EXPECT_TRUE(Until([&] { return Back(West()) == Size(); }));
-  cluster_->SetLinks(East(), Link::Mode::kPass);
-  EXPECT_TRUE(Until([&] { return Back(East()) == Size(); }));
-  End();
-}
-
-TEST_F(ClusterZonesTest, ASidecarThatSleptThroughALossSeesWhatIsThereWhenItWakes) {
+  cluster_->SetLinks(West(), FaultProxy::Mode::kRefuse);
+  ASSERT_TRUE(WaitUntil([&] { return Ejected(West()) == Size(); }));
+  cluster_->SetLinks(East(), FaultProxy::Mode::kRefuse);
+  WaitFor(seconds(2));
+  EXPECT_EQ(Ejected(East()), 0U);  // the last zone is never ejected
+  cluster_->SetLinks(West(), FaultProxy::Mode::kPass);
+  EXPECT_TRUE(WaitUntil([&] { return InUse(West()) == Size(); }));
+  cluster_->SetLinks(East(), FaultProxy::Mode::kPass);
+  EXPECT_TRUE(WaitUntil([&] { return InUse(East()) == Size(); }));
+  StopAndVerify();
+}
+
+TEST_F(ClusterZonesTest, ASidecarPausedDuringALossSeesTheCurrentState) {
   Build();
   cluster_->Signal(0, SIGSTOP);
-  cluster_->SetLinks(West(), Link::Mode::kRefuse);
-  ASSERT_TRUE(Until([&] { return Away(West()) == Size() - 1; }));
-  cluster_->SetLinks(West(), Link::Mode::kPass);
-  EXPECT_TRUE(Until([&] { return Back(West()) == Size(); }));
+  cluster_->SetLinks(West(), FaultProxy::Mode::kRefuse);
+  ASSERT_TRUE(WaitUntil([&] { return Ejected(West()) == Size() - 1; }));
+  cluster_->SetLinks(West(), FaultProxy::Mode::kPass);
+  EXPECT_TRUE(WaitUntil([&] { return InUse(West()) == Size(); }));
   cluster_->Signal(0, SIGCONT);
-  For(seconds(3));
-  EXPECT_EQ(Away(West()), 0U);
-  EXPECT_EQ(Away(East()), 0U);
-  // What it held while it slept is late, through no fault of its own, so that the ledger is not asked.
+  WaitFor(seconds(3));
+  EXPECT_EQ(Ejected(West()), 0U);
+  EXPECT_EQ(Ejected(East()), 0U);
+  // Requests held by the paused sidecar are late, so that the checker's violations don't apply.
   for (std::size_t i = 0; i < Size(); ++i) EXPECT_TRUE(cluster_->Runs(i)) << i;
 }
 
-TEST_F(ClusterZonesTest, HalfOfThemKilledInTheMidstOfLeavingLeaveItTooWhenTheyAreBack) {
+TEST_F(ClusterZonesTest, SidecarsRestartedDuringEjectionEjectToo) {
   Build();
-  cluster_->SetLinks(West(), Link::Mode::kRefuse);
-  ASSERT_TRUE(Until([&] { return Away(West()) > 0; }));
+  cluster_->SetLinks(West(), FaultProxy::Mode::kRefuse);
+  ASSERT_TRUE(WaitUntil([&] { return Ejected(West()) > 0; }));
   for (std::size_t i = 0; i < Size(); i += 2) cluster_->Kill(i);
-  For(std::chrono::milliseconds(500));
+  WaitFor(std::chrono::milliseconds(500));
   for (std::size_t i = 0; i < Size(); i += 2) cluster_->Start(i);
-  EXPECT_TRUE(Until([&] { return Away(West()) == Size(); }));
-  cluster_->SetLinks(West(), Link::Mode::kPass);
-  EXPECT_TRUE(Until([&] { return Back(West()) == Size(); }));
-  End();
+  EXPECT_TRUE(WaitUntil([&] { return Ejected(West()) == Size(); }));
+  cluster_->SetLinks(West(), FaultProxy::Mode::kPass);
+  EXPECT_TRUE(WaitUntil([&] { return InUse(West()) == Size(); }));
+  StopAndVerify();
 }
 
-// Heard but not reached: its servers get every request, and nobody gets an answer.
-TEST_F(ClusterZonesTest, AZoneWhoseAnswersAreLostIsLeftByAll) {
+// The zone's servers get every request, but all responses are lost.
+TEST_F(ClusterZonesTest, AllEjectAZoneWhoseResponsesAreLost) {
   Build();
-  LoseAndReturn(West(), Link::Mode::kDeaf);
-  End();
+  FailAndRecover(West(), FaultProxy::Mode::kDropResponses);
+  StopAndVerify();
 }
 
-TEST_F(ClusterZonesTest, AZoneThatIsTenTimesSlowerButAliveIsLeftByNobody) {
+TEST_F(ClusterZonesTest, NobodyEjectsASlowZone) {
   Build();
-  cluster_->SetLinks(West(), Link::Mode::kSlow);
-  For(seconds(5));
+  cluster_->SetLinks(West(), FaultProxy::Mode::kDelayResponses);
+  WaitFor(seconds(5));
   ExpectEpochs(0);
-  End();
+  StopAndVerify();
 }
 
-TEST_F(ClusterZonesTest, AListThatCallsAServingZoneGoneAndTakesItBackIsNoLoss) {
+TEST_F(ClusterZonesTest, ATransientDiscoveryRemovalIsNoZoneLoss) {
   Build();
-  for (std::size_t s = 1; s < cluster_->world().servers.size(); s += 2)
-    cluster_->List(*cluster_->world().servers[s], "removed");
-  For(seconds(2));
-  for (std::size_t s = 1; s < cluster_->world().servers.size(); s += 2)
-    cluster_->List(*cluster_->world().servers[s], "up");
-  For(seconds(2));
+  for (std::size_t s = 1; s < cluster_->env().servers.size(); s += 2)
+    cluster_->SetLifecycle(*cluster_->env().servers[s], "removed");
+  WaitFor(seconds(2));
+  for (std::size_t s = 1; s < cluster_->env().servers.size(); s += 2)
+    cluster_->SetLifecycle(*cluster_->env().servers[s], "up");
+  WaitFor(seconds(2));
   ExpectEpochs(0);
   EXPECT_EQ(Count(West(), "serving"), Size());
-  End();
+  StopAndVerify();
 }
 
-// Lost again in the middle of its return, half of its servers not back at all.
-TEST_F(ClusterZonesTest, AZoneBackWithHalfOfItsServersAndLostAgainIsLeftAgain) {
+// The zone fails again during its return, with half of its servers still down.
+TEST_F(ClusterZonesTest, AZoneThatFailsAgainDuringItsReturnIsEjectedAgain) {
   Build();
-  LoseAndReturn(West());
-  for (std::size_t s = 1; s < cluster_->world().servers.size(); s += 4) cluster_->world().servers[s]->Die();
-  For(milliseconds(500));
-  LoseAndReturn(West());
-  End();
+  FailAndRecover(West());
+  for (std::size_t s = 1; s < cluster_->env().servers.size(); s += 4) cluster_->env().servers[s]->Crash();
+  WaitFor(milliseconds(500));
+  FailAndRecover(West());
+  StopAndVerify();
 }
 
-// Twelve processes and three zones: two are lost one after the other, and the last is never left.
-TEST_F(ClusterZonesTest, OfThreeZonesTwoAreLeftOneAfterTheOtherAndTheLastIsNot) {
+// Of three zones, two fail one after the other; the last is never ejected.
+TEST_F(ClusterZonesTest, TwoOfThreeZonesAreEjectedAndTheLastIsNot) {
   ClusterOptions options;
   options.sidecars = 12;
   options.servers = 18;
   options.clients = 2;
   options.zones = 3;
   Build(options);
-  DataCentre& south = cluster_->world().south;
-  ASSERT_TRUE(Until([&] { return Count(south, "serving") == Size(); }));
-  cluster_->SetLinks(West(), Link::Mode::kRefuse);
-  EXPECT_TRUE(Until([&] { return Away(West()) == Size(); }));
-  cluster_->SetLinks(south, Link::Mode::kRefuse);
-  EXPECT_TRUE(Until([&] { return Away(south) == Size(); }));
-  cluster_->SetLinks(East(), Link::Mode::kRefuse);
-  For(seconds(2));
-  EXPECT_EQ(Away(East()), 0U);
-  for (DataCentre* zone : cluster_->world().zones) cluster_->SetLinks(*zone, Link::Mode::kPass);
-  for (DataCentre* zone : cluster_->world().zones)
-    EXPECT_TRUE(Until([&] { return Back(*zone) == Size(); })) << zone->name;
-  End();
-}
-
-TEST_F(ClusterZonesTest, AZoneIsLeftAndKeptByOrder) {
+  DataCentre& south = cluster_->env().south;
+  ASSERT_TRUE(WaitUntil([&] { return Count(south, "serving") == Size(); }));
+  cluster_->SetLinks(West(), FaultProxy::Mode::kRefuse);
+  EXPECT_TRUE(WaitUntil([&] { return Ejected(West()) == Size(); }));
+  cluster_->SetLinks(south, FaultProxy::Mode::kRefuse);
+  EXPECT_TRUE(WaitUntil([&] { return Ejected(south) == Size(); }));
+  cluster_->SetLinks(East(), FaultProxy::Mode::kRefuse);
+  WaitFor(seconds(2));
+  EXPECT_EQ(Ejected(East()), 0U);
+  for (DataCentre* zone : cluster_->env().zones) cluster_->SetLinks(*zone, FaultProxy::Mode::kPass);
+  for (DataCentre* zone : cluster_->env().zones)
+    EXPECT_TRUE(WaitUntil([&] { return InUse(*zone) == Size(); })) << zone->name;
+  StopAndVerify();
+}
+
+TEST_F(ClusterZonesTest, ZoneOverridesEjectAndKeepAZone) {
   Build();
-  cluster_->Order("leave = ['west']\n");
-  EXPECT_TRUE(Until([&] { return Count(West(), "left") == Size(); }));
-  For(milliseconds(500));  // what was out there has come back
+  cluster_->SetZoneOverrides("leave = ['west']\n");
+  EXPECT_TRUE(WaitUntil([&] { return Count(West(), "left") == Size(); }));
+  WaitFor(milliseconds(500));  // active requests have ended
   const std::uint64_t before = cluster_->Accepted(West());
-  For(seconds(2));
+  WaitFor(seconds(2));
   EXPECT_EQ(cluster_->Accepted(West()), before);
-  cluster_->Order("leave = ['nowhere']\n");  // a wrong one changes nothing
-  For(seconds(1));
+  cluster_->SetZoneOverrides("leave = ['nowhere']\n");  // invalid: changes nothing
+  WaitFor(seconds(1));
   EXPECT_EQ(Count(West(), "left"), Size());
-  cluster_->Order("keep = ['west']\n");
-  EXPECT_TRUE(Until([&] { return Back(West()) == Size(); }));
-  cluster_->SetLinks(West(), Link::Mode::kRefuse);
-  For(seconds(2));
-  ExpectEpochs(2);  // left and returned to by order, and not left since
-  cluster_->Order("");
-  EXPECT_TRUE(Until([&] { return Away(West()) == Size(); }));
-  End();
+  cluster_->SetZoneOverrides("keep = ['west']\n");
+  EXPECT_TRUE(WaitUntil([&] { return InUse(West()) == Size(); }));
+  cluster_->SetLinks(West(), FaultProxy::Mode::kRefuse);
+  WaitFor(seconds(2));
+  ExpectEpochs(2);  // ejected and returned to by override, and not ejected since
+  cluster_->SetZoneOverrides("");
+  EXPECT_TRUE(WaitUntil([&] { return Ejected(West()) == Size(); }));
+  StopAndVerify();
 }
 
 }  // namespace
--- a/tests/rig/certificates.hpp
+++ b/tests/rig/certificates.hpp
@@ -1,4 +1,4 @@
-// Authorities and certificates made on the spot, as PEM files in a folder of their own.
+// Creates certificate authorities and certificates as PEM files in a temporary directory.
 #ifndef MERLINRUN_TESTS_RIG_CERTIFICATES_HPP_
 #define MERLINRUN_TESTS_RIG_CERTIFICATES_HPP_
 
@@ -26,7 +26,7 @@
   Certificates(const Certificates&) = delete;
   Certificates& operator=(const Certificates&) = delete;
 
-  // A certificate for this host by the authority of that name, which is made when it is first named.
+  // Creates a certificate for the host; the authority is created on first use.
   diameter::TlsFiles Make(const std::string& host, const std::string& authority = "authority") {
     if (!std::filesystem::exists(Path(authority + ".pem")))
       Write(authority, authority, /*is_authority=*/true);
--- a/tests/rig/record_test.cpp
+++ b/tests/rig/record_test.cpp
@@ -1,4 +1,4 @@
-// A recording of a sidecar between clients of both kinds and servers holds what the ledger saw.
+// The recording of a sidecar must match what the clients and servers observed.
 #include <filesystem>
 #include <iterator>
 
@@ -24,12 +24,12 @@
 
 TEST_F(RecordTest, HoldsEveryRequestWithItsOutcome) {
   Build(3);
-  Traffic traffic(world->classes, 600, 7);
-  HttpClient http(world->io, world->loop, world->ledger, traffic, sidecar->address(), "h");
+  TrafficGenerator traffic(env->classes, 600, 7);
+  HttpClient http(env->io, env->loop, env->checker, traffic, sidecar->address(), "h");
   http.Start();
   const auto diameter = Client(traffic, 4);
-  ASSERT_TRUE(world->RunUntil([&] { return traffic.left() == 0 && http.idle() && diameter->idle(); }));
-  ASSERT_TRUE(world->RunUntil([&] { return sidecar->active_requests() == 0; }));
+  ASSERT_TRUE(env->RunUntil([&] { return traffic.remaining() == 0 && http.idle() && diameter->idle(); }));
+  ASSERT_TRUE(env->RunUntil([&] { return sidecar->active_requests() == 0; }));
   sidecar = nullptr;
   std::ifstream in(folder_ + "/requests.rec", std::ios::binary);
   const auto read = record::ParseRecording(std::string((std::istreambuf_iterator<char>(in)), {}));
@@ -45,12 +45,12 @@
     EXPECT_GT(r.duration, 0);
     EXPECT_LT(r.duration, r.budget);
   }
-  for (const auto& [name, row] : world->ledger.Rows()) EXPECT_EQ(served[name], row.served) << name;
+  for (const auto& [name, row] : env->checker.Summary()) EXPECT_EQ(served[name], row.served) << name;
   EXPECT_GT(over_diameter, 0U);
   EXPECT_LT(over_diameter, 600U);
 }
 
-TEST_F(RecordTest, ABadFileIsOneErrorAndNothingIsBegun) {
+TEST_F(RecordTest, AnInvalidSettingsFileFailsTheStart) {
   std::ofstream(record, std::ios::trunc)
       << "file = '/nonexistent/x'\nmost_mb = 4\nsalt = 'pepper-and-more-salt'\n";
   EXPECT_THROW(Build(1), net::ConfigError);
--- a/tests/rig/tls_test.cpp
+++ b/tests/rig/tls_test.cpp
@@ -1,4 +1,4 @@
-// Diameter over TLS: who has no certificate, another's, or one by a stranger, is turned away.
+// Diameter over TLS: peers without a certificate, or with that of another host or authority, are rejected.
 #include "diameter/io/tls.hpp"
 
 #include "certificates.hpp"
@@ -23,13 +23,13 @@
     Replace(file, "# key = \"deploy/tls/sidecar.key\"", "key = \"" + files.key + "\"");
     Replace(file, "# authorities = \"deploy/tls/authorities.pem\"",
             "authorities = \"" + files.authorities + "\"");
-    Replace(file, "tls = false", "tls = true");  // the first client
+    Replace(file, "tls = false", "tls = true");  // of the first client
     Build(1, {}, file);
   }
-  // A connection with these certificates, or null; `to`: the name that the sidecar's has to have.
+  // Connects with these certificates; null if it fails. `to`: expected name in the sidecar's certificate.
   diameter::ConnectionPtr Dial(const diameter::TlsFiles& files,
                                const std::string& to = "n0.sidecars.example") {
-    const diameter::Tls tls(world->io, files, {});
+    const diameter::Tls tls(env->io, files, {});
     bool done = false;
     diameter::ConnectionPtr got;
     tls.Connector()(sidecar->diameter()->downstream().address(1), to,
@@ -37,72 +37,72 @@
                       done = true;
                       got = std::move(connection);
                     });
-    EXPECT_TRUE(world->RunUntil([&] { return done; }));
+    EXPECT_TRUE(env->RunUntil([&] { return done; }));
     return got;
   }
-  // What a CER in this name is told; none if the connection ends without a word.
-  ResultCode Greeting(const diameter::ConnectionPtr& connection, const std::string& host) {
-    RawPeer peer(*world, connection, host);
+  // Result code of the response to a CER from this host; kNone if the connection is closed without one.
+  ResultCode HandshakeResult(const diameter::ConnectionPtr& connection, const std::string& host) {
+    RawPeer peer(*env, connection, host);
     peer.Send(diameter::MakeCer(peer.identity));
-    world->RunUntil([&] { return peer.ended || !peer.received.empty(); });
+    env->RunUntil([&] { return peer.ended || !peer.received.empty(); });
     return peer.received.empty() ? ResultCode::kNone : diameter::ResultCodeOf(peer.received[0]);
   }
   Certificates certificates;
 };
 
-TEST_F(TlsTest, ServesWhoHasACertificateOfItsName) {
+TEST_F(TlsTest, ServesAClientWithAMatchingCertificate) {
   BuildWithTls();
-  RawPeer peer(*world, Dial(certificates.Make(kHost)), kHost);
-  ASSERT_TRUE(peer.Introduce());
-  EXPECT_EQ(peer.Ask(peer.Request("number-port", 1)), ResultCode::kSuccess);
-  EXPECT_EQ(Broken(), "");
+  RawPeer peer(*env, Dial(certificates.Make(kHost)), kHost);
+  ASSERT_TRUE(peer.ExchangeCapabilities());
+  EXPECT_EQ(peer.Exchange(peer.Request("number-port", 1)), ResultCode::kSuccess);
+  EXPECT_EQ(Violations(), "");
 }
 
-TEST_F(TlsTest, ACertificateOfAnotherNameIsNoIntroduction) {
+TEST_F(TlsTest, RejectsACertificateOfAnotherHost) {
   BuildWithTls();
-  EXPECT_EQ(Greeting(Dial(certificates.Make("backoffice-2.franchise.example")), kHost),
+  EXPECT_EQ(HandshakeResult(Dial(certificates.Make("backoffice-2.franchise.example")), kHost),
             ResultCode::kUnknownPeer);
 }
 
-TEST_F(TlsTest, ACertificateByAStrangerIsNone) {
+TEST_F(TlsTest, RejectsACertificateOfAnUnknownAuthority) {
   BuildWithTls();
   auto files = certificates.Make("other.example", "stranger");
   files.authorities =
-      certificates.Make("own.example").authorities;  // it trusts the sidecar, not the other way
+      certificates.Make("own.example").authorities;  // trusts the sidecar, but is not trusted by it
   const auto connection = Dial(files);
-  if (connection != nullptr) {  // TLS 1.3 tells a client of it after its own handshake
-    EXPECT_EQ(Greeting(connection, kHost), ResultCode::kNone);
+  if (connection != nullptr) {  // with TLS 1.3 the client learns of it after its handshake
+    EXPECT_EQ(HandshakeResult(connection, kHost), ResultCode::kNone);
   }
-  // And a client that does not trust the sidecar's authority, or asks for another name, does not connect.
+  // Clients that don't trust the sidecar's authority or expect another name must not connect.
   EXPECT_EQ(Dial(certificates.Make("third.example", "stranger")), nullptr);
   EXPECT_EQ(Dial(certificates.Make(kHost), "n1.sidecars.example"), nullptr);
 }
 
-TEST_F(TlsTest, WhoHasToUseTlsIsTurnedAwayWithoutIt) {
+TEST_F(TlsTest, RejectsAPlaintextClientThatRequiresTls) {
   BuildWithTls();
-  RawPeer peer(*world, Port(), kHost);
-  EXPECT_FALSE(peer.Introduce());
+  RawPeer peer(*env, DiameterEndpoint(), kHost);
+  EXPECT_FALSE(peer.ExchangeCapabilities());
   EXPECT_EQ(peer.Code(), ResultCode::kNoCommonSecurity);
 }
 
-TEST_F(TlsTest, ManyThatConnectAndShakeNoHandsShutNobodyOut) {
+TEST_F(TlsTest, ConnectionsWithoutHandshakeDoNotBlockOthers) {
   BuildWithTls();
   std::vector<std::unique_ptr<Tcp::socket>> silent;
   for (int i = 0; i < 100; ++i) {
-    silent.push_back(std::make_unique<Tcp::socket>(world->io));
+    silent.push_back(std::make_unique<Tcp::socket>(env->io));
     silent.back()->connect(sidecar->diameter()->downstream().address(1));
   }
-  RawPeer peer(*world, Dial(certificates.Make(kHost)), kHost);
-  EXPECT_TRUE(peer.Introduce());
+  RawPeer peer(*env, Dial(certificates.Make(kHost)), kHost);
+  EXPECT_TRUE(peer.ExchangeCapabilities());
 }
 
-TEST_F(TlsTest, AFileThatCannotBeUsedIsNamed) {
+TEST_F(TlsTest, AnUnusableFileIsNamedInTheError) {
   boost::asio::io_context io;
   auto files = certificates.Make(kHost);
   files.key = certificates.Make("other.example").key;
   try {
     const diameter::Tls tls(io, files, {});
-    ADD_FAILURE() << "taken";
+    ADD_FAILURE() << "accepted";
   } catch (const std::invalid_argument& error) {
     EXPECT_NE(std::string(error.what()).find("other.example.key"), std::string::npos) << error.what();
   }
