--- a/src/mesh/node/control_listener.hpp
+++ b/src/mesh/node/control_listener.hpp
@@ -1,4 +1,5 @@
-// The control plane's address: HTTP/1.1, calls decoded and handed on. In a core and beside a server.
+// HTTP/1.1 listener of the control plane API. Decodes each call into a Command and passes it to a handler;
+// used by cores and sidecars.
 #ifndef FENNELHOLLOW_MESH_NODE_CONTROL_LISTENER_HPP_
 #define FENNELHOLLOW_MESH_NODE_CONTROL_LISTENER_HPP_
 
@@ -15,38 +16,38 @@
 using control::Command;
 using control::Response;
 
-// Threading: all of it on the thread of `io`.
+// Not thread-safe: everything runs on the thread of `io`.
 class ControlListener {
  public:
   struct Limits {
-    std::size_t connections = 512;  // one more, and the one that has been idle longest goes
-    std::size_t header_bytes = std::size_t{16} * 1024;
-    std::size_t body_bytes = std::size_t{8} * 1024 * 1024;
-    std::size_t bodies_bytes = std::size_t{32} * 1024 * 1024;  // of all connections together; past it, 503
-    int call_ms = 10'000;  // from a call's first byte until its answer is written
-    int idle_ms = 15'000;
-    // Added to a call for events once it has come whole, as its answer may be waited for. 0: there are no
-    // events here, and such a call is unknown.
-    int event_wait_ms = 0;
+    std::size_t max_connections = 512;  // beyond it the longest idle connection is closed
+    std::size_t max_header_bytes = std::size_t{16} * 1024;
+    std::size_t max_body_bytes = std::size_t{8} * 1024 * 1024;
+    std::size_t max_total_body_bytes = std::size_t{32} * 1024 * 1024;  // over all connections; beyond it, 503
+    int call_timeout_ms = 10'000;  // from a call's first byte until its response is written
+    int idle_timeout_ms = 15'000;
+    // Extends the timeout of a long-polling Events.Read call. 0: events are not served here (404).
+    int max_event_wait_ms = 0;
   };
   struct Counters {
-    std::uint64_t calls = 0;        // handed to the handler
-    std::uint64_t bad = 0;          // not HTTP, or past a limit: answered 4xx and closed
-    std::uint64_t timed_out = 0;    // calls that took too long
-    std::uint64_t turned_away = 0;  // connections closed, or calls refused, for want of room
+    std::uint64_t calls = 0;      // passed to the handler
+    std::uint64_t malformed = 0;  // not HTTP, or over a size limit: answered with 4xx and closed
+    std::uint64_t timed_out = 0;  // calls past call_timeout_ms
+    std::uint64_t rejected = 0;   // connections closed, or calls rejected, because a limit was reached
   };
-  // Called once, from the loop's thread, inside the handler or later; nothing happens if the caller has gone.
+  // Call once on the loop's thread, from the handler or later; ignored if the client has disconnected.
   using Reply = std::function<void(Response)>;
   using Handler = std::function<void(Command, Reply)>;
 
-  // Throws boost::system::system_error if the address can't be listened on.
+  // Throws boost::system::system_error if the address cannot be bound.
   ControlListener(merlinrun::net::asio::io_context& io, const merlinrun::net::Tcp::endpoint& address,
                   Limits limits, Handler handler);
-  ~ControlListener();  // closes all; neither the handler nor `done` is called any more
+  ~ControlListener();  // closes all connections; neither the handler nor `done` is called afterwards
   ControlListener(const ControlListener&) = delete;
   ControlListener& operator=(const ControlListener&) = delete;
 
-  // Accepts nothing more, closes idle connections and lets calls under way end; then `done`, from the loop.
+  // Stops accepting, closes idle connections, lets calls in flight finish, then posts `done` to the loop.
+  // Call once.
   void Stop(std::function<void()> done);
 
   merlinrun::net::Tcp::endpoint address() const;
--- a/src/mesh/node/core.cpp
+++ b/src/mesh/node/core.cpp
@@ -40,62 +40,63 @@
 namespace {
 
 constexpr Micros kMillisecond = 1000;
-constexpr Micros kTickBusy = 25 * kMillisecond;
-constexpr Micros kTickCalm = 50 * kMillisecond;
-constexpr Micros kStopWithin = 2000 * kMillisecond;  // for calls under way
-// Of the grace period: for its vote to be given to another replica.
-constexpr double kLeaveShare = 0.5;
-constexpr Micros kFlushWithin = 200 * kMillisecond;
-constexpr Micros kDiskRetry = 500 * kMillisecond;
-constexpr Micros kHelloWithin = 2000 * kMillisecond;
-constexpr std::int64_t kMb = std::int64_t{1024} * 1024;
-// Below the data directory. The name is that of the first release, and holds for stores made since.
-constexpr char kStoreFolder[] = "/barograph";
-
-// What only the disk's thread touches.
+constexpr Micros kBusyTickInterval = 25 * kMillisecond;
+constexpr Micros kIdleTickInterval = 50 * kMillisecond;
+constexpr Micros kPendingCallsTimeout = 2000 * kMillisecond;  // for calls in flight at shutdown
+// Share of the grace period in which its vote may move to another replica.
+constexpr double kLeaveGraceFraction = 0.5;
+// For handing over leadership and flushing the links to peers.
+constexpr Micros kFlushTimeout = 200 * kMillisecond;
+constexpr Micros kStoreRetryInterval = 500 * kMillisecond;
+constexpr Micros kHelloTimeout = 2000 * kMillisecond;
+constexpr std::int64_t kMebibyte = std::int64_t{1024} * 1024;
+// Below the data directory. Existing stores have this name; it must not change.
+constexpr char kStoreDirectory[] = "/barograph";
+
+// Used on the disk worker's thread only.
 struct Disk {
   std::unique_ptr<storage::Store> store;
 };
 
-struct Opened {
+struct OpenResult {
   absl::Status status;
-  bool lost = false;  // there was a store that can't be trusted
-  std::optional<consensus::PersistentState> stored;
+  bool data_loss = false;  // a store exists but is corrupt
+  std::optional<consensus::PersistentState> state;
 };
 
-Opened OpenStore(Disk& disk, const std::string& folder, std::size_t most_bytes) {
-  Opened out;
-  auto store = storage::Store::Open(folder, most_bytes);
-  if (absl::IsDataLoss(store.status())) {  // set aside: the next one is empty
-    out.lost = true;
-    store = storage::Store::Open(folder, most_bytes);
+OpenResult OpenStore(Disk& disk, const std::string& directory, std::size_t max_bytes) {
+  OpenResult result;
+  auto store = storage::Store::Open(directory, max_bytes);
+  if (absl::IsDataLoss(store.status())) {  // the corrupt store was set aside; the next one is empty
+    result.data_loss = true;
+    store = storage::Store::Open(directory, max_bytes);
   }
   if (!store.ok()) {
-    out.status = store.status();
-    return out;
+    result.status = store.status();
+    return result;
   }
   auto read = (*store)->Read();
   if (read.ok()) {
-    out.stored = *std::move(read);
+    result.state = *std::move(read);
   } else if (absl::IsDataLoss(read.status())) {
-    out.lost = true;
+    result.data_loss = true;
   } else {
-    out.status = read.status();
-    return out;
+    result.status = read.status();
+    return result;
   }
   disk.store = *std::move(store);
-  return out;
+  return result;
 }
 
 std::size_t StoreBytes(const settings::Settings& settings) {
-  const std::int64_t told = settings.disk_mb > 0 ? settings.disk_mb * kMb * 3 / 4 : 64 * kMb;
-  return static_cast<std::size_t>(std::clamp(told, 16 * kMb, 192 * kMb));
+  const std::int64_t budget = settings.disk_mb > 0 ? settings.disk_mb * kMebibyte * 3 / 4 : 64 * kMebibyte;
+  return static_cast<std::size_t>(std::clamp(budget, 16 * kMebibyte, 192 * kMebibyte));
 }
 
 std::vector<ReplicaId> Seeds(const settings::Settings& settings) {
   const std::vector<std::string> seeds = settings.SeedInternalAddresses();
-  const std::set<ReplicaId> out(seeds.begin(), seeds.end());
-  return {out.begin(), out.end()};
+  const std::set<ReplicaId> addresses(seeds.begin(), seeds.end());
+  return {addresses.begin(), addresses.end()};
 }
 
 ControlReplica::Settings ReplicaSettings(const settings::Settings& settings, std::uint64_t incarnation) {
@@ -118,8 +119,8 @@
         self_(settings_.InternalAddress().Text()),
         metrics_address_(options.metrics),
         invariants_(registry_, options.on_violation),
-        tick_(loop_.NewTimer()),
-        disk_retry_(loop_.NewTimer()),
+        tick_timer_(loop_.NewTimer()),
+        store_retry_timer_(loop_.NewTimer()),
         peers_(io, loop_,
                {.purpose = transport::Purpose::kCore,
                 .from = settings_.node_name,
@@ -131,13 +132,13 @@
         event_waiters_(replica_.events()) {}
 
   ~Impl() override {
-    tick_.reset();
-    disk_retry_.reset();
-    control_.reset();
-    listener_.reset();
-    for (auto& [count, incoming] : incoming_) incoming.link->Close();
-    checks_.reset();
-    disk_thread_.reset();
+    tick_timer_.reset();
+    store_retry_timer_.reset();
+    control_listener_.reset();
+    link_listener_.reset();
+    for (auto& [link_id, incoming] : inbound_links_) incoming.link->Close();
+    validation_worker_.reset();
+    disk_worker_.reset();
   }
   Impl(const Impl&) = delete;
   Impl& operator=(const Impl&) = delete;
@@ -146,12 +147,14 @@
   void OnSettings(const settings::Settings& settings);
   void Stop(std::function<void()> done);
   std::string StatusText() const;
-  std::uint16_t control_port() const { return control_ ? control_->address().port() : std::uint16_t{0}; }
+  std::uint16_t control_port() const {
+    return control_listener_ ? control_listener_->address().port() : std::uint16_t{0};
+  }
 
  private:
-  struct Incoming {
+  struct InboundLink {
     std::shared_ptr<Link> link;
-    Micros since = 0;
+    Micros accepted_at = 0;
     std::optional<transport::Hello> hello;
   };
   struct Counters {
@@ -162,17 +165,17 @@
   // control::ControlReplicaHost
   Micros Now() const override { return loop_.Now(); }
   bool SendToPeer(const ReplicaId& to, std::string_view frame) override { return peers_.Send(to, frame); }
-  void SendToSidecars(const std::vector<SidecarLink>& links, const push::CoreUpdate& news) override;
+  void SendToSidecars(const std::vector<SidecarLink>& links, const push::CoreUpdate& update) override;
   void CloseSidecar(SidecarLink link) override;
-  void Write(const consensus::PersistentState& durable, std::uint64_t token) override;
+  void Write(const consensus::PersistentState& state, std::uint64_t token) override;
   bool RunInBackground(std::function<void()> work, std::function<void()> done) override {
-    return checks_->Run(std::move(work), std::move(done));
+    return validation_worker_->Run(std::move(work), std::move(done));
   }
   std::string ControlAddress(const ReplicaId& core) const override;
-  void Post(std::function<void()> next) override;
+  void Post(std::function<void()> task) override;
 
-  void OpenDisk();
-  void OnOpened(Opened opened);
+  void OpenStoreAsync();
+  void OnStoreOpened(OpenResult opened);
   void OnWritten(std::uint64_t token, const absl::Status& status);
   void OnTick();
   void CheckCommitted();
@@ -181,12 +184,12 @@
   void OnAccepted(const std::shared_ptr<Link>& link);
   void OnFrame(std::uint64_t from, std::string_view frame);
   void OnHello(std::uint64_t from, std::string_view frame);
-  void CloseOlder(std::uint64_t than, const transport::Hello& hello);
-  void CloseIncoming(std::uint64_t count);
-  void CloseSilent();
+  void CloseSuperseded(std::uint64_t newest, const transport::Hello& hello);
+  void CloseLink(std::uint64_t link_id);
+  void CloseLinksWithoutHello();
 
   void OnCommand(Command command, ControlListener::Reply reply);
-  void EndIfStopped();
+  void FinishStopIfDone();
 
   asio::io_context& io_;
   merlinrun::net::AsioLoop loop_;
@@ -197,119 +200,120 @@
   prometheus::Registry registry_;
   metrics::CoreMetrics metrics_{registry_};
   metrics::Invariants invariants_;
-  std::uint64_t committed_ = 0;  // the newest committed entry that was seen
+  std::uint64_t highest_committed_ = 0;  // highest index of a committed entry seen so far
   std::unique_ptr<MetricsEndpoint> metrics_endpoint_;
-  std::shared_ptr<int> alive_ = std::make_shared<int>();
-  std::unique_ptr<merlinrun::core::Timer> tick_, disk_retry_;
+  std::shared_ptr<int> liveness_token_ = std::make_shared<int>();
+  std::unique_ptr<merlinrun::core::Timer> tick_timer_, store_retry_timer_;
   std::shared_ptr<Disk> disk_ = std::make_shared<Disk>();
-  std::unique_ptr<Worker> disk_thread_, checks_;
-  std::unique_ptr<transport::Listener> listener_;
-  std::unique_ptr<ControlListener> control_;
+  std::unique_ptr<Worker> disk_worker_, validation_worker_;
+  std::unique_ptr<transport::Listener> link_listener_;
+  std::unique_ptr<ControlListener> control_listener_;
   PeerLinks peers_;
   ControlReplica replica_;
   EventWaiters event_waiters_;
-  std::map<std::uint64_t, Incoming> incoming_;
-  std::uint64_t incoming_count_ = 0;
-  bool disk_bad_ = false;
+  std::map<std::uint64_t, InboundLink> inbound_links_;
+  std::uint64_t last_link_id_ = 0;
+  bool disk_failing_ = false;
   Counters counters_;
 
-  std::function<void()> stopped_;
+  std::function<void()> on_stopped_;
   bool stopping_ = false;
-  bool control_stopped_ = false;
-  Micros stop_by_ = 0, leave_by_ = 0, flush_by_ = 0;
+  bool control_listener_stopped_ = false;
+  Micros calls_deadline_ = 0, leave_deadline_ = 0, flush_deadline_ = 0;
 };
 
 absl::Status Core::Impl::Start() {
   try {
-    disk_thread_ = std::make_unique<Worker>(io_);
-    checks_ = std::make_unique<Worker>(io_);
+    disk_worker_ = std::make_unique<Worker>(io_);
+    validation_worker_ = std::make_unique<Worker>(io_);
     const settings::Address at = settings_.InternalListenAddress();
-    listener_ = std::make_unique<transport::Listener>(
+    link_listener_ = std::make_unique<transport::Listener>(
         io_, at.ip, at.port, Link::Limits{}, [this](const std::shared_ptr<Link>& link) { OnAccepted(link); });
     const auto address = settings_.listen.find("controlPlane");
     if (address != settings_.listen.end()) {
       const auto endpoint = merlinrun::net::ParseAddress(address->second.Text(), true);
-      if (!endpoint) return absl::UnavailableError("controlPlane is no address");
-      ControlListener::Limits limits;  // half of the descriptors are for links, the rest for all else
-      limits.connections =
-          std::min(limits.connections, static_cast<std::size_t>(settings_.file_descriptors / 3));
-      limits.event_wait_ms = control::kMaxEventWaitMs;
-      control_ = std::make_unique<ControlListener>(io_, *endpoint, limits,
-                                                   [this](Command command, ControlListener::Reply reply) {
-                                                     OnCommand(std::move(command), std::move(reply));
-                                                   });
+      if (!endpoint) return absl::UnavailableError("controlPlane is not an address");
+      ControlListener::Limits limits;  // half of the file descriptors are reserved for links
+      limits.max_connections =
+          std::min(limits.max_connections, static_cast<std::size_t>(settings_.file_descriptors / 3));
+      limits.max_event_wait_ms = control::kMaxEventWaitMs;
+      control_listener_ = std::make_unique<ControlListener>(
+          io_, *endpoint, limits, [this](Command command, ControlListener::Reply reply) {
+            OnCommand(std::move(command), std::move(reply));
+          });
     }
-  } catch (const std::exception& error) {  // of the system, and of Asio
-    return absl::UnavailableError(absl::StrCat("a core can't start: ", error.what()));
+  } catch (const std::exception& error) {  // from the system or Asio
+    return absl::UnavailableError(absl::StrCat("cannot start the core: ", error.what()));
   }
   metrics_endpoint_ =
       OpenMetricsEndpoint(io_, settings_.ip, metrics_address_, registry_, [this] { UpdateMetrics(); });
-  OpenDisk();
-  tick_->Start(kTickBusy, [this] { OnTick(); });
+  OpenStoreAsync();
+  tick_timer_->Start(kBusyTickInterval, [this] { OnTick(); });
   return absl::OkStatus();
 }
 
-void Core::Impl::Post(std::function<void()> next) {
-  asio::post(io_, [alive = std::weak_ptr<int>(alive_), next = std::move(next)] {
-    if (alive.lock()) next();
+void Core::Impl::Post(std::function<void()> task) {
+  asio::post(io_, [alive = std::weak_ptr<int>(liveness_token_), task = std::move(task)] {
+    if (alive.lock()) task();
   });
 }
 
-// Ports are alike on all machines.
+// All cores use the same control plane port.
 std::string Core::Impl::ControlAddress(const ReplicaId& core) const {
-  if (!control_) return {};
-  return core.substr(0, core.rfind(':') + 1) + std::to_string(control_->address().port());
+  if (!control_listener_) return {};
+  return core.substr(0, core.rfind(':') + 1) + std::to_string(control_listener_->address().port());
 }
 
-// ---- disk
+// ---- store
 
-void Core::Impl::OpenDisk() {
-  const auto opened = std::make_shared<Opened>();
-  const bool queued =
-      disk_thread_->Run([disk = disk_, opened, folder = settings_.data_directory + kStoreFolder,
-                         most = StoreBytes(settings_)] { *opened = OpenStore(*disk, folder, most); },
-                        [this, opened] { OnOpened(std::move(*opened)); });
-  if (!queued) disk_retry_->Start(kDiskRetry, [this] { OpenDisk(); });
+void Core::Impl::OpenStoreAsync() {
+  const auto opened = std::make_shared<OpenResult>();
+  const bool queued = disk_worker_->Run(
+      [disk = disk_, opened, directory = settings_.data_directory + kStoreDirectory,
+       max_bytes = StoreBytes(settings_)] { *opened = OpenStore(*disk, directory, max_bytes); },
+      [this, opened] { OnStoreOpened(std::move(*opened)); });
+  if (!queued) store_retry_timer_->Start(kStoreRetryInterval, [this] { OpenStoreAsync(); });
 }
 
-void Core::Impl::OnOpened(Opened opened) {
+void Core::Impl::OnStoreOpened(OpenResult opened) {
   if (!opened.status.ok()) {
-    if (!disk_bad_) LOG(ERROR) << "the store can't be opened, trying on: " << opened.status;
-    disk_bad_ = true;
-    disk_retry_->Start(kDiskRetry, [this] { OpenDisk(); });
+    if (!disk_failing_) LOG(ERROR) << "cannot open the store, retrying: " << opened.status;
+    disk_failing_ = true;
+    store_retry_timer_->Start(kStoreRetryInterval, [this] { OpenStoreAsync(); });
     return;
   }
-  disk_bad_ = false;
-  if (opened.lost) LOG(ERROR) << "the store can't be trusted: this member has forgotten";
+  disk_failing_ = false;
+  if (opened.data_loss) LOG(ERROR) << "the store is corrupt: this member has lost its persisted state";
   consensus::ReplicaSettings replica;
   replica.seed = incarnation_ ^ 0x9e3779b97f4a7c15U;
   replica.initial_voters = Seeds(settings_);
-  // A founder starts from nothing; a member that had a store and lost it may have promised something.
-  replica.bootstrap = settings_.first_start && !opened.lost;
-  replica.persisted = std::move(opened.stored);
+  // Only a member that never had a store may bootstrap: one that lost its store may have voted before.
+  replica.bootstrap = settings_.first_start && !opened.data_loss;
+  replica.persisted = std::move(opened.state);
   replica.seed_peers = replica.initial_voters;
-  LOG(INFO) << "core " << self_ << " starts, life " << incarnation_ << ", "
-            << (replica.persisted ? absl::StrCat("entry ", replica.persisted->accepted.index, " stored")
-                                  : std::string(replica.bootstrap ? "a founder" : "nothing stored"));
+  LOG(INFO) << "core " << self_ << " starts, incarnation " << incarnation_ << ", "
+            << (replica.persisted ? absl::StrCat("entry ", replica.persisted->accepted.index, " persisted")
+                                  : std::string(replica.bootstrap ? "bootstrapping" : "nothing persisted"));
   replica_.Start(std::move(replica));
-  if (stopping_) EndIfStopped();
+  if (stopping_) FinishStopIfDone();
 }
 
-void Core::Impl::Write(const consensus::PersistentState& durable, std::uint64_t token) {
+void Core::Impl::Write(const consensus::PersistentState& state, std::uint64_t token) {
   ++counters_.writes;
   const auto status = std::make_shared<absl::Status>();
   const bool queued =
-      disk_thread_->Run([disk = disk_, status, durable] { *status = disk->store->Write(durable); },
+      disk_worker_->Run([disk = disk_, status, state] { *status = disk->store->Write(state); },
                         [this, token, status] { OnWritten(token, *status); });
   if (queued) return;
-  Post([this, token] { OnWritten(token, absl::ResourceExhaustedError("too much waits for the disk")); });
+  Post([this, token] { OnWritten(token, absl::ResourceExhaustedError("the disk queue is full")); });
 }
 
 void Core::Impl::OnWritten(std::uint64_t token, const absl::Status& status) {
   if (!status.ok()) ++counters_.failed_writes;
-  if (!status.ok() != disk_bad_) {
-    disk_bad_ = !disk_bad_;
-    LOG(WARNING) << "the disk " << (disk_bad_ ? absl::StrCat("fails: ", status.ToString()) : "is well again");
+  if (!status.ok() != disk_failing_) {
+    disk_failing_ = !disk_failing_;
+    LOG(WARNING) << "disk writes "
+                 << (disk_failing_ ? absl::StrCat("fail: ", status.ToString()) : "succeed again");
   }
   replica_.OnWritten(token, status.ok());
 }
@@ -317,18 +321,18 @@
 void Core::Impl::OnTick() {
   replica_.OnTick();
   event_waiters_.OnTick(loop_.Now());
-  CloseSilent();
+  CloseLinksWithoutHello();
   CheckCommitted();
   const bool busy = replica_.NeedsFrequentTicks() || stopping_;
-  tick_->Start(busy ? kTickBusy : kTickCalm, [this] { OnTick(); });
-  if (stopping_) EndIfStopped();
+  tick_timer_->Start(busy ? kBusyTickInterval : kIdleTickInterval, [this] { OnTick(); });
+  if (stopping_) FinishStopIfDone();
 }
 
 void Core::Impl::CheckCommitted() {
   const std::uint64_t committed = replica_.committed_entry().index;
-  invariants_.Check(metrics::Invariant::kCommittedEntryMonotonic, committed >= committed_,
-                    [&] { return absl::StrCat("entry ", committed, " after entry ", committed_); });
-  committed_ = std::max(committed_, committed);
+  invariants_.Check(metrics::Invariant::kCommittedEntryMonotonic, committed >= highest_committed_,
+                    [&] { return absl::StrCat("entry ", committed, " after entry ", highest_committed_); });
+  highest_committed_ = std::max(highest_committed_, committed);
 }
 
 void Core::Impl::UpdateMetrics() {
@@ -340,69 +344,69 @@
   metrics_.sidecars.Set(static_cast<double>(replica_.publisher().ActiveSidecars(loop_.Now())));
 }
 
-// ---- links from other cores and from sidecars
+// ---- inbound links from cores and sidecars
 
 void Core::Impl::OnAccepted(const std::shared_ptr<Link>& link) {
-  if (stopping_ || incoming_.size() >= static_cast<std::size_t>(settings_.file_descriptors / 2)) {
+  if (stopping_ || inbound_links_.size() >= static_cast<std::size_t>(settings_.file_descriptors / 2)) {
     ++counters_.refused_links;
     link->Close();
     return;
   }
-  const std::uint64_t count = ++incoming_count_;
-  incoming_[count] = {link, loop_.Now(), std::nullopt};
-  link->Start({[this, count](std::string_view frame) { OnFrame(count, frame); },
-               [this, count] { CloseIncoming(count); }, nullptr});
+  const std::uint64_t link_id = ++last_link_id_;
+  inbound_links_[link_id] = {link, loop_.Now(), std::nullopt};
+  link->Start({[this, link_id](std::string_view frame) { OnFrame(link_id, frame); },
+               [this, link_id] { CloseLink(link_id); }, nullptr});
 }
 
-void Core::Impl::SendToSidecars(const std::vector<SidecarLink>& links, const push::CoreUpdate& news) {
-  const std::string frame = transport::Pack(news);
+void Core::Impl::SendToSidecars(const std::vector<SidecarLink>& links, const push::CoreUpdate& update) {
+  const std::string frame = transport::Pack(update);
   for (const SidecarLink link : links) {
-    const auto it = incoming_.find(link);
-    if (it != incoming_.end()) it->second.link->Send(frame);
+    const auto it = inbound_links_.find(link);
+    if (it != inbound_links_.end()) it->second.link->Send(frame);
   }
 }
 
-void Core::Impl::CloseSidecar(SidecarLink link) {  // the replica has forgotten it already
-  const auto it = incoming_.find(link);
-  if (it == incoming_.end()) return;
-  const std::shared_ptr<Link> gone = std::move(it->second.link);
-  incoming_.erase(it);
-  gone->Close();
+void Core::Impl::CloseSidecar(SidecarLink link) {  // called by the replica, which has dropped it already
+  const auto it = inbound_links_.find(link);
+  if (it == inbound_links_.end()) return;
+  const std::shared_ptr<Link> closing = std::move(it->second.link);
+  inbound_links_.erase(it);
+  closing->Close();
 }
 
-void Core::Impl::CloseIncoming(std::uint64_t count) {
-  const auto it = incoming_.find(count);
-  if (it == incoming_.end()) return;
-  const Incoming gone = std::move(it->second);
-  incoming_.erase(it);
-  gone.link->Close();
-  if (gone.hello && gone.hello->purpose == transport::Purpose::kControl) replica_.OnSidecarDown(count);
+void Core::Impl::CloseLink(std::uint64_t link_id) {
+  const auto it = inbound_links_.find(link_id);
+  if (it == inbound_links_.end()) return;
+  const InboundLink closed = std::move(it->second);
+  inbound_links_.erase(it);
+  closed.link->Close();
+  if (closed.hello && closed.hello->purpose == transport::Purpose::kControl) replica_.OnSidecarDown(link_id);
 }
 
-void Core::Impl::CloseSilent() {
+void Core::Impl::CloseLinksWithoutHello() {
   const Micros now = loop_.Now();
-  std::vector<std::uint64_t> silent;
-  for (const auto& [count, incoming] : incoming_) {
-    if (!incoming.hello && now >= incoming.since + kHelloWithin) silent.push_back(count);
+  std::vector<std::uint64_t> expired;
+  for (const auto& [link_id, incoming] : inbound_links_) {
+    if (!incoming.hello && now >= incoming.accepted_at + kHelloTimeout) expired.push_back(link_id);
   }
-  for (const std::uint64_t count : silent) CloseIncoming(count);
+  for (const std::uint64_t link_id : expired) CloseLink(link_id);
 }
 
 void Core::Impl::OnFrame(std::uint64_t from, std::string_view frame) {
-  const auto it = incoming_.find(from);
-  if (it == incoming_.end()) return;
-  const std::shared_ptr<Link> held = it->second.link;  // it may be closed from in here
+  const auto it = inbound_links_.find(from);
+  if (it == inbound_links_.end()) return;
+  const std::shared_ptr<Link> link = it->second.link;  // keeps it alive if it is closed below
   if (!it->second.hello) return OnHello(from, frame);
   if (it->second.hello->purpose == transport::Purpose::kCore) {
     const ReplicaId peer = it->second.hello->address;
     return replica_.OnPeerFrame(peer, frame);
   }
-  auto tell = transport::Unpack<push::SidecarReport>(frame);
-  if (!tell.ok()) {
+  auto report = transport::Unpack<push::SidecarReport>(frame);
+  if (!report.ok()) {
     ++counters_.malformed_frames;
-    return CloseIncoming(from);
+    return CloseLink(from);
   }
-  replica_.OnSidecarReport(from, *tell);
+  replica_.OnSidecarReport(from, *report);
 }
 
 void Core::Impl::OnHello(std::uint64_t from, std::string_view frame) {
@@ -413,22 +417,22 @@
                (hello->purpose == transport::Purpose::kCore && merlinrun::net::ParseAddress(hello->address)));
   if (!wanted) {
     ++(good ? counters_.refused_links : counters_.malformed_frames);
-    return CloseIncoming(from);
+    return CloseLink(from);
   }
-  CloseOlder(from, *hello);
-  incoming_[from].hello = *std::move(hello);
+  CloseSuperseded(from, *hello);
+  inbound_links_[from].hello = *std::move(hello);
 }
 
-// One link a purpose from each: an older one stands for a process, or a way, that is gone.
-void Core::Impl::CloseOlder(std::uint64_t than, const transport::Hello& hello) {
+// Each peer keeps one link per purpose: a new one replaces older ones, which are stale.
+void Core::Impl::CloseSuperseded(std::uint64_t newest, const transport::Hello& hello) {
   std::vector<std::uint64_t> older;
-  for (const auto& [count, incoming] : incoming_) {
-    if (count != than && incoming.hello && incoming.hello->purpose == hello.purpose &&
+  for (const auto& [link_id, incoming] : inbound_links_) {
+    if (link_id != newest && incoming.hello && incoming.hello->purpose == hello.purpose &&
         incoming.hello->address == hello.address) {
-      older.push_back(count);
+      older.push_back(link_id);
     }
   }
-  for (const std::uint64_t count : older) CloseIncoming(count);
+  for (const std::uint64_t link_id : older) CloseLink(link_id);
 }
 
 // ---- calls
@@ -443,8 +447,8 @@
   if (std::holds_alternative<control::Status>(command)) return reply({200, StatusText(), {}});
   if (const auto* events = std::get_if<control::ReadEvents>(&command))
     return event_waiters_.OnCall(loop_.Now(), *events, std::move(reply));
-  // Servers report beside their sidecars, which tell the cores. What is acknowledged has to be known, and a
-  // core alone makes nothing of it: the caller goes on to the next.
+  // Servers report to their own sidecar. A core would have to acknowledge a report that it does not record,
+  // so it rejects it.
   if (std::holds_alternative<control::InstanceHeartbeat>(command) ||
       std::holds_alternative<control::InstanceDeparture>(command)) {
     ++counters_.misdirected_reports;
@@ -455,7 +459,7 @@
                            : control::ErrorResponse(404, "there is no such path"));
 }
 
-// ---- settings, end, status
+// ---- settings, shutdown, status
 
 void Core::Impl::OnSettings(const settings::Settings& settings) {
   settings_.seeds = settings.seeds;
@@ -464,26 +468,27 @@
 
 void Core::Impl::Stop(std::function<void()> done) {
   if (stopping_) return;
-  LOG(INFO) << "core " << self_ << " ends";
+  LOG(INFO) << "core " << self_ << " is stopping";
   stopping_ = true;
-  stopped_ = std::move(done);
-  stop_by_ = loop_.Now() + kStopWithin;
-  leave_by_ = loop_.Now() + static_cast<Micros>(settings_.bounds.grace_period_s * 1e6 * kLeaveShare);
+  on_stopped_ = std::move(done);
+  calls_deadline_ = loop_.Now() + kPendingCallsTimeout;
+  leave_deadline_ =
+      loop_.Now() + static_cast<Micros>(settings_.bounds.grace_period_s * 1e6 * kLeaveGraceFraction);
   replica_.PrepareShutdown();
   event_waiters_.Stop();
-  control_stopped_ = !control_;
-  if (control_) control_->Stop([this] { control_stopped_ = true; });
+  control_listener_stopped_ = !control_listener_;
+  if (control_listener_) control_listener_->Stop([this] { control_listener_stopped_ = true; });
 }
 
-void Core::Impl::EndIfStopped() {
-  if (!stopped_) return;
+void Core::Impl::FinishStopIfDone() {
+  if (!on_stopped_) return;
   const Micros now = loop_.Now();
-  const bool calls = !control_stopped_ || replica_.HasPendingCalls();
-  if (calls && now < stop_by_) return;
-  if (!replica_.ReadyForShutdown() && now < leave_by_) return;
-  if (flush_by_ == 0) flush_by_ = now + kFlushWithin;
-  if ((replica_.IsLeader() || peers_.queued() > 0) && now < flush_by_) return;
-  asio::post(io_, std::exchange(stopped_, nullptr));
+  const bool calls_pending = !control_listener_stopped_ || replica_.HasPendingCalls();
+  if (calls_pending && now < calls_deadline_) return;
+  if (!replica_.ReadyForShutdown() && now < leave_deadline_) return;
+  if (flush_deadline_ == 0) flush_deadline_ = now + kFlushTimeout;
+  if ((replica_.IsLeader() || peers_.queued_bytes() > 0) && now < flush_deadline_) return;
+  asio::post(io_, std::exchange(on_stopped_, nullptr));
 }
 
 std::string Core::Impl::StatusText() const {
@@ -498,9 +503,9 @@
   out["version"] = replica_.replicated_state().newest().version();
   out["voters"] = replica_.committed_entry().voters;
   out["sidecarsHeard"] = replica_.publisher().ActiveSidecars(loop_.Now());
-  out["diskBad"] = disk_bad_;
+  out["diskBad"] = disk_failing_;
   out["stopping"] = stopping_;
-  out["links"] = {{"incoming", incoming_.size()}, {"peers", peers_.size()}};
+  out["links"] = {{"incoming", inbound_links_.size()}, {"peers", peers_.size()}};
   const control::ConfigurationService::Counters& service = replica_.service_counters();
   out["changes"] = {{"taken", service.committed},         {"repeated", service.duplicates},
                     {"conflicts", service.conflicts},     {"invalid", service.invalid},
@@ -519,20 +524,20 @@
       {"dials", peers_.dials()},
       {"writes", counters_.writes},
       {"failedWrites", counters_.failed_writes}};
-  if (control_) {
-    const ControlListener::Counters& control = control_->counters();
-    out["control"] = {{"connections", control_->connections()},
+  if (control_listener_) {
+    const ControlListener::Counters& control = control_listener_->counters();
+    out["control"] = {{"connections", control_listener_->connections()},
                       {"calls", control.calls},
-                      {"bad", control.bad},
+                      {"bad", control.malformed},
                       {"timedOut", control.timed_out},
-                      {"turnedAway", control.turned_away}};
+                      {"turnedAway", control.rejected}};
   }
   return out.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-Core::Core(asio::io_context& io, const settings::Settings& settings, std::uint64_t life,
+Core::Core(asio::io_context& io, const settings::Settings& settings, std::uint64_t incarnation,
            const ProcessOptions& options)
-    : impl_(std::make_unique<Impl>(io, settings, life, options)) {}
+    : impl_(std::make_unique<Impl>(io, settings, incarnation, options)) {}
 Core::~Core() = default;
 absl::Status Core::Start() { return impl_->Start(); }
 void Core::OnSettings(const settings::Settings& settings) { impl_->OnSettings(settings); }
--- a/src/mesh/node/core.hpp
+++ b/src/mesh/node/core.hpp
@@ -1,4 +1,5 @@
-// A core: keeps the configuration with the other cores, and the list of servers for the sidecars.
+// A core (control plane replica): replicates the configuration with the other cores and pushes it, with the
+// registry of servers, to the sidecars.
 #ifndef FENNELHOLLOW_MESH_NODE_CORE_HPP_
 #define FENNELHOLLOW_MESH_NODE_CORE_HPP_
 
@@ -15,29 +16,29 @@
 
 namespace fennelhollow::node {
 
-// Threading: its functions, and all that it calls, on the thread of `io`; two threads of its own for the disk
-// and for checks.
+// Not thread-safe: its functions and callbacks run on the thread of `io`. It owns two worker threads, one for
+// disk I/O and one for validating configurations.
 class Core {
  public:
-  // `life`: drawn at random at each start of the process.
-  Core(merlinrun::net::asio::io_context& io, const settings::Settings& settings, std::uint64_t life,
+  // `incarnation`: random number drawn at each start of the process.
+  Core(merlinrun::net::asio::io_context& io, const settings::Settings& settings, std::uint64_t incarnation,
        const ProcessOptions& options = {});
-  ~Core();  // closes all; waits for the disk's work under way
+  ~Core();  // closes all connections; waits for disk I/O in progress
   Core(const Core&) = delete;
   Core& operator=(const Core&) = delete;
 
-  // Once: listens and opens its disk. kUnavailable: an address can't be listened on, or there is no thread to
-  // be had. A disk that can't be opened is tried again and is no error here.
+  // Call once: starts listening and opens the store. kUnavailable: an address cannot be bound or a thread
+  // cannot be started. Opening the store is retried in the background; its failure is not reported here.
   absl::Status Start();
-  // The settings file has changed: takes over whom to ask. The rest holds until the next start.
+  // Applies the seeds of changed settings; the rest takes effect at the next start.
   void OnSettings(const settings::Settings& settings);
-  // Hands its duty on, ends calls under way (two seconds at most), then `done`, from the loop; destroy it
-  // after that.
+  // Hands over leadership and its vote, finishes calls in flight (2 s at most), then posts `done` to the
+  // loop. Destroy it only after that.
   void Stop(std::function<void()> done);
 
-  // For operators, as GET /-/Status gives it.
+  // JSON, as GET /-/Status returns it.
   std::string StatusText() const;
-  // Of the control plane's address, once started (0 before).
+  // Port of the control plane listener; 0 before Start or without one.
   std::uint16_t control_port() const;
 
  private:
--- a/src/mesh/node/event_waiters.hpp
+++ b/src/mesh/node/event_waiters.hpp
@@ -1,4 +1,4 @@
-// Readers of a core's events (GET /-/Events.Read) that wait for the next one. Free of I/O; one thread.
+// Pending long polls of a core's events (GET /-/Events.Read). No I/O; not thread-safe.
 #ifndef FENNELHOLLOW_MESH_NODE_EVENT_WAITERS_HPP_
 #define FENNELHOLLOW_MESH_NODE_EVENT_WAITERS_HPP_
 
@@ -20,16 +20,17 @@
   // `events` must outlive it.
   explicit EventWaiters(const push::EventLog& events) : events_(events) {}
 
-  // Answered at once if there is an event, the call doesn't wait, or too many wait.
+  // Replies at once if there is a newer event, the call sets no wait, or too many calls are already waiting.
   void OnCall(Micros now, const control::ReadEvents& call, Reply reply);
+  // Replies to the calls that have a newer event or whose wait is over.
   void OnTick(Micros now);
-  // Answers all, now and from now on at once.
+  // Replies to all waiting calls; later calls are answered at once.
   void Stop();
 
  private:
   struct Waiter {
     std::uint64_t epoch = 0, since = 0;
-    Micros until = 0;
+    Micros deadline = 0;
     Reply reply;
   };
   const push::EventLog& events_;
--- a/src/mesh/node/main.cpp
+++ b/src/mesh/node/main.cpp
@@ -1,7 +1,6 @@
-// fennelhollow-node: the mesh's program for all machines. What it does follows from its settings file,
-// whose path stands in FENNELHOLLOW_CONFIG: a machine that serves `sidecar` runs a sidecar, one that serves
-// `control_plane` a core. Exit status: 0 after SIGTERM or SIGINT, 1 if it can't listen, 2 if the settings or
-// arguments make no sense.
+// fennelhollow-node: runs a sidecar if the settings file (path in FENNELHOLLOW_CONFIG) serves `sidecar`, else
+// a core. Exit status: 0 after SIGTERM or SIGINT, 1 if it cannot listen, 2 if the settings or arguments are
+// invalid.
 #include <glog/logging.h>
 #include <sys/stat.h>
 
@@ -32,90 +31,91 @@
 
 constexpr const char* kVersion = "0.3.0";
 constexpr const char* kSettingsVariable = "FENNELHOLLOW_CONFIG";
-// A settings file may change without a signal.
-constexpr auto kLookAgain = std::chrono::seconds(2);
+// For changes of the settings file without a signal.
+constexpr auto kSettingsPollInterval = std::chrono::seconds(2);
 
-// Reads the settings file again at each SIGHUP, and when it has changed.
+// Reloads the settings file at SIGHUP and when it has changed; invalid settings are ignored.
 class Reloader {
  public:
   Reloader(boost::asio::io_context& io, std::string path,
-           std::function<void(const settings::Settings&)> changed)
+           std::function<void(const settings::Settings&)> on_change)
       : signals_(io, SIGHUP),
         timer_(io),
         path_(std::move(path)),
-        changed_(std::move(changed)),
-        seen_(Stamp()) {
-    OnSignal();
-    Look();
+        on_change_(std::move(on_change)),
+        last_stamp_(CurrentStamp()) {
+    AwaitSignal();
+    PollFile();
   }
 
  private:
-  struct Seen {
+  struct FileStamp {
     ino_t inode = 0;
     off_t size = 0;
-    std::int64_t changed = 0;
-    bool operator==(const Seen&) const = default;
+    std::int64_t modified_ns = 0;
+    bool operator==(const FileStamp&) const = default;
   };
-  Seen Stamp() const {
-    struct stat about = {};
-    if (::stat(path_.c_str(), &about) != 0) return {};
-    return {about.st_ino, about.st_size, about.st_mtim.tv_sec * 1'000'000'000LL + about.st_mtim.tv_nsec};
+  FileStamp CurrentStamp() const {
+    struct stat file_info = {};
+    if (::stat(path_.c_str(), &file_info) != 0) return {};
+    return {file_info.st_ino, file_info.st_size,
+            file_info.st_mtim.tv_sec * 1'000'000'000LL + file_info.st_mtim.tv_nsec};
   }
-  void OnSignal() {
+  void AwaitSignal() {
     signals_.async_wait([this](const boost::system::error_code& stopped, int) {
       if (stopped) return;
-      Read();
-      OnSignal();
+      Reload();
+      AwaitSignal();
     });
   }
-  void Look() {
-    timer_.expires_after(kLookAgain);
+  void PollFile() {
+    timer_.expires_after(kSettingsPollInterval);
     timer_.async_wait([this](const boost::system::error_code& stopped) {
       if (stopped) return;
-      if (Stamp() != seen_) Read();
-      Look();
+      if (CurrentStamp() != last_stamp_) Reload();
+      PollFile();
     });
   }
-  void Read() {
-    seen_ = Stamp();
+  void Reload() {
+    last_stamp_ = CurrentStamp();
     const auto settings = settings::Load(path_);
     if (!settings.ok()) {
-      LOG(WARNING) << "the settings are kept as they were: " << settings.status().message();
+      LOG(WARNING) << "keeping the previous settings: " << settings.status().message();
       return;
     }
-    changed_(*settings);
+    on_change_(*settings);
   }
 
   boost::asio::signal_set signals_;
   boost::asio::steady_timer timer_;
   const std::string path_;
-  const std::function<void(const settings::Settings&)> changed_;
-  Seen seen_;
+  const std::function<void(const settings::Settings&)> on_change_;
+  FileStamp last_stamp_;
 };
 
-// Writes the counters to the log every so many seconds.
-class Reporter {
+// Logs the status every `interval_s` seconds; 0: never.
+class StatusReporter {
  public:
-  Reporter(boost::asio::io_context& io, int seconds, std::function<std::string()> status)
-      : timer_(io), seconds_(seconds), status_(std::move(status)) {
-    if (seconds_ > 0) Next();
+  StatusReporter(boost::asio::io_context& io, int interval_s, std::function<std::string()> status)
+      : timer_(io), interval_s_(interval_s), status_(std::move(status)) {
+    if (interval_s_ > 0) ScheduleReport();
   }
 
  private:
-  void Next() {
-    timer_.expires_after(std::chrono::seconds(seconds_));
+  void ScheduleReport() {
+    timer_.expires_after(std::chrono::seconds(interval_s_));
     timer_.async_wait([this](const boost::system::error_code& stopped) {
       if (stopped) return;
       LOG(INFO) << status_();
-      Next();
+      ScheduleReport();
     });
   }
   boost::asio::steady_timer timer_;
-  const int seconds_;
+  const int interval_s_;
   const std::function<std::string()> status_;
 };
 
-int Run(const std::string& path, int report_s, const ProcessOptions& options) {
+int Run(const std::string& path, int report_interval_s, const ProcessOptions& options) {
   const auto settings = settings::Load(path);
   if (!settings.ok()) {
     std::fprintf(stderr, "fennelhollow-node: %s\n", std::string(settings.status().message()).c_str());
@@ -123,13 +123,13 @@
   }
   boost::asio::io_context io(1);
   std::random_device device;
-  const std::uint64_t life = (static_cast<std::uint64_t>(device()) << 32 | device()) | 1;
+  const std::uint64_t incarnation = (static_cast<std::uint64_t>(device()) << 32 | device()) | 1;
   std::unique_ptr<Sidecar> sidecar;
   std::unique_ptr<Core> core;
   if (settings->Serves("sidecar"))
-    sidecar = std::make_unique<Sidecar>(io, *settings, life, options);
+    sidecar = std::make_unique<Sidecar>(io, *settings, incarnation, options);
   else
-    core = std::make_unique<Core>(io, *settings, life, options);
+    core = std::make_unique<Core>(io, *settings, incarnation, options);
   Reloader reloader(io, path, [&](const settings::Settings& changed) {
     if (sidecar) sidecar->OnSettings(changed);
     if (core) core->OnSettings(changed);
@@ -145,30 +145,31 @@
     std::fprintf(stderr, "fennelhollow-node: %s\n", std::string(started.message()).c_str());
     return 1;
   }
-  Reporter reporter(io, report_s, [&] { return sidecar ? sidecar->StatusText() : core->StatusText(); });
+  StatusReporter reporter(io, report_interval_s,
+                          [&] { return sidecar ? sidecar->StatusText() : core->StatusText(); });
   LOG(INFO) << settings->node_name << " runs as " << (sidecar ? "sidecar" : "core");
   merlinrun::net::RunUntilStopped(io, [](const char* what) { LOG(ERROR) << what; });
   return 0;
 }
 
 int Main(int argc, char** argv) {
-  std::signal(SIGPIPE, SIG_IGN);  // a peer that has left is an error of the write, not the end
+  std::signal(SIGPIPE, SIG_IGN);  // writing to a closed connection returns an error instead
   FLAGS_logtostderr = true;
   google::InitGoogleLogging(argv[0]);
   argagg::parser parser{
-      {{"help", {"-h", "--help"}, "says this", 0},
-       {"version", {"--version"}, "says the version", 0},
-       {"check", {"--check"}, "checks a settings file and ends with status 0 or 2", 1},
-       {"report", {"--report"}, "writes the counters to the log every so many seconds", 1},
-       {"metrics", {"--metrics"}, "tells Prometheus metrics at PORT/PATH of the machine's address", 1},
-       {"abort-on-violation", {"--abort-on-violation"}, "ends by abort where an invariant is violated", 0}}};
-  int report_s = 0;
+      {{"help", {"-h", "--help"}, "prints this help", 0},
+       {"version", {"--version"}, "prints the version", 0},
+       {"check", {"--check"}, "checks a settings file; exit status 0 if valid, else 2", 1},
+       {"report", {"--report"}, "logs the status every N seconds (1 to 86400)", 1},
+       {"metrics", {"--metrics"}, "serves Prometheus metrics at PORT/PATH of the machine's address", 1},
+       {"abort-on-violation", {"--abort-on-violation"}, "aborts when an invariant is violated", 0}}};
+  int report_interval_s = 0;
   ProcessOptions options;
   try {
     const argagg::parser_results arguments = parser.parse(argc, argv);
     if (arguments["help"]) {
-      std::cout << "fennelhollow-node: runs as its settings say; their path stands in " << kSettingsVariable
-                << "\n"
+      std::cout << "fennelhollow-node: runs a sidecar or a core, as the settings file says; its path is in "
+                << kSettingsVariable << "\n"
                 << parser;
       return 0;
     }
@@ -177,10 +178,11 @@
       return 0;
     }
     if (!arguments.pos.empty())
-      throw std::invalid_argument(std::string("no such argument: ") + arguments.pos.front());
+      throw std::invalid_argument(std::string("unexpected argument: ") + arguments.pos.front());
     if (arguments["report"]) {
-      report_s = arguments["report"].as<int>();
-      if (report_s < 1 || report_s > 86'400) throw std::invalid_argument("--report takes 1 to 86400 seconds");
+      report_interval_s = arguments["report"].as<int>();
+      if (report_interval_s < 1 || report_interval_s > 86'400)
+        throw std::invalid_argument("--report takes 1 to 86400 seconds");
     }
     if (arguments["metrics"]) {
       const auto address = fennelhollow::node::ParseMetricsAddress(arguments["metrics"].as<std::string>());
@@ -204,7 +206,7 @@
     std::fprintf(stderr, "fennelhollow-node: %s is not set\n", kSettingsVariable);
     return 2;
   }
-  return Run(path, report_s, options);
+  return Run(path, report_interval_s, options);
 }
 
 }  // namespace
--- a/src/mesh/node/metrics_endpoint.hpp
+++ b/src/mesh/node/metrics_endpoint.hpp
@@ -1,4 +1,4 @@
-// HTTP endpoint that tells a process's metrics in the Prometheus text format.
+// HTTP endpoint that serves a process's metrics in the Prometheus text format.
 #ifndef FENNELHOLLOW_MESH_NODE_METRICS_ENDPOINT_HPP_
 #define FENNELHOLLOW_MESH_NODE_METRICS_ENDPOINT_HPP_
 
@@ -15,37 +15,37 @@
 
 namespace fennelhollow::node {
 
-// Where metrics are told, as the command line and deploy/system.toml have it: "PORT/PATH".
+// Where metrics are served, written "PORT/PATH" on the command line and in deploy/system.toml.
 struct MetricsAddress {
-  std::uint16_t port = 0;  // 0: metrics are not told
+  std::uint16_t port = 0;  // 0: metrics are not served
   std::string path;        // begins with a slash
 };
 
-// kInvalidArgument, with one plain line, if `text` is not PORT/PATH.
+// kInvalidArgument, with a one-line message, if `text` is not PORT/PATH.
 absl::StatusOr<MetricsAddress> ParseMetricsAddress(std::string_view text);
 
-// Answers GET at one path, 404 elsewhere. Threading: all of it on the thread of `io`.
+// Answers GET at one path and 404 elsewhere. Not thread-safe: runs on the thread of `io`.
 class MetricsEndpoint {
  public:
-  // `registry` must outlive it. `before`: called before each reading, to bring gauges up to date; may be
-  // empty. Throws boost::system::system_error if the address can't be listened on.
+  // `registry` must outlive it. `before_scrape` updates gauges before each scrape; may be empty.
+  // Throws boost::system::system_error if the address cannot be bound.
   MetricsEndpoint(egress::asio::io_context& io, const std::string& ip, MetricsAddress address,
-                  const prometheus::Registry& registry, std::function<void()> before);
+                  const prometheus::Registry& registry, std::function<void()> before_scrape);
 
  private:
-  void Answer(const egress::HttpServer::SessionPtr& session, const egress::HttpRequest& request) const;
+  void OnRequest(const egress::HttpServer::SessionPtr& session, const egress::HttpRequest& request) const;
 
   const MetricsAddress address_;
   const prometheus::Registry& registry_;
-  const std::function<void()> before_;
+  const std::function<void()> before_scrape_;
   egress::HttpServer server_;
 };
 
-// Null, with a line in the log, if it can't listen: a process serves also where its metrics can't be read.
+// Null if `address` has no port, or, with a warning, if it cannot be bound: the process runs without metrics.
 std::unique_ptr<MetricsEndpoint> OpenMetricsEndpoint(egress::asio::io_context& io, const std::string& ip,
                                                      const MetricsAddress& address,
                                                      const prometheus::Registry& registry,
-                                                     std::function<void()> before = {});
+                                                     std::function<void()> before_scrape = {});
 
 }  // namespace fennelhollow::node
 
--- a/src/mesh/node/peer_links.hpp
+++ b/src/mesh/node/peer_links.hpp
@@ -1,5 +1,5 @@
-// The links that a core holds to other cores: dialled when there is something to send, again after a pause
-// that doubles. What comes back comes over the other core's own link.
+// A core's outgoing links to the other cores, dialed on demand and redialed with exponential backoff. They
+// are one-way: peers reply over links of their own.
 #ifndef FENNELHOLLOW_MESH_NODE_PEER_LINKS_HPP_
 #define FENNELHOLLOW_MESH_NODE_PEER_LINKS_HPP_
 
@@ -18,28 +18,28 @@
 
 using merlinrun::Micros;
 
-// Threading: all of it on the thread of `io`.
+// Not thread-safe: everything runs on the thread of `io`.
 class PeerLinks {
  public:
   using PeerId = std::string;  // internal address, ip:port
 
-  // Never called from inside Send.
+  // Never called from within Send.
   struct Events {
-    std::function<void(const PeerId&)> on_down;     // a link has ended, or could not be made
-    std::function<void(const PeerId&)> on_refused;  // the machine answers, and nobody listens there
+    std::function<void(const PeerId&)> on_down;     // a link was closed or could not be established
+    std::function<void(const PeerId&)> on_refused;  // the host is up, but nothing listens on the port
   };
 
-  // `hello` begins each link.
+  // `hello` is the first frame on each link.
   PeerLinks(transport::asio::io_context& io, merlinrun::net::AsioLoop& loop, transport::Hello hello,
             Events events);
-  ~PeerLinks();  // closes all; no event is called any more
+  ~PeerLinks();  // closes all links; no callback runs afterwards
   PeerLinks(const PeerLinks&) = delete;
   PeerLinks& operator=(const PeerLinks&) = delete;
 
-  // False: no link now, or too much waits for this peer to read it.
+  // False if there is no link now (dialing starts unless backing off) or the peer's send queue is full.
   bool Send(const PeerId& to, std::string_view frame);
-  // Bytes that connected peers have not read yet.
-  std::size_t queued() const;
+  // Bytes queued_bytes to connected peers.
+  std::size_t queued_bytes() const;
   std::size_t size() const { return peers_.size(); }
   std::uint64_t dials() const { return dials_; }
 
@@ -47,14 +47,14 @@
   struct Peer {
     std::shared_ptr<transport::Link> link;
     bool was_up = false;
-    Micros dialled_at = 0;
+    Micros dialed_at = 0;
     Micros up_at = 0;
     Micros backoff = 0;
     Micros retry_at = 0;
-    Micros used_at = 0;
+    Micros last_used_at = 0;
   };
-  Peer& Find(const PeerId& id);
-  void DropLeastUsed();
+  Peer& FindOrAdd(const PeerId& id);
+  void EvictLeastRecentlyUsed();
   void Dial(const PeerId& to, Peer& peer);
   void OnUp(const PeerId& to);
   void OnClosed(const PeerId& to);
--- a/src/mesh/node/process_options.hpp
+++ b/src/mesh/node/process_options.hpp
@@ -1,4 +1,4 @@
-// What a process is told on its command line.
+// Command line options of a node process.
 #ifndef FENNELHOLLOW_MESH_NODE_PROCESS_OPTIONS_HPP_
 #define FENNELHOLLOW_MESH_NODE_PROCESS_OPTIONS_HPP_
 
--- a/src/mesh/node/sidecar.cpp
+++ b/src/mesh/node/sidecar.cpp
@@ -46,24 +46,26 @@
 using egress::HttpServer;
 using merlinrun::Micros;
 
-constexpr Micros kMs = 1000;
-constexpr Micros kTick = 50 * kMs;
-constexpr int kDialMs = 500;
-constexpr Micros kIntroduceEvery = 10'000 * kMs;
-// The share of the retry budget that is used: calls of repeated runs count too, and not all of them are seen
-// here.
-constexpr double kBudgetShare = 0.5;
-// The platform asks once a second and needs two misses before it sends clients elsewhere.
-constexpr Micros kReadinessSeen = 2300 * kMs;
-// After its server has been taken off the list, those on their way to it still come for so long.
-constexpr Micros kLeaveBefore = 500 * kMs;
-// What is still under way is answered this long before the grace period ends, and within its last sixth:
-// until then a server may still finish.
-constexpr Micros kAnswerBefore = 700 * kMs;
-constexpr Micros kAnswerBeforePart = 7;
-// For so long after clients have been sent elsewhere new requests are still taken.
-constexpr Micros kLastTaken = 700 * kMs;
-constexpr Micros kCutBefore = 300 * kMs;
+constexpr Micros kMillisecond = 1000;
+constexpr Micros kTickInterval = 50 * kMillisecond;
+constexpr int kDialTimeoutMs = 500;
+// Least interval between updates of the gossip candidates.
+constexpr Micros kCandidateRefreshInterval = 10'000 * kMillisecond;
+// Share of the retry budget used here: calls made by retried requests count against it too, and this sidecar
+// does not see all of them.
+constexpr double kRetryBudgetShare = 0.5;
+// Time until clients are sent elsewhere: the platform probes readiness every second and needs two failures.
+constexpr Micros kReadinessPropagation = 2300 * kMillisecond;
+// Time in which requests may still arrive after its server was removed from the registry.
+constexpr Micros kRemovalPropagation = 500 * kMillisecond;
+// Remaining requests are answered with 503 or 504 this long, at most a seventh of the grace period, before it
+// ends; until then their servers may finish them.
+constexpr Micros kMaxFinishMargin = 700 * kMillisecond;
+constexpr Micros kFinishMarginDivisor = 7;
+// Time in which new requests are still accepted after clients have been sent elsewhere.
+constexpr Micros kLateRequestWindow = 700 * kMillisecond;
+// The process exits at the latest this long before the grace period ends.
+constexpr Micros kMaxExitMargin = 300 * kMillisecond;
 
 std::string Ip(const std::string& address) { return address.substr(0, address.rfind(':')); }
 
@@ -71,61 +73,63 @@
 
 class Sidecar::Impl : private push::Client::Sink {
  public:
-  Impl(asio::io_context& io, const settings::Settings& settings, std::uint64_t life,
+  Impl(asio::io_context& io, const settings::Settings& settings, std::uint64_t incarnation,
        const ProcessOptions& options)
       : io_(io),
         loop_(io),
         settings_(settings),
-        life_(life),
+        incarnation_(incarnation),
         self_(settings.InternalAddress().Text()),
-        gauge_(
+        limiter_(
             {settings.bounds.quota_window_s, settings.bounds.quota_overshoot, settings.bounds.quota_slack}),
         client_(ClientSettings(), *this),
-        view_({settings.node_name, GossipAddress(self_), life ^ 0x4e11}, advice_),
+        gossip_view_({settings.node_name, GossipAddress(self_), incarnation ^ 0x4e11}, gossip_sink_),
         request_metrics_(registry_),
         invariants_(registry_, options.on_violation),
-        hops_(io, loop_, {settings.node_name, self_, life, 300, 400}),
-        last_hop_(io, loop_, {life, {}},
-                  {[this](const std::string& id) { return beats_.Find(id); },
-                   [this](const std::string& id) { OnUnreachable(id); }, [this] { return !refuses_; },
-                   [this](const ingress::FlowInterval& span) { CheckLeastShare(span); }}),
-        outbound_(loop_, OutboundSettings(), hops_, gauge_, request_metrics_),
+        inbound_proxy_client_(io, loop_, {settings.node_name, self_, incarnation, 300, 400}),
+        inbound_proxy_(
+            io, loop_, {incarnation, {}},
+            {[this](const std::string& id) { return heartbeats_.Find(id); },
+             [this](const std::string& id) { OnUnreachable(id); }, [this] { return !refuse_attempts_; },
+             [this](const ingress::FlowInterval& interval) { CheckMinimumShare(interval); }}),
+        outbound_proxy_(loop_, OutboundSettings(), inbound_proxy_client_, limiter_, request_metrics_),
         metrics_address_(options.metrics),
-        tick_(loop_.NewTimer()) {
-    outbound_.SetRetryShare([this] { return last_hop_.retry_share(); });
+        tick_timer_(loop_.NewTimer()) {
+    outbound_proxy_.SetRetryShare([this] { return inbound_proxy_.retry_share(); });
   }
 
   ~Impl() override {
-    for (auto& [address, link] : links_) link->Close();
-    for (auto& link : young_) link->Close();
+    for (auto& [address, link] : core_links_) link->Close();
+    for (auto& link : unidentified_links_) link->Close();
   }
 
   absl::Status Start() {
     try {
       const auto& listen = settings_.listen;
       const settings::Address internal = settings_.InternalListenAddress();
-      listener_ = std::make_unique<transport::Listener>(
+      link_listener_ = std::make_unique<transport::Listener>(
           io_, internal.ip, internal.port, transport::Link::Limits{},
-          [this](const std::shared_ptr<transport::Link>& link) { OnLink(link); });
+          [this](const std::shared_ptr<transport::Link>& link) { OnInboundLink(link); });
       if (const auto at = listen.find("controlPlane"); at != listen.end())
-        control_ = std::make_unique<ControlListener>(
+        control_listener_ = std::make_unique<ControlListener>(
             io_, merlinrun::net::Tcp::endpoint(asio::ip::make_address(at->second.ip), at->second.port),
             ControlListener::Limits{}, [this](const Command& command, const ControlListener::Reply& reply) {
               OnCommand(command, reply);
             });
       if (const auto at = listen.find("outbound"); at != listen.end())
-        front_ = std::make_unique<HttpServer>(
+        outbound_listener_ = std::make_unique<HttpServer>(
             io_, at->second, HttpServer::Limits{},
-            HttpServer::Handler{
-                [this](const HttpServer::SessionPtr& session, egress::HttpRequest in) {
-                  outbound_.OnRequest(session, std::move(in));
-                },
-                [this](const HttpServer::SessionPtr& session) { outbound_.OnClientDisconnect(session); }});
+            HttpServer::Handler{[this](const HttpServer::SessionPtr& session, egress::HttpRequest in) {
+                                  outbound_proxy_.OnRequest(session, std::move(in));
+                                },
+                                [this](const HttpServer::SessionPtr& session) {
+                                  outbound_proxy_.OnClientDisconnect(session);
+                                }});
       if (const auto at = listen.find("readiness"); at != listen.end())
-        readiness_ = std::make_unique<HttpServer>(
+        readiness_listener_ = std::make_unique<HttpServer>(
             io_, at->second, HttpServer::Limits{},
             HttpServer::Handler{[this](const HttpServer::SessionPtr& session, const egress::HttpRequest&) {
-                                  const bool ready = Ready();
+                                  const bool ready = IsReady();
                                   HttpServer::Respond(session, ready ? 200 : 503,
                                                       {{"Content-Type", "application/json"}},
                                                       ready ? "{\"ready\":true}\n" : "{\"ready\":false}\n");
@@ -135,24 +139,25 @@
       return absl::UnavailableError(std::string("cannot listen: ") + error.what());
     }
     metrics_endpoint_ = OpenMetricsEndpoint(io_, settings_.ip, metrics_address_, registry_);
-    // A second way only: without it everything goes on.
-    auto datagrams =
-        gossip::UdpSocket::Open(io_, settings_.ip, static_cast<std::uint16_t>(settings_.first_port + 1),
-                                [this](const std::string& from, std::string_view bytes) {
-                                  const Micros now = loop_.Now();
-                                  view_.SetLocalState(now, client_.entry(), client_.ResponsiveCores(now));
-                                  view_.OnDatagram(now, from, bytes);
-                                });
-    if (datagrams.ok())
-      datagrams_ = std::move(*datagrams);
+    // Gossip is only a fallback: the sidecar runs without it.
+    auto gossip_socket = gossip::UdpSocket::Open(
+        io_, settings_.ip, static_cast<std::uint16_t>(settings_.first_port + 1),
+        [this](const std::string& from, std::string_view bytes) {
+          const Micros now = loop_.Now();
+          gossip_view_.SetLocalState(now, client_.entry(), client_.ResponsiveCores(now));
+          gossip_view_.OnDatagram(now, from, bytes);
+        });
+    if (gossip_socket.ok())
+      gossip_socket_ = std::move(*gossip_socket);
     else
-      LOG(WARNING) << datagrams.status().message();
+      LOG(WARNING) << gossip_socket.status().message();
     Tick();
     return absl::OkStatus();
   }
 
   void OnSettings(const settings::Settings& settings) {
-    // Seeds are where it first asks; what is known by now is at least as new. A restart reads them anew.
+    // Seeds are the first cores to contact; those learned since are at least as recent. A restart rereads
+    // them.
     settings_.seeds = settings.seeds;
     client_.SetSeeds(settings_.SeedInternalAddresses());
   }
@@ -160,66 +165,66 @@
   void Stop(std::function<void()> done) {
     if (stopping_) return;
     stopping_ = true;
-    done_ = std::move(done);
-    stop_at_ = loop_.Now();
-    if (front_) front_->SetDraining();
-    outbound_.SetShutdownDeadline(stop_at_ + Grace() - AnswerBefore());
-    LOG(INFO) << "ends: not ready from here on, " << outbound_.in_flight() << " requests and "
-              << last_hop_.in_flight() << " attempts under way";
+    on_stopped_ = std::move(done);
+    stop_requested_at_ = loop_.Now();
+    if (outbound_listener_) outbound_listener_->SetDraining();
+    outbound_proxy_.SetShutdownDeadline(stop_requested_at_ + GracePeriod() - FinishMargin());
+    LOG(INFO) << "draining, no longer ready: " << outbound_proxy_.in_flight() << " requests and "
+              << inbound_proxy_.in_flight() << " attempts in flight";
   }
 
   std::string StatusText() const {
-    const auto& c = outbound_.counters();
-    const auto& h = last_hop_.counters();
+    const auto& outbound_counters = outbound_proxy_.counters();
+    const auto& inbound_counters = inbound_proxy_.counters();
     nlohmann::json out = {{"role", "sidecar"},
                           {"name", settings_.node_name},
-                          {"ready", Ready()},
-                          {"version", outbound_.version()},
+                          {"ready", IsReady()},
+                          {"version", outbound_proxy_.version()},
                           {"entry", client_.entry()},
                           {"core", client_.subscribed_core()},
                           {"holder", client_.leader()},
                           {"servers", client_.snapshot().servers.size()},
                           {"sidecars", client_.snapshot().sidecars.size()},
-                          {"underWay", outbound_.in_flight()},
+                          {"underWay", outbound_proxy_.in_flight()},
                           {"requests",
-                           {{"taken", c.requests},
-                            {"served", c.served},
-                            {"refused", c.refused},
-                            {"failed", c.failed},
-                            {"outOfTime", c.deadline_exceeded},
-                            {"noRoute", c.no_route},
-                            {"noKey", c.no_key},
-                            {"overQuota", c.over_quota},
-                            {"malformed", c.malformed},
-                            {"notReady", c.not_ready},
-                            {"clientGone", c.client_disconnects}}},
+                           {{"taken", outbound_counters.requests},
+                            {"served", outbound_counters.served},
+                            {"refused", outbound_counters.refused},
+                            {"failed", outbound_counters.failed},
+                            {"outOfTime", outbound_counters.deadline_exceeded},
+                            {"noRoute", outbound_counters.no_route},
+                            {"noKey", outbound_counters.no_key},
+                            {"overQuota", outbound_counters.over_quota},
+                            {"malformed", outbound_counters.malformed},
+                            {"notReady", outbound_counters.not_ready},
+                            {"clientGone", outbound_counters.client_disconnects}}},
                           {"attempts",
-                           {{"sent", c.attempts_sent},
-                            {"turnedAway", c.rejected},
-                            {"broken", c.resets},
-                            {"withdrawn", c.withdrawn},
-                            {"overBudget", c.retry_budget_exhausted},
-                            {"linksDialled", hops_.links_dialed()},
-                            {"asked", hops_.status_queries()}}},
+                           {{"sent", outbound_counters.attempts_sent},
+                            {"turnedAway", outbound_counters.rejected},
+                            {"broken", outbound_counters.resets},
+                            {"withdrawn", outbound_counters.withdrawn},
+                            {"overBudget", outbound_counters.retry_budget_exhausted},
+                            {"linksDialled", inbound_proxy_client_.links_dialed()},
+                            {"asked", inbound_proxy_client_.status_queries()}}},
                           {"lastHop",
-                           {{"attempts", h.attempts},
-                            {"passed", h.forwarded},
-                            {"waited", h.queued},
-                            {"turnedAway", h.rejected},
-                            {"broken", h.resets},
-                            {"garbled", h.malformed_responses},
-                            {"withdrawn", h.withdrawn},
-                            {"cancelled", h.cancelled},
-                            {"connectionsOpened", last_hop_.pool().connections_opened()},
-                            {"strayAnswers", last_hop_.pool().stray_responses()}}},
+                           {{"attempts", inbound_counters.attempts},
+                            {"passed", inbound_counters.forwarded},
+                            {"waited", inbound_counters.queued},
+                            {"turnedAway", inbound_counters.rejected},
+                            {"broken", inbound_counters.resets},
+                            {"garbled", inbound_counters.malformed_responses},
+                            {"withdrawn", inbound_counters.withdrawn},
+                            {"cancelled", inbound_counters.cancelled},
+                            {"connectionsOpened", inbound_proxy_.pool().connections_opened()},
+                            {"strayAnswers", inbound_proxy_.pool().stray_responses()}}},
                           {"gossip",
-                           {{"neighbours", view_.neighbours().size()},
-                            {"sent", view_.counters().sent},
-                            {"read", view_.counters().received},
-                            {"malformed", view_.counters().malformed},
-                            {"overRate", view_.counters().over_rate},
-                            {"lostNeighbours", view_.counters().lost_neighbours}}}};
-    for (const auto& [service, causes] : c.refusals_by_cause) {
+                           {{"neighbours", gossip_view_.neighbours().size()},
+                            {"sent", gossip_view_.counters().sent},
+                            {"read", gossip_view_.counters().received},
+                            {"malformed", gossip_view_.counters().malformed},
+                            {"overRate", gossip_view_.counters().over_rate},
+                            {"lostNeighbours", gossip_view_.counters().lost_neighbours}}}};
+    for (const auto& [service, causes] : outbound_counters.refusals_by_cause) {
       nlohmann::json& to = out["refusedFor"][service] = nlohmann::json::object();
       for (std::size_t i = 0; i < causes.size(); ++i)
         if (causes[i] > 0) to[std::string(merlinrun::kCauseNames[i])] = causes[i];
@@ -230,11 +235,11 @@
  private:
   push::Client::Settings ClientSettings() {
     push::Client::Settings out;
-    out.sidecar = {settings_.node_name, life_, self_, settings_.zone, settings_.service};
+    out.sidecar = {settings_.node_name, incarnation_, self_, settings_.zone, settings_.service};
     out.seeds = settings_.SeedInternalAddresses();
-    out.seed = life_ ^ 0x5eed;
-    out.demand = [this](Micros now) { return gauge_.TakeDemand(now); };
-    out.held_shares = [this](Micros now) { return gauge_.HeldShares(now); };
+    out.seed = incarnation_ ^ 0x5eed;
+    out.demand = [this](Micros now) { return limiter_.TakeDemand(now); };
+    out.held_shares = [this](Micros now) { return limiter_.HeldShares(now); };
     return out;
   }
 
@@ -243,15 +248,15 @@
     out.service = settings_.service;
     out.zone = settings_.zone;
     out.zones = settings_.zones;
-    out.seed = life_;
+    out.seed = incarnation_;
     const auto& bounds = settings_.bounds;
-    out.retry_budget.ratio = bounds.retry_budget_ratio * kBudgetShare;
+    out.retry_budget.ratio = bounds.retry_budget_ratio * kRetryBudgetShare;
     out.retry_budget.slack = bounds.retry_budget_slack;
     out.retry_budget.window = static_cast<Micros>(bounds.retry_window_s * 1e6);
     return out;
   }
 
-  // Where the sidecar at this internal address takes datagrams.
+  // The gossip address of the sidecar with this internal address: the next port.
   static std::string GossipAddress(const std::string& internal) {
     auto at = merlinrun::net::ParseAddress(internal);
     if (!at) return {};
@@ -259,40 +264,41 @@
     return merlinrun::net::FormatAddress(*at);
   }
 
-  // What the gossip hears is advice to the push. Apart from Impl: both sinks have an OnCores.
-  struct Advice : gossip::View::Sink {
-    explicit Advice(Impl& impl) : mine(impl) {}
+  // Passes gossip to the push client as hints. Not part of Impl, as both sinks declare OnCores.
+  struct GossipSink : gossip::View::Sink {
+    explicit GossipSink(Impl& impl) : owner(impl) {}
     void Send(const std::string& address, const std::string& bytes) override {
-      if (mine.datagrams_) mine.datagrams_->Send(address, bytes);
+      if (owner.gossip_socket_) owner.gossip_socket_->Send(address, bytes);
     }
     void OnCores(const std::vector<std::string>& cores) override {
-      for (const std::string& core : cores) mine.client_.AddCoreHint(core);
+      for (const std::string& core : cores) owner.client_.AddCoreHint(core);
     }
-    void OnNewerEntry(std::uint64_t) override { mine.client_.RequestNewerState(mine.loop_.Now()); }
-    Impl& mine;
+    void OnNewerEntry(std::uint64_t) override { owner.client_.RequestNewerState(owner.loop_.Now()); }
+    Impl& owner;
   };
 
-  bool Ready() const { return !stopping_ && outbound_.version() > 0; }
+  bool IsReady() const { return !stopping_ && outbound_proxy_.version() > 0; }
 
-  // ---- The server beside it, and operators that came to the wrong door ----
+  // ---- Calls of the local server, and of operators, who are redirected to a core ----
 
   void OnCommand(const Command& command, const ControlListener::Reply& reply) {
     const Micros now = loop_.Now();
-    if (const auto* beat = std::get_if<InstanceHeartbeat>(&command)) {
-      const absl::Status taken = beats_.OnHeartbeat(now, beat->id, beat->json, self_, settings_.zone);
-      if (!taken.ok()) return reply(ErrorResponse(400, std::string(taken.message())));
-      OnLives(now);
+    if (const auto* heartbeat = std::get_if<InstanceHeartbeat>(&command)) {
+      const absl::Status recorded =
+          heartbeats_.OnHeartbeat(now, heartbeat->id, heartbeat->json, self_, settings_.zone);
+      if (!recorded.ok()) return reply(ErrorResponse(400, std::string(recorded.message())));
+      OnInstancesChanged(now);
       return reply({});
     }
     if (const auto* departure = std::get_if<InstanceDeparture>(&command)) {
-      beats_.OnDeparture(now, departure->id);
-      OnLives(now);
+      heartbeats_.OnDeparture(now, departure->id);
+      OnInstancesChanged(now);
       return reply({});
     }
     if (std::holds_alternative<Status>(command)) return reply({200, StatusText(), {}});
     if (const auto* unknown = std::get_if<Unknown>(&command))
       return reply(ErrorResponse(unknown->method_not_allowed ? 405 : 404, "no such call"));
-    // What it can't settle it passes on: a core takes it.
+    // Configuration calls are served by cores.
     const auto core = client_.leader().empty() ? client_.subscribed_core() : client_.leader();
     const auto port = settings_.listen.find("controlPlane");
     if (core.empty() || port == settings_.listen.end()) return reply(UnavailableResponse("no core is known"));
@@ -302,245 +308,252 @@
     reply(control::RedirectResponse(Ip(core) + ":" + std::to_string(port->second.port), path));
   }
 
-  void OnLives(Micros now) {
-    if (beats_.changes() != lives_seen_) {
-      lives_seen_ = beats_.changes();
-      for (const registry::Server& server : beats_.Instances(now))
-        if (server.state != registry::State::kReady) last_hop_.OnServerNotReady(server.id);
+  void OnInstancesChanged(Micros now) {
+    if (heartbeats_.changes() != seen_heartbeat_changes_) {
+      seen_heartbeat_changes_ = heartbeats_.changes();
+      for (const registry::Server& server : heartbeats_.Instances(now))
+        if (server.state != registry::State::kReady) inbound_proxy_.OnServerNotReady(server.id);
     }
-    client_.SetServers(now, beats_.Instances(now));
+    client_.SetServers(now, heartbeats_.Instances(now));
   }
 
-  void CheckLeastShare(const ingress::FlowInterval& span) {
-    invariants_.Check(metrics::Invariant::kAdmissionLeastShare, span.ReceivedMinimumShare(), [&] {
-      return absl::StrCat("route ", span.flow.route, ", priority ", span.flow.priority, ": asked ",
-                          span.arrivals, ", passed on ", span.forwarded, ", turned away ",
-                          span.capacity_rejections, ", entitled to ", span.minimum_share, " of ",
-                          span.forwarded_total);
+  void CheckMinimumShare(const ingress::FlowInterval& interval) {
+    invariants_.Check(metrics::Invariant::kAdmissionLeastShare, interval.ReceivedMinimumShare(), [&] {
+      return absl::StrCat("route ", interval.flow.route, ", priority ", interval.flow.priority, ": received ",
+                          interval.arrivals, ", forwarded ", interval.forwarded, ", rejected ",
+                          interval.capacity_rejections, ", entitled to ", interval.minimum_share, " of ",
+                          interval.forwarded_total);
     });
   }
 
   void OnUnreachable(const std::string& id) {
     const Micros now = loop_.Now();
-    beats_.OnUnreachable(now, id);
-    OnLives(now);
+    heartbeats_.OnUnreachable(now, id);
+    OnInstancesChanged(now);
   }
 
-  // ---- Links from other sidecars ----
+  // ---- Inbound links from other sidecars ----
 
-  void OnLink(const std::shared_ptr<transport::Link>& link) {
-    if (young_.size() >= 256) return link->Close();
-    young_.insert(link);
+  void OnInboundLink(const std::shared_ptr<transport::Link>& link) {
+    if (unidentified_links_.size() >= 256) return link->Close();
+    unidentified_links_.insert(link);
     transport::Link::Events events;
     events.on_frame = [this, weak = std::weak_ptr<transport::Link>(link)](std::string_view frame) {
-      const auto mine = weak.lock();
-      if (mine == nullptr) return;
-      young_.erase(mine);
+      const auto inbound = weak.lock();
+      if (inbound == nullptr) return;
+      unidentified_links_.erase(inbound);
       const auto hello = transport::Unpack<transport::Hello>(frame);
       if (!hello.ok() || !transport::IsCompatible(*hello) || hello->purpose != transport::Purpose::kProxy) {
-        ++bad_links_;
-        return mine->Close();
+        ++rejected_links_;
+        return inbound->Close();
       }
-      last_hop_.Serve(mine);
+      inbound_proxy_.Serve(inbound);
+    };
+    events.on_closed = [this, weak = std::weak_ptr<transport::Link>(link)] {
+      unidentified_links_.erase(weak.lock());
     };
-    events.on_closed = [this, weak = std::weak_ptr<transport::Link>(link)] { young_.erase(weak.lock()); };
     link->Start(std::move(events));
   }
 
-  // ---- Control ----
+  // ---- Control plane ----
 
   void Tick() {
     const Micros now = loop_.Now();
-    beats_.OnTick(now, settings_.heartbeat_interval_ms * kMs);
-    OnLives(now);
+    heartbeats_.OnTick(now, settings_.heartbeat_interval_ms * kMillisecond);
+    OnInstancesChanged(now);
     client_.OnTick(now);
-    Relink(now);
-    if (datagrams_) {
-      if (client_.snapshot().revision != introduced_ && now - introduced_at_ >= kIntroduceEvery) {
-        introduced_ = client_.snapshot().revision;
-        introduced_at_ = now;
-        std::vector<gossip::View::Candidate> sidecars;
+    UpdateCoreLinks(now);
+    if (gossip_socket_) {
+      if (client_.snapshot().revision != candidates_revision_ &&
+          now - candidates_set_at_ >= kCandidateRefreshInterval) {
+        candidates_revision_ = client_.snapshot().revision;
+        candidates_set_at_ = now;
+        std::vector<gossip::View::Candidate> candidates;
         for (const auto& sidecar : client_.snapshot().sidecars)
-          sidecars.push_back({sidecar.name, GossipAddress(sidecar.internal_address)});
-        view_.SetCandidates(sidecars);
+          candidates.push_back({sidecar.name, GossipAddress(sidecar.internal_address)});
+        gossip_view_.SetCandidates(candidates);
       }
-      view_.SetLocalState(now, client_.entry(), client_.ResponsiveCores(now));
-      view_.OnTick(now);
+      gossip_view_.SetLocalState(now, client_.entry(), client_.ResponsiveCores(now));
+      gossip_view_.OnTick(now);
     }
-    if (now - hops_ticked_ > 1000 * kMs) {
-      hops_ticked_ = now;
-      hops_.OnTick(now);
+    if (now - client_ticked_at_ > 1000 * kMillisecond) {
+      client_ticked_at_ = now;
+      inbound_proxy_client_.OnTick(now);
     }
-    if (stopping_ && !Stopping(now)) return;
-    tick_->Start(kTick, [this] { Tick(); });
+    if (stopping_ && !ContinueStop(now)) return;
+    tick_timer_->Start(kTickInterval, [this] { Tick(); });
   }
 
-  Micros Grace() const { return static_cast<Micros>(settings_.bounds.grace_period_s * 1e6); }
-  Micros CutBefore() const { return std::min(kCutBefore, AnswerBefore() / 2); }
-  Micros AnswerBefore() const { return std::min(kAnswerBefore, Grace() / kAnswerBeforePart); }
-
-  // False once it has ended.
-  bool Stopping(Micros now) {
-    const Micros since = now - stop_at_;
-    const Micros grace = Grace();
-    const Micros seen = std::min(kReadinessSeen, grace / 2);
-    if (since >= seen - kLeaveBefore && !std::exchange(left_, true)) client_.Leave(now);
-    if (since >= seen) refuses_ = true;
-    // Guards against a request that is read whole and cut with the process: one that comes so late that it
-    // may not be served in time is refused, and what has come is answered before the end, whatever its server
-    // does.
-    if (since >= seen + kLastTaken) outbound_.RefuseNewRequests();
-    if (since >= grace - AnswerBefore() && !std::exchange(hurried_, true)) outbound_.FinishInFlight();
-    const bool rests = (front_ == nullptr || front_->busy() == 0) && outbound_.in_flight() == 0 &&
-                       last_hop_.in_flight() == 0;
-    if ((since < seen + kLeaveBefore || !rests) && since < grace - CutBefore()) return true;
-    LOG(INFO) << "has ended: " << StatusText();
-    const auto done = std::exchange(done_, nullptr);
+  Micros GracePeriod() const { return static_cast<Micros>(settings_.bounds.grace_period_s * 1e6); }
+  Micros ExitMargin() const { return std::min(kMaxExitMargin, FinishMargin() / 2); }
+  Micros FinishMargin() const { return std::min(kMaxFinishMargin, GracePeriod() / kFinishMarginDivisor); }
+
+  // Advances the shutdown; false once it is complete.
+  bool ContinueStop(Micros now) {
+    const Micros elapsed = now - stop_requested_at_;
+    const Micros grace = GracePeriod();
+    const Micros readiness_delay = std::min(kReadinessPropagation, grace / 2);
+    if (elapsed >= readiness_delay - kRemovalPropagation && !std::exchange(leave_sent_, true))
+      client_.Leave(now);
+    if (elapsed >= readiness_delay) refuse_attempts_ = true;
+    // Guards against requests that are read but never answered: late ones are rejected, and those in flight
+    // are answered before the process exits, whatever their servers do.
+    if (elapsed >= readiness_delay + kLateRequestWindow) outbound_proxy_.RefuseNewRequests();
+    if (elapsed >= grace - FinishMargin() && !std::exchange(finishing_, true))
+      outbound_proxy_.FinishInFlight();
+    const bool idle = (outbound_listener_ == nullptr || outbound_listener_->busy() == 0) &&
+                      outbound_proxy_.in_flight() == 0 && inbound_proxy_.in_flight() == 0;
+    if ((elapsed < readiness_delay + kRemovalPropagation || !idle) && elapsed < grace - ExitMargin())
+      return true;
+    LOG(INFO) << "stopped: " << StatusText();
+    const auto done = std::exchange(on_stopped_, nullptr);
     if (done) loop_.Post(done);
     return false;
   }
 
-  void Relink(Micros now) {
+  void UpdateCoreLinks(Micros now) {
     const std::vector<std::string> wanted = client_.DesiredLinks(now);
-    for (auto it = links_.begin(); it != links_.end();) {
+    for (auto it = core_links_.begin(); it != core_links_.end();) {
       if (std::find(wanted.begin(), wanted.end(), it->first) != wanted.end()) {
         ++it;
         continue;
       }
       it->second->Close();
-      up_.erase(it->second.get());
-      it = links_.erase(it);
+      established_links_.erase(it->second.get());
+      it = core_links_.erase(it);
     }
     for (const std::string& address : wanted)
-      if (links_.count(address) == 0) Dial(address);
+      if (core_links_.count(address) == 0) Dial(address);
   }
 
   void Dial(const std::string& address) {
     const auto to = merlinrun::net::ParseAddress(address);
     if (!to) return;
-    auto link = transport::Link::Dial(io_, *to, kDialMs, {});
-    links_[address] = link;
+    auto link = transport::Link::Dial(io_, *to, kDialTimeoutMs, {});
+    core_links_[address] = link;
     transport::Link::Events events;
     events.on_frame = [this, address](std::string_view frame) {
-      const auto news = transport::Unpack<push::CoreUpdate>(frame);
-      if (!news.ok()) {
-        ++bad_news_;
+      const auto update = transport::Unpack<push::CoreUpdate>(frame);
+      if (!update.ok()) {
+        ++malformed_updates_;
         return;
       }
-      client_.OnUpdate(loop_.Now(), address, *news);
+      client_.OnUpdate(loop_.Now(), address, *update);
     };
     events.on_closed = [this, address, weak = std::weak_ptr<transport::Link>(link)] {
-      const auto it = links_.find(address);
-      if (it == links_.end() || it->second != weak.lock()) return;
-      up_.erase(it->second.get());
-      links_.erase(it);
+      const auto it = core_links_.find(address);
+      if (it == core_links_.end() || it->second != weak.lock()) return;
+      established_links_.erase(it->second.get());
+      core_links_.erase(it);
       client_.OnLinkDown(loop_.Now(), address);
     };
     events.on_drained = [this, address, weak = std::weak_ptr<transport::Link>(link)] {
-      // Its Hello is out: it is up.
-      const auto mine = weak.lock();
-      const auto it = links_.find(address);
-      if (mine == nullptr || it == links_.end() || it->second != mine || !up_.insert(mine.get()).second)
+      // The Hello is written: the link is up.
+      const auto core_link = weak.lock();
+      const auto it = core_links_.find(address);
+      if (core_link == nullptr || it == core_links_.end() || it->second != core_link ||
+          !established_links_.insert(core_link.get()).second)
         return;
       client_.OnLinkUp(loop_.Now(), address);
     };
     link->Start(std::move(events));
-    up_.erase(link.get());
+    established_links_.erase(link.get());
     link->Send(transport::Pack(transport::Hello{.purpose = transport::Purpose::kControl,
                                                 .from = settings_.node_name,
                                                 .address = self_,
-                                                .incarnation = life_}));
+                                                .incarnation = incarnation_}));
   }
 
-  void Send(const std::string& address, const push::SidecarReport& tell) override {
-    const auto it = links_.find(address);
-    if (it != links_.end()) it->second->Send(transport::Pack(tell));
+  void Send(const std::string& address, const push::SidecarReport& report) override {
+    const auto it = core_links_.find(address);
+    if (it != core_links_.end()) it->second->Send(transport::Pack(report));
   }
 
   void OnState(std::uint64_t entry, const std::string& bytes) override {
-    const auto ledger = configuration::ReplicatedState::Parse(bytes);
-    if (!ledger.ok()) {
-      LOG(ERROR) << "entry " << entry << " can't be read: " << ledger.status().message();
+    const auto replicated_state = configuration::ReplicatedState::Parse(bytes);
+    if (!replicated_state.ok()) {
+      LOG(ERROR) << "entry " << entry << " cannot be parsed: " << replicated_state.status().message();
       return;
     }
-    if (ledger->newest().version() == outbound_.version()) return;
-    const bool newer = ledger->newest().version() > outbound_.version();
+    if (replicated_state->newest().version() == outbound_proxy_.version()) return;
+    const bool newer = replicated_state->newest().version() > outbound_proxy_.version();
     invariants_.Check(metrics::Invariant::kConfigurationMonotonic, newer, [&] {
-      return absl::StrCat("version ", ledger->newest().version(), " after ", outbound_.version(), ", entry ",
-                          entry);
+      return absl::StrCat("version ", replicated_state->newest().version(), " after ",
+                          outbound_proxy_.version(), ", entry ", entry);
     });
     if (!newer) return;
-    const auto tables = configuration::RoutingTables::Build(ledger->newest());
+    const auto tables = configuration::RoutingTables::Build(replicated_state->newest());
     if (!tables.ok()) {
-      LOG(ERROR) << "version " << ledger->newest().version()
-                 << " can't be used: " << tables.status().message();
+      LOG(ERROR) << "version " << replicated_state->newest().version()
+                 << " cannot be applied: " << tables.status().message();
       return;
     }
-    LOG(INFO) << "version " << (*tables)->version() << " is in force, entry " << entry;
-    std::map<std::string, quota::TenantLimit> limits;
+    LOG(INFO) << "version " << (*tables)->version() << " applied, entry " << entry;
+    std::map<std::string, quota::TenantLimit> tenant_limits;
     for (const auto& tenant : (*tables)->tenants())
-      if (tenant.rate_per_s > 0) limits[tenant.name] = {tenant.rate_per_s, tenant.burst};
-    gauge_.UpdateLimits(loop_.Now(), limits);
-    const configuration::Limits& told = (*tables)->limits();
-    HttpServer::Limits front;
-    front.max_header_bytes = told.header_bytes;
-    front.max_body_bytes = told.body_bytes;
-    front.header_timeout_ms = told.header_timeout_ms;
-    front.idle_timeout_ms = told.idle_timeout_ms;
-    if (front_) front_->SetLimits(front);
-    outbound_.OnConfiguration(*tables);
+      if (tenant.rate_per_s > 0) tenant_limits[tenant.name] = {tenant.rate_per_s, tenant.burst};
+    limiter_.UpdateLimits(loop_.Now(), tenant_limits);
+    const configuration::Limits& http_limits = (*tables)->limits();
+    HttpServer::Limits server_limits;
+    server_limits.max_header_bytes = http_limits.header_bytes;
+    server_limits.max_body_bytes = http_limits.body_bytes;
+    server_limits.header_timeout_ms = http_limits.header_timeout_ms;
+    server_limits.idle_timeout_ms = http_limits.idle_timeout_ms;
+    if (outbound_listener_) outbound_listener_->SetLimits(server_limits);
+    outbound_proxy_.OnConfiguration(*tables);
   }
 
-  void OnSnapshot(const registry::Snapshot& listing, std::size_t, std::size_t count) override {
-    gauge_.SetSidecarCount(loop_.Now(), count);
-    // Not the place by name: those of a service are not to stand side by side.
-    outbound_.OnEndpoints(listing, egress::InterleavedRank(listing.sidecars, settings_.node_name), count);
+  void OnSnapshot(const registry::Snapshot& snapshot, std::size_t, std::size_t count) override {
+    limiter_.SetSidecarCount(loop_.Now(), count);
+    // Ranked by name, the sidecars of a service would be adjacent and select overlapping subsets.
+    outbound_proxy_.OnEndpoints(snapshot, egress::InterleavedRank(snapshot.sidecars, settings_.node_name),
+                                count);
   }
   void OnShares(const std::vector<quota::Share>& shares, Micros until) override {
-    gauge_.OnShares(loop_.Now(), shares, until);
+    limiter_.OnShares(loop_.Now(), shares, until);
   }
   void OnCores(const std::vector<std::string>& cores) override {
-    LOG(INFO) << cores.size() << " cores are known";
+    LOG(INFO) << cores.size() << " known cores";
   }
 
   asio::io_context& io_;
   merlinrun::net::AsioLoop loop_;
   settings::Settings settings_;
-  const std::uint64_t life_;
+  const std::uint64_t incarnation_;
   const std::string self_;
-  registry::HeartbeatTracker beats_;
-  std::uint64_t lives_seen_ = 0;
-  quota::Limiter gauge_;
+  registry::HeartbeatTracker heartbeats_;
+  std::uint64_t seen_heartbeat_changes_ = 0;
+  quota::Limiter limiter_;
   push::Client client_;
-  Advice advice_{*this};
-  gossip::View view_;
-  std::unique_ptr<gossip::UdpSocket> datagrams_;
-  std::uint64_t introduced_ = 0;  // listing number
-  Micros introduced_at_ = -kIntroduceEvery;
-  std::map<std::string, std::shared_ptr<transport::Link>> links_;
-  std::set<const transport::Link*> up_;
-  std::set<std::shared_ptr<transport::Link>> young_;  // whose Hello has not come
+  GossipSink gossip_sink_{*this};
+  gossip::View gossip_view_;
+  std::unique_ptr<gossip::UdpSocket> gossip_socket_;
+  std::uint64_t candidates_revision_ = 0;  // revision of the registry snapshot
+  Micros candidates_set_at_ = -kCandidateRefreshInterval;
+  std::map<std::string, std::shared_ptr<transport::Link>> core_links_;
+  std::set<const transport::Link*> established_links_;
+  std::set<std::shared_ptr<transport::Link>> unidentified_links_;  // accepted, Hello not received yet
   prometheus::Registry registry_;
   metrics::RequestMetrics request_metrics_;
   metrics::Invariants invariants_;
-  egress::InboundProxyClient hops_;
-  ingress::InboundProxy last_hop_;
-  egress::OutboundProxy outbound_;
+  egress::InboundProxyClient inbound_proxy_client_;
+  ingress::InboundProxy inbound_proxy_;
+  egress::OutboundProxy outbound_proxy_;
   const MetricsAddress metrics_address_;
   std::unique_ptr<MetricsEndpoint> metrics_endpoint_;
-  std::unique_ptr<transport::Listener> listener_;
-  std::unique_ptr<ControlListener> control_;
-  std::unique_ptr<HttpServer> front_, readiness_;
-  std::unique_ptr<merlinrun::core::Timer> tick_;
-  Micros hops_ticked_ = 0, stop_at_ = 0;
-  bool stopping_ = false, left_ = false, refuses_ = false, hurried_ = false;
-  std::function<void()> done_;
-  std::uint64_t bad_links_ = 0, bad_news_ = 0;
+  std::unique_ptr<transport::Listener> link_listener_;
+  std::unique_ptr<ControlListener> control_listener_;
+  std::unique_ptr<HttpServer> outbound_listener_, readiness_listener_;
+  std::unique_ptr<merlinrun::core::Timer> tick_timer_;
+  Micros client_ticked_at_ = 0, stop_requested_at_ = 0;
+  bool stopping_ = false, leave_sent_ = false, refuse_attempts_ = false, finishing_ = false;
+  std::function<void()> on_stopped_;
+  std::uint64_t rejected_links_ = 0, malformed_updates_ = 0;
 };
 
-Sidecar::Sidecar(asio::io_context& io, const settings::Settings& settings, std::uint64_t life,
+Sidecar::Sidecar(asio::io_context& io, const settings::Settings& settings, std::uint64_t incarnation,
                  const ProcessOptions& options)
-    : impl_(std::make_unique<Impl>(io, settings, life, options)) {}
+    : impl_(std::make_unique<Impl>(io, settings, incarnation, options)) {}
 Sidecar::~Sidecar() = default;
 absl::Status Sidecar::Start() { return impl_->Start(); }
 void Sidecar::OnSettings(const settings::Settings& settings) { impl_->OnSettings(settings); }
--- a/src/mesh/node/sidecar.hpp
+++ b/src/mesh/node/sidecar.hpp
@@ -1,4 +1,4 @@
-// A sidecar of the mesh: the outbound proxy and the last hop of one machine, with what control tells them.
+// A sidecar: the outbound and inbound proxy of one machine, configured by the control plane.
 #ifndef FENNELHOLLOW_MESH_NODE_SIDECAR_HPP_
 #define FENNELHOLLOW_MESH_NODE_SIDECAR_HPP_
 
@@ -15,23 +15,24 @@
 
 namespace fennelhollow::node {
 
-// Threading: all of it on the thread of `io`.
+// Not thread-safe: everything runs on the thread of `io`.
 class Sidecar {
  public:
-  // `life`: drawn at random at each start of the process.
-  Sidecar(merlinrun::net::asio::io_context& io, const settings::Settings& settings, std::uint64_t life,
+  // `incarnation`: random number drawn at each start of the process.
+  Sidecar(merlinrun::net::asio::io_context& io, const settings::Settings& settings, std::uint64_t incarnation,
           const ProcessOptions& options = {});
   ~Sidecar();
   Sidecar(const Sidecar&) = delete;
   Sidecar& operator=(const Sidecar&) = delete;
 
-  // Once. kUnavailable: an address can't be listened on.
+  // Call once. kUnavailable: an address cannot be bound.
   absl::Status Start();
-  // The settings file has changed: takes over the seeds.
+  // Applies the seeds of changed settings; the rest takes effect at the next start.
   void OnSettings(const settings::Settings& settings);
-  // Is not ready from here on, finishes what has come and what still comes, then `done`, from the loop;
-  // within the grace period of the settings.
+  // Reports not ready, drains, then posts `done` to the loop, within the grace period of the settings.
+  // Requests that still arrive while clients are sent elsewhere are served.
   void Stop(std::function<void()> done);
+  // JSON, for operators.
   std::string StatusText() const;
 
  private:
--- a/src/mesh/node/worker.cpp
+++ b/src/mesh/node/worker.cpp
@@ -23,21 +23,21 @@
 
 class Worker::Impl : public std::enable_shared_from_this<Worker::Impl> {
  public:
-  Impl(asio::io_context& io, std::size_t most) : most_(most), wake_(io) {
-    std::array<int, 2> ends{};
-    if (::pipe2(ends.data(), O_NONBLOCK | O_CLOEXEC) != 0) {
+  Impl(asio::io_context& io, std::size_t max_pending) : max_pending_(max_pending), wake_pipe_(io) {
+    std::array<int, 2> pipe_fds{};
+    if (::pipe2(pipe_fds.data(), O_NONBLOCK | O_CLOEXEC) != 0) {
       throw boost::system::system_error(ErrorCode(errno, boost::system::system_category()), "pipe2");
     }
-    wake_.assign(ends[0]);
-    write_end_ = ends[1];
+    wake_pipe_.assign(pipe_fds[0]);
+    wake_write_fd_ = pipe_fds[1];
   }
-  ~Impl() { ::close(write_end_); }
+  ~Impl() { ::close(wake_write_fd_); }
   Impl(const Impl&) = delete;
   Impl& operator=(const Impl&) = delete;
 
   void Start() {
-    Await();
-    thread_ = std::thread([this] { Work(); });
+    AwaitWakeup();
+    thread_ = std::thread([this] { RunJobs(); });
   }
 
   void Stop() {
@@ -46,20 +46,20 @@
       stopping_ = true;
       queued_.clear();
     }
-    more_.notify_one();
+    job_available_.notify_one();
     if (thread_.joinable()) thread_.join();
     ErrorCode ignored;
-    wake_.close(ignored);
+    wake_pipe_.close(ignored);
   }
 
   bool Run(std::function<void()> work, std::function<void()> done) {
     {
       const std::lock_guard lock(mutex_);
-      if (stopping_ || pending_ >= most_) return false;
+      if (stopping_ || pending_ >= max_pending_) return false;
       ++pending_;
       queued_.push_back({std::move(work), std::move(done)});
     }
-    more_.notify_one();
+    job_available_.notify_one();
     return true;
   }
 
@@ -74,39 +74,40 @@
     std::function<void()> done;
   };
 
-  void Work() {
+  void RunJobs() {
     std::unique_lock lock(mutex_);
     for (;;) {
-      more_.wait(lock, [this] { return stopping_ || !queued_.empty(); });
+      job_available_.wait(lock, [this] { return stopping_ || !queued_.empty(); });
       if (stopping_) return;
       Job job = std::move(queued_.front());
       queued_.pop_front();
       lock.unlock();
       job.work();
-      job.work = nullptr;  // what it holds is let go here, not on the loop
+      job.work = nullptr;  // destroys its captures here, not on the loop
       lock.lock();
-      if (stopping_) {  // the loop's thread waits for this one: `done` is let go there
+      if (stopping_) {  // the loop's thread is joining this one and destroys `done`
         finished_.push_back(std::move(job.done));
         return;
       }
       finished_.push_back(std::move(job.done));
       if (finished_.size() == 1) {
-        // A full pipe wakes the loop just as well.
-        while (::write(write_end_, "w", 1) < 0 && errno == EINTR) {
+        // EAGAIN is harmless: a full pipe wakes the loop as well.
+        while (::write(wake_write_fd_, "w", 1) < 0 && errno == EINTR) {
         }
       }
     }
   }
 
-  void Await() {
-    wake_.async_read_some(asio::buffer(bytes_), [self = shared_from_this()](ErrorCode error, std::size_t) {
-      if (error && error != asio::error::try_again) return;
-      self->Finish();
-      if (self->wake_.is_open()) self->Await();
-    });
+  void AwaitWakeup() {
+    wake_pipe_.async_read_some(asio::buffer(wake_buffer_),
+                               [self = shared_from_this()](ErrorCode error, std::size_t) {
+                                 if (error && error != asio::error::try_again) return;
+                                 self->RunFinished();
+                                 if (self->wake_pipe_.is_open()) self->AwaitWakeup();
+                               });
   }
 
-  void Finish() {
+  void RunFinished() {
     std::vector<std::function<void()>> finished;
     {
       const std::lock_guard lock(mutex_);
@@ -114,17 +115,17 @@
       pending_ -= finished.size();
     }
     for (const std::function<void()>& done : finished) {
-      if (!wake_.is_open()) return;  // stopped by one of them
+      if (!wake_pipe_.is_open()) return;  // one of them stopped the worker
       done();
     }
   }
 
-  const std::size_t most_;
-  asio::posix::stream_descriptor wake_;
-  std::array<char, 64> bytes_{};
-  int write_end_ = -1;
-  mutable std::mutex mutex_;  // guards what follows
-  std::condition_variable more_;
+  const std::size_t max_pending_;
+  asio::posix::stream_descriptor wake_pipe_;
+  std::array<char, 64> wake_buffer_{};
+  int wake_write_fd_ = -1;
+  mutable std::mutex mutex_;  // guards the members below
+  std::condition_variable job_available_;
   std::deque<Job> queued_;
   std::vector<std::function<void()>> finished_;
   std::size_t pending_ = 0;
@@ -132,7 +133,8 @@
   std::thread thread_;
 };
 
-Worker::Worker(asio::io_context& io, std::size_t most) : impl_(std::make_shared<Impl>(io, most)) {
+Worker::Worker(asio::io_context& io, std::size_t max_pending)
+    : impl_(std::make_shared<Impl>(io, max_pending)) {
   impl_->Start();
 }
 Worker::~Worker() { impl_->Stop(); }
--- a/src/mesh/node/worker.hpp
+++ b/src/mesh/node/worker.hpp
@@ -1,4 +1,4 @@
-// A thread beside the loop, for what blocks (the disk) or takes long (checks of large JSON).
+// A worker thread next to the event loop, for blocking (disk I/O) or long work (validation of large JSON).
 #ifndef FENNELHOLLOW_MESH_NODE_WORKER_HPP_
 #define FENNELHOLLOW_MESH_NODE_WORKER_HPP_
 
@@ -10,21 +10,21 @@
 
 namespace fennelhollow::node {
 
-// Its functions are for the loop's thread. The thread never calls Asio, which is built without locks: it
-// wakes the loop through a pipe.
+// Call its functions on the loop's thread. The worker thread never calls Asio, which is built without
+// locking; it wakes the loop through a pipe.
 class Worker {
  public:
-  // Throws boost::system::system_error or std::system_error if there is no pipe or thread to be had.
-  explicit Worker(merlinrun::net::asio::io_context& io, std::size_t most = 64);
-  // Waits for the work under way; what is queued behind it is dropped, and no `done` is called any more.
+  // Throws boost::system::system_error or std::system_error if no pipe or thread can be created.
+  explicit Worker(merlinrun::net::asio::io_context& io, std::size_t max_pending = 64);
+  // Waits for the job in progress; queued jobs are dropped, and no `done` is called afterwards.
   ~Worker();
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
-  // Calls `work` on the thread, in the order of the calls, then `done` in a turn of the loop. `work` may not
-  // throw. False, and neither is called: `most` are on their way already.
+  // Runs `work` on the worker thread, in FIFO order, then `done` on the loop. `work` must not throw. Returns
+  // false, and runs neither, if `max_pending` jobs are pending.
   bool Run(std::function<void()> work, std::function<void()> done);
-  std::size_t pending() const;  // not done yet
+  std::size_t pending() const;  // jobs whose `done` has not run
 
  private:
   class Impl;
--- a/tests/mesh/node_test.cpp
+++ b/tests/mesh/node_test.cpp
@@ -26,32 +26,32 @@
 using merlinrun::net::ErrorCode;
 using merlinrun::net::Tcp;
 
-TEST_CASE("a worker works in order, says so on the loop, and is bounded") {
+TEST_CASE("a worker runs jobs in order, completes them on the loop and bounds its queue") {
   asio::io_context io;
-  std::vector<int> worked, done;
+  std::vector<int> executed, done;
   {
     Worker worker(io, 3);
     for (int i = 0; i < 3; ++i) {
-      REQUIRE(worker.Run([&worked, i] { worked.push_back(i); }, [&done, i] { done.push_back(i); }));
+      REQUIRE(worker.Run([&executed, i] { executed.push_back(i); }, [&done, i] { done.push_back(i); }));
     }
-    CHECK_FALSE(worker.Run([] {}, [] {}));  // none is done before the loop runs
+    CHECK_FALSE(worker.Run([] {}, [] {}));  // the queue is full, as none completes before the loop runs
     while (done.size() < 3) io.run_one();
     CHECK(worker.pending() == 0);
     REQUIRE(worker.Run([] {}, [&done] { done.push_back(99); }));
   }
   io.run();
-  CHECK(worked == std::vector<int>{0, 1, 2});
-  CHECK(done == worked);
+  CHECK(executed == std::vector<int>{0, 1, 2});
+  CHECK(done == executed);
 }
 
-struct Server {
+struct TestServer {
   asio::io_context io;
   std::vector<Command> commands;
-  std::vector<ControlListener::Reply> replies;  // kept back while `hold`
+  std::vector<ControlListener::Reply> replies;  // withheld while `hold`
   bool hold = false;
   std::unique_ptr<ControlListener> listener;
 
-  explicit Server(ControlListener::Limits limits = {}) {
+  explicit TestServer(ControlListener::Limits limits = {}) {
     listener =
         std::make_unique<ControlListener>(io, Tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0), limits,
                                           [this](Command command, ControlListener::Reply reply) {
@@ -60,35 +60,38 @@
                                             reply(Response{200, "{\"n\":1}", {{"Location", "here"}}});
                                           });
   }
-  Tcp::socket Dial() {
+  Tcp::socket Connect() {
     Tcp::socket socket(io);
     socket.connect(listener->address());
     return socket;
   }
-  static void Say(Tcp::socket& socket, const std::string& bytes) { asio::write(socket, asio::buffer(bytes)); }
-  // Reads until it has come `times`, or the connection has ended.
-  std::string Hear(Tcp::socket& socket, const std::string& until, std::size_t times = 1) {
-    std::string heard, part(4096, '\0');
+  static void Write(Tcp::socket& socket, const std::string& bytes) {
+    asio::write(socket, asio::buffer(bytes));
+  }
+  // Reads until `until` was received `times` times or the connection has ended.
+  std::string ReadUntil(Tcp::socket& socket, const std::string& until, std::size_t times = 1) {
+    std::string received, chunk_buffer(4096, '\0');
     const auto count = [&] {
       std::size_t n = 0;
-      for (std::size_t at = heard.find(until); at != std::string::npos; at = heard.find(until, at + 1)) ++n;
+      for (std::size_t at = received.find(until); at != std::string::npos; at = received.find(until, at + 1))
+        ++n;
       return n;
     };
     bool ended = false;
     while (!ended && count() < times) {
       bool read = false;
-      socket.async_read_some(asio::buffer(part), [&](ErrorCode error, std::size_t bytes) {
-        heard.append(part, 0, bytes);
+      socket.async_read_some(asio::buffer(chunk_buffer), [&](ErrorCode error, std::size_t bytes) {
+        received.append(chunk_buffer, 0, bytes);
         ended = static_cast<bool>(error);
         read = true;
       });
       while (!read) io.run_one();
     }
-    return ended ? heard + "<end>" : heard;
+    return ended ? received + "<end>" : received;
   }
 };
 
-TEST_CASE("links to peers: refused is told apart from down, and what was sent comes once, in order") {
+TEST_CASE("peer links tell refused connections from lost ones and deliver frames once and in order") {
   asio::io_context io;
   merlinrun::net::AsioLoop loop(io);
   std::vector<std::string> down, refused;
@@ -100,7 +103,7 @@
   links.Send(dead, "x");
   REQUIRE(run([&] { return refused.size() == 1; }));
   CHECK((refused[0] == dead && down == refused));
-  CHECK_FALSE(links.Send(dead, "x"));  // in its pause
+  CHECK_FALSE(links.Send(dead, "x"));  // backing off
   CHECK_FALSE(links.Send("127.0.0.1:1", "to itself"));
 
   std::vector<std::string> frames;
@@ -122,44 +125,45 @@
   CHECK((down[1] == peer && refused.size() == 1));
 }
 
-TEST_CASE("calls over HTTP: kept connections, several at once, chunks, 100-continue") {
-  Server server;
-  Tcp::socket socket = server.Dial();
-  const std::string beat =
+TEST_CASE("the control listener handles keep-alive, pipelining, chunked bodies and 100-continue") {
+  TestServer server;
+  Tcp::socket socket = server.Connect();
+  const std::string heartbeat =
       "POST /-/Instances.Heartbeat/i-1 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}";
-  Server::Say(socket, beat + beat);
-  const std::string two = server.Hear(socket, "{\"n\":1}", 2);
-  CHECK(two.find("HTTP/1.1 200 OK\r\n") == 0);
-  CHECK(two.find("Content-Length: 7\r\n") != std::string::npos);
-  CHECK(two.find("Location: here\r\n") != std::string::npos);
-  Server::Say(socket,
-              "POST /-/Configuration.Replace HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
-              "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-  server.Hear(socket, "{\"n\":1}");
+  TestServer::Write(socket, heartbeat + heartbeat);
+  const std::string responses = server.ReadUntil(socket, "{\"n\":1}", 2);
+  CHECK(responses.find("HTTP/1.1 200 OK\r\n") == 0);
+  CHECK(responses.find("Content-Length: 7\r\n") != std::string::npos);
+  CHECK(responses.find("Location: here\r\n") != std::string::npos);
+  TestServer::Write(socket,
+                    "POST /-/Configuration.Replace HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
+                    "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
+  server.ReadUntil(socket, "{\"n\":1}");
   CHECK(std::get<control::Replace>(server.commands.back()).body == "abcde");
   const std::string large(200'000, 'x');
-  Server::Say(socket,
-              "POST /-/Configuration.Modify HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: "
-              "200000\r\n\r\n");
-  CHECK(server.Hear(socket, "\r\n\r\n") == "HTTP/1.1 100 Continue\r\n\r\n");
+  TestServer::Write(
+      socket,
+      "POST /-/Configuration.Modify HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: "
+      "200000\r\n\r\n");
+  CHECK(server.ReadUntil(socket, "\r\n\r\n") == "HTTP/1.1 100 Continue\r\n\r\n");
   bool written = false;
   asio::async_write(socket, asio::buffer(large), [&](ErrorCode, std::size_t) { written = true; });
-  server.Hear(socket, "{\"n\":1}");
+  server.ReadUntil(socket, "{\"n\":1}");
   CHECK(written);
   CHECK(std::get<control::Modify>(server.commands.back()).body == large);
   CHECK(server.listener->counters().calls == 4);
-  CHECK(server.listener->counters().bad == 0);
+  CHECK(server.listener->counters().malformed == 0);
 }
 
-TEST_CASE("bad input is answered and ends the connection") {
+TEST_CASE("malformed requests are answered and the connection is closed") {
   ControlListener::Limits limits;
-  limits.body_bytes = 1000;
-  limits.header_bytes = 2000;
-  Server server(limits);
+  limits.max_body_bytes = 1000;
+  limits.max_header_bytes = 2000;
+  TestServer server(limits);
   const auto answer = [&](const std::string& bytes) {
-    Tcp::socket socket = server.Dial();
-    Server::Say(socket, bytes);
-    return server.Hear(socket, "never");
+    Tcp::socket socket = server.Connect();
+    TestServer::Write(socket, bytes);
+    return server.ReadUntil(socket, "never");
   };
   CHECK(answer("NONSENSE\r\n\r\n").starts_with("HTTP/1.1 400"));
   CHECK(answer("POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n").starts_with("HTTP/1.1 400"));
@@ -167,42 +171,42 @@
   const std::string chunk = "3e9\r\n" + std::string(1001, 'x') + "\r\n0\r\n\r\n";
   CHECK(answer("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk).starts_with("HTTP/1.1 413"));
   CHECK(answer("GET / HTTP/1.1\r\nA: " + std::string(3000, 'x') + "\r\n\r\n").starts_with("HTTP/1.1 431"));
-  CHECK(server.listener->counters().bad == 5);
+  CHECK(server.listener->counters().malformed == 5);
   CHECK(server.commands.empty());
 }
 
-TEST_CASE("room for one more: the one that has been idle longest goes, never a call under way") {
+TEST_CASE("at the connection limit the longest idle connection is closed, never one with a call in flight") {
   ControlListener::Limits limits;
-  limits.connections = 2;
-  Server server(limits);
+  limits.max_connections = 2;
+  TestServer server(limits);
   server.hold = true;
   const std::string read = "GET /-/Configuration.Read HTTP/1.1\r\nHost: a\r\n\r\n";
-  Tcp::socket busy = server.Dial();
-  Server::Say(busy, read);
+  Tcp::socket busy = server.Connect();
+  TestServer::Write(busy, read);
   while (server.replies.empty()) server.io.run_one();
-  Tcp::socket idle = server.Dial();
-  Tcp::socket next = server.Dial();
-  Server::Say(next, read);
-  CHECK(server.Hear(idle, "never") == "<end>");
+  Tcp::socket idle = server.Connect();
+  Tcp::socket next = server.Connect();
+  TestServer::Write(next, read);
+  CHECK(server.ReadUntil(idle, "never") == "<end>");
   while (server.replies.size() < 2) server.io.run_one();
-  Tcp::socket refused = server.Dial();
-  CHECK(server.Hear(refused, "never") == "<end>");
+  Tcp::socket refused = server.Connect();
+  CHECK(server.ReadUntil(refused, "never") == "<end>");
 
-  // The end: calls under way are answered first, and a second answer is nobody's.
+  // Stop answers calls in flight first; a second reply is ignored.
   bool stopped = false;
   server.listener->Stop([&] { stopped = true; });
   server.replies[0](Response{});
   server.replies[0](Response{500, "twice", {}});
-  CHECK(server.Hear(busy, "never").find("Connection: close") != std::string::npos);
+  CHECK(server.ReadUntil(busy, "never").find("Connection: close") != std::string::npos);
   CHECK_FALSE(stopped);
-  next.close();  // a caller that has gone
+  next.close();  // the client has disconnected
   server.replies[1](Response{});
   busy.close();
   while (!stopped) server.io.run_one();
   CHECK(server.listener->connections() == 0);
 }
 
-TEST_CASE("an address of metrics is PORT/PATH") {
+TEST_CASE("a metrics address is PORT/PATH") {
   const auto good = ParseMetricsAddress("9464/metrics");
   REQUIRE(good.ok());
   CHECK(good->port == 9464);
@@ -213,25 +217,25 @@
   }
 }
 
-TEST_CASE("metrics are told as Prometheus text at their path, and at no other") {
+TEST_CASE("metrics are served as Prometheus text at their path only") {
   asio::io_context io;
   prometheus::Registry registry;
   prometheus::BuildCounter().Name("tests_total").Register(registry).Add({}).Increment(3);
   const std::uint16_t port = loopback::FreePort(io);
   const auto endpoint = OpenMetricsEndpoint(io, "127.0.0.1", {port, "/metrics"}, registry);
   REQUIRE(endpoint != nullptr);
-  const auto ask = [&](const std::string& path) {
+  const auto get = [&](const std::string& path) {
     const auto raw = loopback::RawConnection::Connect(io, port);
     raw->Write("GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n");
     loopback::RunUntil(io, [&] { return raw->received.find("\r\n\r\n") != std::string::npos; });
     loopback::RunFor(io, 10);
     return raw->received;
   };
-  const std::string told = ask("/metrics");
-  CHECK(told.find("HTTP/1.1 200") == 0);
-  CHECK(told.find("\ntests_total 3\n") != std::string::npos);
-  CHECK(ask("/other").find("HTTP/1.1 404") == 0);
-  // A process serves also where its metrics can't be read.
+  const std::string scraped = get("/metrics");
+  CHECK(scraped.find("HTTP/1.1 200") == 0);
+  CHECK(scraped.find("\ntests_total 3\n") != std::string::npos);
+  CHECK(get("/other").find("HTTP/1.1 404") == 0);
+  // Without an endpoint the process runs on.
   CHECK(OpenMetricsEndpoint(io, "127.0.0.1", {port, "/metrics"}, registry) == nullptr);
   CHECK(OpenMetricsEndpoint(io, "127.0.0.1", {}, registry) == nullptr);
 }
--- a/tests/mesh/tools_configuration_files_test.cpp
+++ b/tests/mesh/tools_configuration_files_test.cpp
@@ -6,58 +6,60 @@
 namespace fennelhollow::tools {
 namespace {
 
-std::string Route(const std::string& name, const std::string& more) {
+std::string Route(const std::string& name, const std::string& members) {
   return "{\"resourceKind\":\"routes\",\"metadata\":{\"name\":\"" + name +
          "\"},\"specification\":{\"host\":\"" + name +
          ".example\",\"pathPrefix\":\"/\",\"timeoutMs\":2500,\"targetLatencyMs\":400,\"priority\":1,"
          "\"service\":\"shop\",\"attempts\":2," +
-         more + "}}";
+         members + "}}";
 }
 const std::string kShop =
     "{\"resourceKind\":\"services\",\"metadata\":{\"name\":\"shop\"},\"specification\":{\"healthPath\":\"/"
     "health\",\"connectionLimit\":110}}";
-std::string Whole(int version, int base, const std::string& items) {
+std::string FullConfiguration(int version, int base, const std::string& items) {
   return "{\"version\":" + std::to_string(version) + ",\"baseVersion\":" + std::to_string(base) +
          ",\"resourceList\":[" + items + "]}";
 }
-const std::string kNow =
-    Whole(7, 5, Route("a", "\"kind\":\"safe\"") + "," + Route("b", "\"kind\":\"safe\"") + "," + kShop);
+const std::string kCurrent = FullConfiguration(
+    7, 5, Route("a", "\"kind\":\"safe\"") + "," + Route("b", "\"kind\":\"safe\"") + "," + kShop);
 
-TEST_CASE("a file is judged as a core would") {
-  const std::string next = Whole(9, 7, Route("a", "\"kind\":\"safe\"") + "," + kShop);
-  CHECK(Check(next, kNow).exit == Exit::kTaken);
-  CHECK(Check(next, std::nullopt).exit == Exit::kTaken);
-  CHECK(Check(Whole(9, 5, kShop), kNow).exit == Exit::kConflict);
-  CHECK(Check(Whole(9, 5, kShop), std::nullopt).exit == Exit::kTaken);
-  const std::string orphan = Whole(9, 7, Route("a", "\"kind\":\"safe\""));  // no such service
-  CHECK(Check(orphan, kNow).exit == Exit::kBadInput);
-  CHECK(Check(orphan, std::nullopt).exit == Exit::kBadInput);
-  CHECK(Check(Whole(6, 7, kShop), kNow).exit == Exit::kBadInput);
-  CHECK(Check(next, orphan).text.starts_with("invalid: the current configuration: "));
+TEST_CASE("Check accepts and rejects files as a core would") {
+  const std::string next = FullConfiguration(9, 7, Route("a", "\"kind\":\"safe\"") + "," + kShop);
+  CHECK(Check(next, kCurrent).exit == ExitStatus::kSuccess);
+  CHECK(Check(next, std::nullopt).exit == ExitStatus::kSuccess);
+  CHECK(Check(FullConfiguration(9, 5, kShop), kCurrent).exit == ExitStatus::kConflict);
+  CHECK(Check(FullConfiguration(9, 5, kShop), std::nullopt).exit == ExitStatus::kSuccess);
+  const std::string dangling_route =
+      FullConfiguration(9, 7, Route("a", "\"kind\":\"safe\""));  // no such service
+  CHECK(Check(dangling_route, kCurrent).exit == ExitStatus::kInvalidInput);
+  CHECK(Check(dangling_route, std::nullopt).exit == ExitStatus::kInvalidInput);
+  CHECK(Check(FullConfiguration(6, 7, kShop), kCurrent).exit == ExitStatus::kInvalidInput);
+  CHECK(Check(next, dangling_route).text.starts_with("invalid: the current configuration: "));
   const std::string change =
       "{\"version\":9,\"baseVersion\":7,\"upsert\":{\"resourceList\":[]},\"remove\":{\"routes\":[\"b\"]}}";
-  CHECK(Check(change, kNow).exit == Exit::kTaken);
-  CHECK(Check(change, std::nullopt).exit == Exit::kBadInput);
+  CHECK(Check(change, kCurrent).exit == ExitStatus::kSuccess);
+  CHECK(Check(change, std::nullopt).exit == ExitStatus::kInvalidInput);
   for (const std::string& bad :
        {std::string(), std::string("{"), std::string("[1]"), std::string("\"upsert\""),
         std::string(200'000, '['), next.substr(0, next.size() - 2)}) {
-    const Report report = Check(bad, std::nullopt);
-    CHECK(report.exit == Exit::kBadInput);
-    CHECK(report.text.find('\n') == report.text.size() - 1);
-    CHECK(Check(bad, kNow).exit == Exit::kBadInput);
-    CHECK(Diff(kNow, bad).exit == Exit::kBadInput);
+    const Summary summary = Check(bad, std::nullopt);
+    CHECK(summary.exit == ExitStatus::kInvalidInput);
+    CHECK(summary.text.find('\n') == summary.text.size() - 1);
+    CHECK(Check(bad, kCurrent).exit == ExitStatus::kInvalidInput);
+    CHECK(Diff(kCurrent, bad).exit == ExitStatus::kInvalidInput);
   }
 }
 
-TEST_CASE("a difference says item by item what tightens") {
-  CHECK(Diff(kNow, kNow).text == "version 7 to 7\ntightens nothing\n");
-  const Report report = Diff(kNow, Whole(9, 7, Route("a", "\"kind\":\"unsafe\"") + "," + kShop));
-  CHECK(report.exit == Exit::kTaken);
-  CHECK(report.text == "version 7 to 9\n-! routes/b\n~! routes/a\ntightens\n");
+TEST_CASE("Diff lists each item and whether it tightens") {
+  CHECK(Diff(kCurrent, kCurrent).text == "version 7 to 7\ntightens nothing\n");
+  const Summary summary =
+      Diff(kCurrent, FullConfiguration(9, 7, Route("a", "\"kind\":\"unsafe\"") + "," + kShop));
+  CHECK(summary.exit == ExitStatus::kSuccess);
+  CHECK(summary.text == "version 7 to 9\n-! routes/b\n~! routes/a\ntightens\n");
   const std::string changed = "{\"version\":9,\"baseVersion\":7,\"upsert\":{\"resourceList\":[" +
                               Route("c", "\"kind\":\"safe\"") + "]}}";
-  CHECK(Diff(kNow, changed).text == "version 7 to 9\n+! routes/c\ntightens\n");
-  CHECK(Diff(Whole(9, 7, kShop), changed).exit == Exit::kConflict);
+  CHECK(Diff(kCurrent, changed).text == "version 7 to 9\n+! routes/c\ntightens\n");
+  CHECK(Diff(FullConfiguration(9, 7, kShop), changed).exit == ExitStatus::kConflict);
 }
 
 }  // namespace
--- a/tools/mesh/configuration.cpp
+++ b/tools/mesh/configuration.cpp
@@ -1,4 +1,4 @@
-// fennelhollow-configuration: the operators' command line; docs/operators/mesh-tools.md.
+// fennelhollow-configuration: operators' command line tool; see docs/operators/mesh-tools.md.
 #include <absl/strings/numbers.h>
 #include <absl/strings/str_cat.h>
 
@@ -16,61 +16,64 @@
 
 #include "net/address.hpp"
 #include "tools/mesh/configuration_files.hpp"
-#include "tools/mesh/repeater.hpp"
+#include "tools/mesh/retrying_client.hpp"
 
 namespace {
 
 using fennelhollow::tools::Check;
 using fennelhollow::tools::Diff;
 using fennelhollow::tools::Exchange;
-using fennelhollow::tools::Exit;
+using fennelhollow::tools::ExitStatus;
 using fennelhollow::tools::HttpCall;
 using fennelhollow::tools::HttpReply;
 using fennelhollow::tools::Outcome;
 using fennelhollow::tools::ParseCores;
 using fennelhollow::tools::ReadFile;
-using fennelhollow::tools::Repeater;
-using fennelhollow::tools::RepeaterLimits;
-using fennelhollow::tools::Report;
+using fennelhollow::tools::RetryingClient;
+using fennelhollow::tools::RetryLimits;
+using fennelhollow::tools::Summary;
 using fennelhollow::tools::Tcp;
 
 constexpr const char* kUsage =
     "fennelhollow-configuration: checks, compares, sends and reads the mesh's configuration\n"
-    "  check FILE [--on CURRENT]   what a core would say of FILE, e.g. check next.json --on now.json\n"
+    "  check FILE [--on CURRENT]   whether a core would accept FILE, e.g. check next.json --on now.json\n"
     "  diff OLD NEW                what changes and what tightens, e.g. diff now.json next.json\n"
-    "  put FILE                    replaces all, e.g. put next.json --cores 10.0.0.1:7000,10.0.0.2:7000\n"
+    "  put FILE                    replaces the configuration, e.g. put next.json --cores "
+    "10.0.0.1:7000,10.0.0.2:7000\n"
     "  modify FILE                 changes named items, e.g. modify change.json --cores 10.0.0.1:7000\n"
-    "  read                        prints the newest, e.g. read --cores 10.0.0.1:7000 > now.json\n"
-    "  status                      each core's, a line each, e.g. status --cores 10.0.0.1:7000\n"
-    "exit status: 0 taken, 2 bad input, 3 conflict (412), 4 nobody answered\n";
+    "  read                        prints the newest configuration, e.g. read --cores 10.0.0.1:7000 > "
+    "now.json\n"
+    "  status                      prints one line per core, e.g. status --cores 10.0.0.1:7000\n"
+    "exit status: 0 success, 2 invalid input, 3 version conflict (409, 412), 4 no core answered\n";
 
-int Print(const Report& report) {
-  std::fputs(report.text.c_str(), report.exit == Exit::kTaken ? stdout : stderr);
-  return static_cast<int>(report.exit);
+int Print(const Summary& summary) {
+  std::fputs(summary.text.c_str(), summary.exit == ExitStatus::kSuccess ? stdout : stderr);
+  return static_cast<int>(summary.exit);
 }
 
 template <class T>
-T Get(absl::StatusOr<T> value) {
+T ValueOrThrow(absl::StatusOr<T> value) {
   if (!value.ok()) throw std::invalid_argument(std::string(value.status().message()));
   return *std::move(value);
 }
 
-int Send(std::vector<Tcp::endpoint> cores, HttpCall call, std::chrono::milliseconds whole) {
+int Send(std::vector<Tcp::endpoint> cores, HttpCall call, std::chrono::milliseconds total_timeout) {
   boost::asio::io_context io(1);
-  RepeaterLimits limits;
-  limits.whole = whole;
-  const bool reads = call.method == "GET";
+  RetryLimits limits;
+  limits.total_timeout = total_timeout;
+  const bool is_read = call.method == "GET";
   Outcome outcome;
-  Repeater::Start(io, std::move(cores), std::move(call), limits,
-                  [&outcome](Outcome out) { outcome = std::move(out); });
+  RetryingClient::Start(io, std::move(cores), std::move(call), limits,
+                        [&outcome](Outcome result) { outcome = std::move(result); });
   io.run();
-  if (outcome.exit == Exit::kTaken) {
-    std::printf("%s\n", reads ? outcome.body.c_str() : absl::StrCat("taken by ", outcome.from).c_str());
-  } else if (outcome.exit == Exit::kNobody) {
-    std::fprintf(stderr, "fennelhollow-configuration: nobody answered in %d tries; the last: %s\n",
-                 outcome.tries, outcome.trouble.c_str());
+  if (outcome.exit == ExitStatus::kSuccess) {
+    std::printf("%s\n",
+                is_read ? outcome.body.c_str() : absl::StrCat("taken by ", outcome.responder).c_str());
+  } else if (outcome.exit == ExitStatus::kUnavailable) {
+    std::fprintf(stderr, "fennelhollow-configuration: no core answered in %d attempts; last error: %s\n",
+                 outcome.attempts, outcome.last_error.c_str());
   } else {
-    std::fprintf(stderr, "fennelhollow-configuration: %s answered %u %s\n", outcome.from.c_str(),
+    std::fprintf(stderr, "fennelhollow-configuration: %s answered %u %s\n", outcome.responder.c_str(),
                  outcome.status, outcome.body.c_str());
   }
   return static_cast<int>(outcome.exit);
@@ -99,31 +102,32 @@
     }
     std::printf("%s\n", line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace).c_str());
   }
-  return static_cast<int>(answered ? Exit::kTaken : Exit::kNobody);
+  return static_cast<int>(answered ? ExitStatus::kSuccess : ExitStatus::kUnavailable);
 }
 
 int Run(const argagg::parser_results& arguments) {
-  std::vector<std::string> words(arguments.pos.begin(), arguments.pos.end());
-  const std::string command = words.empty() ? "" : words.front();
+  std::vector<std::string> positional(arguments.pos.begin(), arguments.pos.end());
+  const std::string command = positional.empty() ? "" : positional.front();
   const std::size_t files = command == "diff"                                               ? 2
                             : command == "check" || command == "put" || command == "modify" ? 1
                                                                                             : 0;
   const bool known = files > 0 || command == "read" || command == "status";
   if (!known)
-    throw std::invalid_argument(command.empty() ? "no command; see --help" : "no such command: " + command);
-  if (words.size() != files + 1)
-    throw std::invalid_argument(absl::StrCat(command, " takes ", files, " files"));
-  if (arguments["on"] && command != "check") throw std::invalid_argument("--on belongs to check");
+    throw std::invalid_argument(command.empty() ? "no command; see --help" : "unknown command: " + command);
+  if (positional.size() != files + 1)
+    throw std::invalid_argument(absl::StrCat(command, " takes ", files, " file arguments"));
+  if (arguments["on"] && command != "check") throw std::invalid_argument("--on is only valid with check");
 
   if (command == "check") {
     std::optional<std::string> current;
-    if (arguments["on"]) current = Get(ReadFile(arguments["on"].as<std::string>()));
-    return Print(Check(Get(ReadFile(words[1])), current));
+    if (arguments["on"]) current = ValueOrThrow(ReadFile(arguments["on"].as<std::string>()));
+    return Print(Check(ValueOrThrow(ReadFile(positional[1])), current));
   }
-  if (command == "diff") return Print(Diff(Get(ReadFile(words[1])), Get(ReadFile(words[2]))));
+  if (command == "diff")
+    return Print(Diff(ValueOrThrow(ReadFile(positional[1])), ValueOrThrow(ReadFile(positional[2]))));
 
   if (!arguments["cores"]) throw std::invalid_argument(command + " needs --cores ip:port,ip:port");
-  const auto cores = Get(ParseCores(arguments["cores"].as<std::string>()));
+  const auto cores = ValueOrThrow(ParseCores(arguments["cores"].as<std::string>()));
   if (command == "status") return Status(cores);
   double seconds = 30;
   if (arguments["for"] && (!absl::SimpleAtod(arguments["for"].as<std::string>(), &seconds) ||
@@ -132,7 +136,7 @@
   HttpCall call{"GET", "/-/Configuration.Read", ""};
   if (files > 0) {
     call = {"POST", command == "put" ? "/-/Configuration.Replace" : "/-/Configuration.Modify",
-            Get(ReadFile(words[1]))};
+            ValueOrThrow(ReadFile(positional[1]))};
   }
   return Send(cores, std::move(call), std::chrono::milliseconds(static_cast<std::int64_t>(seconds * 1000)));
 }
@@ -140,11 +144,11 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  std::signal(SIGPIPE, SIG_IGN);  // a core that leaves is an error of the write
-  argagg::parser parser{{{"help", {"-h", "--help"}, "says this", 0},
-                         {"on", {"--on"}, "check: the configuration that is in place, as read prints it", 1},
-                         {"cores", {"--cores"}, "control planes' addresses: ip:port,ip:port", 1},
-                         {"for", {"--for"}, "put, modify, read: repeats for so many seconds (30)", 1}}};
+  std::signal(SIGPIPE, SIG_IGN);  // writing to a closed connection returns an error instead
+  argagg::parser parser{{{"help", {"-h", "--help"}, "prints this help", 0},
+                         {"on", {"--on"}, "check: the current configuration, as printed by read", 1},
+                         {"cores", {"--cores"}, "control plane addresses: ip:port,ip:port", 1},
+                         {"for", {"--for"}, "put, modify, read: retry for up to N seconds (default 30)", 1}}};
   try {
     const argagg::parser_results arguments = parser.parse(argc, argv);
     if (arguments["help"]) {
@@ -154,6 +158,6 @@
     return Run(arguments);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "fennelhollow-configuration: %s\n", error.what());
-    return static_cast<int>(Exit::kBadInput);
+    return static_cast<int>(ExitStatus::kInvalidInput);
   }
 }
--- a/tools/mesh/configuration_files.hpp
+++ b/tools/mesh/configuration_files.hpp
@@ -1,4 +1,4 @@
-// Configurations in files, judged by the core's own code. Free of I/O but for ReadFile.
+// Validates and compares configuration files with the code that the cores use. No I/O except in ReadFile.
 #ifndef FENNELHOLLOW_TOOLS_MESH_CONFIGURATION_FILES_HPP_
 #define FENNELHOLLOW_TOOLS_MESH_CONFIGURATION_FILES_HPP_
 
@@ -9,26 +9,27 @@
 #include <string_view>
 
 #include "mesh/configuration/configuration.hpp"
-#include "tools/mesh/repeater.hpp"
+#include "tools/mesh/retrying_client.hpp"
 
 namespace fennelhollow::tools {
 
-// At most 8 MiB, which is what a core reads. kInvalidArgument with one line.
+// Reads a file of at most 8 MiB, a core's limit. kInvalidArgument, with a one-line message, if it cannot.
 absl::StatusOr<std::string> ReadFile(const std::string& path);
 
-struct Report {
-  Exit exit = Exit::kTaken;
-  std::string text;  // whole lines
+// What a program prints, and its exit status.
+struct Summary {
+  ExitStatus exit = ExitStatus::kSuccess;
+  std::string text;  // complete lines
 };
 
-// What a core would say of `call` (a whole configuration, or a change: an object with `upsert` or `remove`)
-// if `current`, as Configuration.Read gives it, were in place. Without `current` a whole configuration is
-// checked by itself, whatever it builds on; a change can't be.
-Report Check(std::string_view call, const std::optional<std::string>& current);
+// Reports whether a core would accept `call`, a full configuration or a change (an object with `upsert` or
+// `remove`), on top of `current`, as returned by Configuration.Read. Without `current`, a full configuration
+// is validated on its own, ignoring its baseVersion; a change cannot be checked.
+Summary Check(std::string_view call, const std::optional<std::string>& current);
 
-// What `next` (as for Check) changes of `old`, item by item; "!" marks what tightens: sidecars must have it
-// in force before anybody may rely on it.
-Report Diff(std::string_view old, std::string_view next);
+// Lists what `next` (as `call` of Check) adds to, removes from and changes in `old`. "!" marks items that
+// tighten the configuration: they may only be relied on once every sidecar has applied them.
+Summary Diff(std::string_view old, std::string_view next);
 
 }  // namespace fennelhollow::tools
 
--- a/tools/mesh/http_client.cpp
+++ b/tools/mesh/http_client.cpp
@@ -22,9 +22,9 @@
 namespace http = merlinrun::net::http;
 using merlinrun::net::ErrorCode;
 
-class Conversation : public std::enable_shared_from_this<Conversation> {
+class HttpExchange : public std::enable_shared_from_this<HttpExchange> {
  public:
-  Conversation(asio::io_context& io, const Tcp::endpoint& core, HttpCall call, const HttpLimits& limits,
+  HttpExchange(asio::io_context& io, const Tcp::endpoint& core, HttpCall call, const HttpLimits& limits,
                std::function<void(absl::StatusOr<HttpReply>)> done)
       : stream_(io), core_(core), limits_(limits), done_(std::move(done)) {
     request_.method_string(call.method);
@@ -35,36 +35,36 @@
     if (!call.body.empty()) request_.set(http::field::content_type, "application/json");
     request_.body() = std::move(call.body);
     request_.prepare_payload();
-    parser_.body_limit(limits.body_bytes);
+    parser_.body_limit(limits.max_body_bytes);
   }
 
-  void Begin() {
-    stream_.expires_after(limits_.connect);
+  void Start() {
+    stream_.expires_after(limits_.connect_timeout);
     stream_.async_connect(core_, [self = shared_from_this()](ErrorCode error) {
-      if (error) return self->Fail("no connection", error);
+      if (error) return self->Fail("cannot connect", error);
       self->Write();
     });
   }
 
  private:
   void Write() {
-    stream_.expires_after(limits_.answer);
+    stream_.expires_after(limits_.response_timeout);
     http::async_write(stream_, request_, [self = shared_from_this()](ErrorCode error, std::size_t) {
-      // A core that refuses a call early may close before it has read all; its answer is there.
-      if (error == beast::error::timeout) return self->Fail("no answer", error);
+      // A core that rejects a call early may close before reading it all; its response is still read.
+      if (error == beast::error::timeout) return self->Fail("no response", error);
       self->Read();
     });
   }
   void Read() {
     http::async_read(stream_, buffer_, parser_, [self = shared_from_this()](ErrorCode error, std::size_t) {
-      if (error) return self->Fail("no whole answer", error);
-      HttpReply out;
+      if (error) return self->Fail("incomplete response", error);
+      HttpReply result;
       auto& message = self->parser_.get();
-      out.status = message.result_int();
-      out.location = std::string(message[http::field::location]);
-      out.retry_after = std::string(message[http::field::retry_after]);
-      out.body = std::move(message.body());
-      self->done_(std::move(out));
+      result.status = message.result_int();
+      result.location = std::string(message[http::field::location]);
+      result.retry_after = std::string(message[http::field::retry_after]);
+      result.body = std::move(message.body());
+      self->done_(std::move(result));
     });
   }
   void Fail(const std::string& what, ErrorCode error) {
@@ -84,20 +84,21 @@
 
 void Exchange(asio::io_context& io, const Tcp::endpoint& core, HttpCall call, const HttpLimits& limits,
               std::function<void(absl::StatusOr<HttpReply>)> done) {
-  std::make_shared<Conversation>(io, core, std::move(call), limits, std::move(done))->Begin();
+  std::make_shared<HttpExchange>(io, core, std::move(call), limits, std::move(done))->Start();
 }
 
 absl::StatusOr<std::vector<Tcp::endpoint>> ParseCores(std::string_view text) {
-  std::vector<Tcp::endpoint> out;
-  const std::vector<std::string> parts = absl::StrSplit(std::string(text), ',', absl::SkipWhitespace());
-  for (const std::string& part : parts) {
+  std::vector<Tcp::endpoint> result;
+  const std::vector<std::string> addresses = absl::StrSplit(std::string(text), ',', absl::SkipWhitespace());
+  for (const std::string& part : addresses) {
     const auto address = merlinrun::net::ParseAddress(part);
-    if (!address) return absl::InvalidArgumentError(absl::StrCat("no address of the form ip:port: ", part));
-    if (std::find(out.begin(), out.end(), *address) == out.end()) out.push_back(*address);
+    if (!address)
+      return absl::InvalidArgumentError(absl::StrCat("not an address of the form ip:port: ", part));
+    if (std::find(result.begin(), result.end(), *address) == result.end()) result.push_back(*address);
   }
-  if (out.empty()) return absl::InvalidArgumentError("no cores are named");
-  if (out.size() > 64) return absl::InvalidArgumentError("more than 64 cores are named");
-  return out;
+  if (result.empty()) return absl::InvalidArgumentError("no cores given");
+  if (result.size() > 64) return absl::InvalidArgumentError("more than 64 cores given");
+  return result;
 }
 
 }  // namespace fennelhollow::tools
--- a/tools/mesh/http_client.hpp
+++ b/tools/mesh/http_client.hpp
@@ -1,4 +1,4 @@
-// One HTTP/1.1 call over a connection of its own (standard term: HTTP client).
+// HTTP/1.1 client: one call per connection.
 #ifndef FENNELHOLLOW_TOOLS_MESH_HTTP_CLIENT_HPP_
 #define FENNELHOLLOW_TOOLS_MESH_HTTP_CLIENT_HPP_
 
@@ -31,16 +31,18 @@
   std::string retry_after;
 };
 struct HttpLimits {
-  milliseconds connect{1000};
-  milliseconds answer{2000};  // from when it is connected until the whole answer has come
-  std::size_t body_bytes = std::size_t{16} * 1024 * 1024;
+  milliseconds connect_timeout{1000};
+  milliseconds response_timeout{2000};  // from connecting until the complete response is read
+  std::size_t max_body_bytes = std::size_t{16} * 1024 * 1024;
 };
 
-// `done` is called once, from a later turn of `io`. Not OK, with one line: no whole answer came.
+// Calls `done` once, on `io`, never from within Exchange. kUnavailable, with a one-line message, if no
+// complete response was received.
 void Exchange(asio::io_context& io, const Tcp::endpoint& core, HttpCall call, const HttpLimits& limits,
               std::function<void(absl::StatusOr<HttpReply>)> done);
 
-// "ip:port,ip:port,..."; kInvalidArgument with one line. At most 64.
+// Parses "ip:port,ip:port,...", dropping duplicates. kInvalidArgument, with a one-line message, if an address
+// is invalid or there are none or more than 64.
 absl::StatusOr<std::vector<Tcp::endpoint>> ParseCores(std::string_view text);
 
 }  // namespace fennelhollow::tools
