--- a/rig/sim/main.cpp
+++ b/rig/sim/main.cpp
@@ -100,7 +100,7 @@
        {"seed", {"--seed"}, "the first seed (1)", 1},
        {"count", {"--count"}, "number of seeds (100)", 1},
        {"shrink", {"--shrink"}, "prints the shortest schedule that still fails", 0},
-       {"expect-violations", {"--expect-violations"}, "succeeds at the first violation", 0},
+       {"expect-broken", {"--expect-broken"}, "succeeds at the first violation", 0},
        {"file", {"--file"}, "runs a schedule from a file", 1},
        {"pauses", {"--pauses"}, "measures outages of the control plane, N runs per fault", 1},
        {"print", {"--print"}, "prints the schedule of the seed", 0},
@@ -118,7 +118,7 @@
       std::cout << Write(Draw(arguments["seed"].as<std::uint64_t>(1)));
       return 0;
     }
-    if (arguments["expect-violations"])
+    if (arguments["expect-broken"])
       return ExpectViolation(arguments["seed"].as<std::uint64_t>(1),
                              arguments["count"].as<std::uint64_t>(100));
     return RunSeeds(arguments["seed"].as<std::uint64_t>(1), arguments["count"].as<std::uint64_t>(100),
