--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -233,7 +233,7 @@
   OnList(ListUpdate::Kind::kStale, config_.last_known_endpoints);
   if (config_.last_known_endpoints.endpoints.empty()) generation_ = Discovery::kUnknownGeneration;
   if (!config_.wire.settings.must_subscribe) discovery_.Watch(generation_);
-  if (talk_ != nullptr) talk_->Start(/*beside=*/config_.ops.has_value());
+  if (talk_ != nullptr) talk_->Start(/*share_address=*/config_.ops.has_value());
   if (!taking_over_) StartHandoverServer();
 }
 
