--- a/src/diameter/io/downstream.cpp
+++ b/src/diameter/io/downstream.cpp
@@ -294,7 +294,7 @@
   if (!info.id.empty() && request_manager_.Contains(info.id))
     return send_error(ResultCode::kUnableToComply, "a request of this id is under way");
   auto message = std::make_unique<RequestMessage>();
-  // Twice, as the request is copied when it is forwarded.
+  // Reserves memory for two copies, as forwarding copies the request.
   if (!message->charge.Reserve(budget_, 2 * request.avps.size()))
     return send_error(ResultCode::kTooBusy, "out of memory for requests");
   if (!duplicates_.Begin(loop_.Now(), key, digest, waiter))
--- a/src/mesh/consensus/membership.cpp
+++ b/src/mesh/consensus/membership.cpp
@@ -252,7 +252,7 @@
   now_ = std::max(now_, now);
   if (role_ != Role::kFollower || leader_.empty() || peer != leader_) return;
   leader_heard_ = false;
-  // Leaves a leader that runs after all the time for a heartbeat.
+  // The election waits for one heartbeat interval, so that a leader that is still running is heard first.
   election_deadline_ = std::min(election_deadline_,
                                 now_ + settings_.heartbeat_interval + random_.Upto(kRefusedElectionJitter));
 }
--- a/src/mesh/quota/share_allocator.cpp
+++ b/src/mesh/quota/share_allocator.cpp
@@ -205,7 +205,7 @@
       if (!same_process && previous.lease_end + window_ > now) {
         const double elapsed = static_cast<double>(now - state.reported_at) / static_cast<double>(window_);
         const double unreported = 2 * state.expected * elapsed + kUnreportedUse * previous.per_window;
-        // Of a small share all requests may have been admitted, at the very end.
+        // The previous process may have used a small share up just before it ended: all of it counts as used.
         const bool use_all = previous.has_rate || few_requests;
         state.orphaned =
             Orphaned(now, state) +
