--- a/rig/invariant_checker.hpp
+++ b/rig/invariant_checker.hpp
@@ -1,11 +1,13 @@
 // Records every request, execution and response of a run and checks four invariants: 1. each request gets one
-// response in time; 2. a request that is not safe to repeat runs at most once, and not if refused; 3. a
-// draining server gets no new requests; 4. a cold server is not overloaded. One instance per run; times are
-// microseconds of one clock.
+// response in time; 2. a request that is not safe to repeat runs at most once, and not if refused, and any
+// request runs at one server at a time, not counting attempts of a safe request whose connection was
+// reset; 3. a draining server gets no new requests; 4. a cold server is not overloaded. One instance per run;
+// times are microseconds of one clock.
 #ifndef MERLINRUN_RIG_INVARIANT_CHECKER_HPP_
 #define MERLINRUN_RIG_INVARIANT_CHECKER_HPP_
 
 #include <cstdint>
+#include <functional>
 #include <map>
 #include <string>
 #include <unordered_map>
@@ -27,6 +29,7 @@
 class InvariantChecker {
  public:
   enum class Outcome { kServed, kRefused, kFailed };
+  using ConnectionReset = std::function<bool()>;
   struct ClassSummary {  // totals of one traffic class
     std::uint64_t sent = 0;
     std::uint64_t served = 0;
@@ -48,10 +51,11 @@
   void OnResponse(const std::string& id, Outcome outcome, const std::string& token, Micros now);
 
   // A server starts to execute a request; its response will hold `token`. Deduplicated repeats don't count.
+  // `connection_reset`, called until the execution ends, returns whether the attempt's connection was reset.
   void OnExecutionStart(const std::string& id, const std::string& server, const std::string& token,
-                        Micros now);
+                        ConnectionReset connection_reset);
   // The execution ended, or its server crashed.
-  void OnExecutionEnd(const std::string& id);
+  void OnExecutionEnd(const std::string& id, const std::string& token);
   // A request arrived at a server, whether it is executed, queued or declined.
   void OnArrival(const std::string& server, Micros now);
   // Discovery reported the server as draining or removed, until OnListed reports it as up again.
@@ -73,13 +77,14 @@
     Micros sent_at = 0;
     int responses_due = 1;
     bool abandoned = false;
-    int running = 0;
-    std::vector<std::string> tokens;  // one for each execution
+    std::map<std::string, ConnectionReset> running;  // by token
+    std::vector<std::string> tokens;                 // one for each execution
     std::vector<Outcome> outcomes;
     std::string served_token;
     Micros latency = 0;
   };
   void ReportViolation(int rule, const std::string& what);
+  static bool ExecutedTwiceAtOnce(const Entry& entry);
 
   // Tolerance after the deadline; larger than the platform's 50 ms because test machines are busy.
   static constexpr Micros kDeadlineGrace = 250'000;
