--- a/include/merlinrun/balancer.hpp
+++ b/include/merlinrun/balancer.hpp
@@ -82,8 +82,10 @@
   // The same start factor while part of the server capacity is lost, relative to the remaining capacity.
   double capacity_loss_shed_start = 2.0;
   // Latency, as a multiple of the latency target, at which admission of the most valuable work levels off.
+  // Below 1, as servers overload before responses miss the target.
   double admission_target = 0.27;
-  // Outlier ejection: largest share of the window that may be ejected at once. 0 disables ejection.
+  // Outlier ejection: largest share of the window that may be ejected at once, so that a slowdown of all
+  // servers does not empty the window. 0 disables ejection.
   double max_ejected_share = 0.5;
 };
 
--- a/model/compare.hpp
+++ b/model/compare.hpp
@@ -1,6 +1,7 @@
 // Simulates days of one scenario with several sides, paired by seed and on several threads, until a
-// sequential test separates the sides or the pair limit is reached. The result depends only on the scenario,
-// the sides and the first seed, not on the number of threads or on resumed days.
+// sequential test has a verdict on each side (better, worse, or no difference that matters) or the pair
+// limit is reached. The result depends only on the scenario, the sides and the first seed, not on the number
+// of threads or on resumed days.
 #ifndef MERLINRUN_MODEL_COMPARE_HPP_
 #define MERLINRUN_MODEL_COMPARE_HPP_
 
@@ -52,7 +53,7 @@
 using CompletedDays = std::map<std::pair<std::size_t, std::uint64_t>, DayResult>;
 
 struct RunHooks {
-  const std::atomic<bool>* stop = nullptr;  // if set, the run ends after the days in progress
+  const std::atomic<bool>* stop = nullptr;  // once it is true, the run ends after the days in progress
   // Called for each finished day, from one thread at a time, in no particular order.
   std::function<void(std::size_t side, const DayResult& day)> on_day;
 };
--- a/model/discovery_list.hpp
+++ b/model/discovery_list.hpp
@@ -26,7 +26,8 @@
   void Initialize(std::vector<ServerInfo> servers);
   // Queues a change that becomes known at `known_at`; returns its publication time.
   Micros Schedule(Change change, Micros known_at);
-  // Publishes the changes due at `now` as a new version. None if nothing changed, or until `outage_end`.
+  // Publishes the changes due at `now` as a new version. Before `outage_end` they are postponed until then.
+  // None if nothing was published.
   std::optional<std::size_t> Publish(Micros now, Micros outage_end);
 
   std::size_t version() const { return versions_.size() - 1; }
--- a/model/replay.hpp
+++ b/model/replay.hpp
@@ -32,7 +32,7 @@
                                              const Scenario& scenario);
 
 // The requests of one sidecar for a day of `length`, ordered by time. Recordings are reused if there are
-// fewer than sidecars, each time with another offset.
+// fewer than sidecars, each time with another offset, so that copies of a recording are not synchronized.
 std::vector<Replay::Item> SidecarTraffic(const Replay& replay, std::uint32_t sidecar, std::uint64_t seed,
                                          Micros length);
 
--- a/model/scenario.hpp
+++ b/model/scenario.hpp
@@ -105,7 +105,7 @@
   Range choke_over_s{1.5, 2.5};  // ... after this time
   Range choke_slower{2.1, 3.4};  // slowdown factor
   Range choke_rest_s{2.5, 4.4};
-  Range choke_below{0.25, 0.4};  // it ends when requests per core stay below this for choke_rest_s
+  Range choke_below{0.25, 0.4};  // it ends after choke_rest_s with at most this many requests per core
   Range choke_most_s{18, 34};    // longest duration
   // [network]
   Range same_ms{0.11, 0.34};  // one way
--- a/model/scoring.cpp
+++ b/model/scoring.cpp
@@ -13,7 +13,7 @@
 
 DayScorer::DayScorer(const Scenario& scenario)
     : scenario_(scenario), window_length_(static_cast<Micros>(scenario.window_s.low * kSecond)) {
-  // A shorter remainder at the end belongs to the last window: by itself it would have too few requests.
+  // A shorter remainder at the end belongs to the last window: a short window would be the worst by chance.
   const auto windows = static_cast<std::size_t>(std::max(1.0, scenario.length_s.low / scenario.window_s.low));
   result_.windows.resize(windows);
   result_.classes.resize(scenario.classes.size());
--- a/model/scoring.hpp
+++ b/model/scoring.hpp
@@ -1,9 +1,10 @@
 // Scores a simulated day: the service that clients received, and violations of the four rules that sidecars
 // must keep:
-// 1. every request is answered once, by its deadline;
-// 2. no attempt that could execute an unsafe request twice, and no parallel attempts;
-// 3. nothing is sent to a draining server after the grace period;
-// 4. a cold server is not overloaded.
+// 1. every request is answered by its deadline, and nothing is sent for it after the answer;
+// 2. no parallel attempts; after a request may have run, no further attempt and no refusal (clients retry
+//    after a refusal) that could execute it twice, unless it is safe or servers deduplicate it;
+// 3. nothing is sent to a server that drains or is gone, from the grace period after the sidecar was told;
+// 4. no cold server crashes from overload by sidecars that know of its start.
 // Service is the worth of the requests answered within their latency target over the worth of all requests,
 // across all tries of a request; by class, and by window of the time of the request.
 #ifndef MERLINRUN_MODEL_SCORING_HPP_
--- a/model/server.hpp
+++ b/model/server.hpp
@@ -37,7 +37,8 @@
   explicit Server(const ServerParameters& parameters, Micros started)
       : parameters_(parameters), started_at_(started) {}
 
-  // The share of full speed reached since the start, 0 to 1.
+  // WarmupFactor: the share of full speed reached since the start, 0 to 1. Capacity: work per microsecond,
+  // in microseconds of a standard core.
   double WarmupFactor(Micros now) const;
   double Capacity(Micros now) const { return parameters_.cores * parameters_.speed * WarmupFactor(now); }
 
--- a/model/simulation.cpp
+++ b/model/simulation.cpp
@@ -103,7 +103,7 @@
   kAnswerOverdue,   // a, b: try without an answer
   kServerArrival,   // a, b: attempt
   kDependencyDone,  // a, b: attempt
-  kWorkDone,        // a: server, b: generation
+  kWorkDone,        // a: server, b: generation; work may be complete, as the event can come too early
   kRefreshServer,   // a: server, b: generation; while it is cold
   kCancelAtServer,  // a, b: attempt that nobody waits for
   kOutcome,         // a, b: attempt
@@ -146,7 +146,7 @@
   bool answered = false;  // the client waits no longer
   int attempts_in_flight = 0;
   std::vector<Handle> attempts;
-  bool may_have_run = false;  // an attempt may have executed; the first such attempt:
+  bool may_have_run = false;  // as far as the sidecar can know; the first attempt that may have executed:
   std::size_t first_run_server = 0;
   Micros first_run_sent = 0;
   bool executed = false;  // an attempt did execute; the first one:
@@ -729,7 +729,8 @@
     StartAttempt(row, attempt, client_requests_[client_try->client_request], timeout, client_try->deadline);
   }
 
-  // Checks the rules 2 and 3, and no attempts after the answer, when an attempt is sent.
+  // Checks rules 2 and 3 as far as they can be seen when an attempt is sent, and that none is sent after the
+  // answer (rule 1).
   void CheckSend(const ClientTry& client_try, std::uint32_t index, std::uint32_t sidecar) {
     const TrafficClass& c = day_.classes[client_requests_[client_try.client_request].class_index];
     if (client_try.answered) scorer_.RecordViolation(1, c.name + " was sent after its answer");
@@ -980,8 +981,8 @@
     ScheduleWorkCheck(attempt.server);
   }
 
-  // Schedules an event at the next completion of work. An event that turns out too early is not rescheduled
-  // with every change.
+  // Schedules an event at the next completion of work. If a later change delays the completion, the event
+  // already scheduled is kept: it comes too early, may find nothing complete, and schedules the next one.
   void ScheduleWorkCheck(std::uint32_t index) {
     Machine& machine = machines_[index];
     const Micros due = machine.server->NextCompletion(now_);
@@ -1168,7 +1169,7 @@
     sidecars_->Start(
         index, settings,
         RandomStream(seed_ ^ side_.salt, Purpose::kSidecarSeed, index, sidecar.generation).Next(), now_);
-    // Cached, as all sidecars start with the same list.
+    // Cached: at the start of a day thousands of sidecars get the same list.
     if (full_list_.empty() || full_list_version_ != sidecar.version)
       full_list_ = discovery_.FullList(full_list_version_ = sidecar.version);
     const std::vector<ServerInfo>& servers = full_list_;
@@ -1261,7 +1262,7 @@
   // The server finishes its requests and stops after all sidecars were told.
   void DrainServer(std::uint32_t index) {
     if (!machines_[index].up) return;
-    constexpr double kDrainSeconds = 6;  // the longest class deadline
+    constexpr double kDrainSeconds = 6;  // longest deadline of the default scenario's classes
     AnnounceChange(index, ServerInfo::State::kDraining, day_.notice_s.low);
     Push(now_ + static_cast<Micros>((day_.notice_s.low + kDrainSeconds) * kSecond), kReplaceServer, index);
   }
--- a/model/statistics.hpp
+++ b/model/statistics.hpp
@@ -25,7 +25,8 @@
 Interval TInterval(const std::vector<double>& values, double level);
 
 // Bootstrap-t confidence interval (Efron and Tibshirani, An Introduction to the Bootstrap, 12.5), which
-// doesn't assume normal values. The same seed gives the same interval.
+// doesn't assume normal values. The plain percentile bootstrap has too little coverage for few values. The
+// same seed gives the same interval.
 Interval BootstrapInterval(const std::vector<double>& values, double level, std::uint64_t seed);
 
 // Two-sided p-value of the hypothesis that the mean is 0. 1 if all values are 0.
@@ -55,8 +56,8 @@
 enum class Verdict {
   kBetter,  // than the baseline
   kWorse,
-  kSame,     // the difference is significantly smaller than min_effect
-  kUnclear,  // not significant
+  kSame,     // the confidence interval lies within +-min_effect
+  kUnclear,  // none of the others could be shown, so far or at all
 };
 
 // The verdict of a look from the differences (side minus baseline).
--- a/model/store.hpp
+++ b/model/store.hpp
@@ -1,5 +1,6 @@
-// File of finished days from which a later run resumes. Each day is one JSON line, flushed at once. Truncated
-// lines and lines of other comparisons are skipped.
+// File of finished days from which a later run resumes. Each day is one JSON line, flushed at once, so that
+// a run that is killed loses only the days in progress. Truncated lines and lines of other comparisons are
+// skipped.
 #ifndef MERLINRUN_MODEL_STORE_HPP_
 #define MERLINRUN_MODEL_STORE_HPP_
 
--- a/rig/cluster/cluster.cpp
+++ b/rig/cluster/cluster.cpp
@@ -12,7 +12,8 @@
 
 // More than any test sends; StopTraffic ends it.
 constexpr std::uint64_t kUnlimitedRequests = 10'000'000;
-// Only the end of a log is read: reading all of it twenty times a second would delay the event loop.
+// Only the end of a log is read: reading all of it twenty times a second would delay the event loop, and the
+// tests would take that delay for slowness of the sidecars.
 constexpr std::size_t kLogTailBytes = 8192;
 // Frequent enough to see a zone stage that lasts half a second.
 constexpr const char* kTraceSettings = "every_ms = 100\nservers = false\n";
--- a/rig/cluster/cluster.hpp
+++ b/rig/cluster/cluster.hpp
@@ -50,7 +50,8 @@
   void Signal(std::size_t sidecar, int signal) const;
   // Replaces the operator's zone overrides of all sidecars and reloads them.
   void SetZoneOverrides(const std::string& text) const;
-  // Kills the sidecar with SIGKILL; Start starts it again.
+  // Kills the sidecar with SIGKILL and crashes its clients, like a power loss of the machine; Start restarts
+  // both.
   void Kill(std::size_t sidecar);
   void Start(std::size_t sidecar);
   bool Runs(std::size_t sidecar) const;
--- a/rig/invariant_checker.hpp
+++ b/rig/invariant_checker.hpp
@@ -64,7 +64,7 @@
   // A cold server received more load than it can handle.
   void OnOverload(const std::string& server);
 
-  // Ids of requests whose response is overdue at `now`.
+  // Ids of requests whose response is overdue at `now`. Must be empty at the end of a run.
   std::vector<std::string> Unanswered(Micros now) const;
   // One line for each violation, at most kMaxViolationLines of them.
   const std::vector<std::string>& violations() const { return violations_; }
--- a/rig/mesh/http.hpp
+++ b/rig/mesh/http.hpp
@@ -15,7 +15,7 @@
 #include <memory>
 #include <optional>
 #include <string>
-#include <utility>  // missing in awaitable.hpp of Asio 1.74
+#include <utility>  // Asio 1.74's awaitable.hpp needs it earlier: see -include in CMakeLists.txt
 
 namespace fennelhollow::rig {
 
--- a/rig/server.hpp
+++ b/rig/server.hpp
@@ -82,7 +82,7 @@
   void set_script(Script script) { script_ = std::move(script); }
   void set_unresponsive(bool unresponsive) {
     unresponsive_ = unresponsive;
-  }  // Diameter: answers watchdogs only
+  }  // Diameter: answers base messages such as watchdogs, but no application requests
 
   const ServerOptions& options() const { return options_; }
   const DataCentre& centre() const { return centre_; }
--- a/rig/sim/history_checker.hpp
+++ b/rig/sim/history_checker.hpp
@@ -82,7 +82,8 @@
       applied_;  // by sidecar and incarnation: entry, version
   std::map<std::string, std::int64_t> applied_version_;
   std::vector<Micros> acknowledgements_;
-  // Newest version acknowledged or read by a time; both fields grow monotonically.
+  // What was acknowledged, or read, by time `at`: `at` and `chain_length` never decrease from one element to
+  // the next. `version` is set for acknowledgements only.
   struct Observation {
     Micros at = 0;
     std::size_t chain_length = 0;  // versions in the chain up to this one
--- a/rig/sim/network.cpp
+++ b/rig/sim/network.cpp
@@ -16,7 +16,7 @@
   m.incarnation = incarnation;
   m.powered = true;
   m.frozen_until = 0;
-  for (auto& [id, link] : links_) {  // frames sent during a power loss reach the next process
+  for (auto& [id, link] : links_) {  // frames held since a power loss: the new process resets their links
     for (const std::size_t sender : {0U, 1U}) {
       if (!link.directions[sender].queue.empty())
         events_.At(events_.now(), [this, id = id, sender] { DeliverDue(id, sender); });
--- a/rig/sim/schedule.cpp
+++ b/rig/sim/schedule.cpp
@@ -16,7 +16,8 @@
     "disk_full",    "terminate",   "replace",      "replace_gone",   "kill_all",     "power_all",
     "power_on_ack", "wipe_on_ack", "sidecar_kill", "sidecar_freeze", "answers_lost", "slow_links"};
 
-// No faults before the initial voters have made their first write.
+// No faults before the initial voters have made their first write: one that loses power earlier restarts
+// without state and without bootstrap, and is no initial voter any more.
 constexpr Micros kFirstFault = 4 * kSecond;
 
 Micros DrawLength(merlinrun::Random& random, FaultKind kind) {
--- a/rig/sim/schedule.hpp
+++ b/rig/sim/schedule.hpp
@@ -36,7 +36,7 @@
   kSidecarKill,
   kSidecarFreeze,
   kResponsesLost,  // responses to operators
-  kSlowLinks,      // 20 ms and more between all machines
+  kSlowLinks,      // 20 ms and more in each direction between all machines
   kCount,          // number of kinds
 };
 inline constexpr int kFaultKinds = static_cast<int>(FaultKind::kCount);
--- a/rig/sim/simulation.cpp
+++ b/rig/sim/simulation.cpp
@@ -525,7 +525,8 @@
   throw Violation("CONFIG: " + why + ", after " + after);
 }
 
-// Right after an acknowledgement, kills all cores, or wipes the disks of as many as are tolerated.
+// Right after an acknowledgement, wipes the disks of as many cores as are tolerated, or stops the cores (by
+// SIGKILL or power loss); sometimes both. Without a wipe, all cores are stopped.
 void Simulation::InjectFinalFaults() {
   const Micros calm_until = events_.now() + kReconnectTimeout + kCatchUpTime;
   events_.RunUntil(calm_until);
--- a/rig/soak/fault_injector.cpp
+++ b/rig/soak/fault_injector.cpp
@@ -176,7 +176,8 @@
   for (const auto& [from, to] : directions) cluster_.network().Restore(from, to);
 }
 
-// At most one disk is lost at a time: the next one only after the previous core has caught up.
+// The cores tolerate the loss of one disk at a time: wipes the next one only after the previous core has
+// caught up.
 asio::awaitable<void> FaultInjector::WipeDisk(milliseconds fault_time, bool kill_others) {
   if (wiping_) co_return;
   wiping_ = true;
--- a/rig/soak/main.cpp
+++ b/rig/soak/main.cpp
@@ -24,7 +24,7 @@
 using fennelhollow::rig::soak::Run;
 using fennelhollow::rig::soak::RunOptions;
 
-// About eleven processes per run.
+// About eleven processes per run, so at most about 200 at a time.
 constexpr std::uint64_t kMostJobs = 16;
 
 struct Arguments {
--- a/src/core/protocol_listener.hpp
+++ b/src/core/protocol_listener.hpp
@@ -12,7 +12,7 @@
 class ProtocolListener {
  public:
   virtual ~ProtocolListener() = default;
-  // While draining, clients are report by means of the protocol to send further requests elsewhere.
+  // While draining, clients are told, by the means of the protocol, to send further requests elsewhere.
   virtual void SetDraining(bool draining) = 0;
   // Accepts the connections in the backlog, then closes the listener.
   virtual void StopAccepting() = 0;
--- a/src/core/request_manager.hpp
+++ b/src/core/request_manager.hpp
@@ -89,7 +89,7 @@
   Egress* egress = nullptr;  // outlives the request
 };
 
-// A request that has its final response and no attempt in flight.
+// A request that has its final response, or whose client disconnected, and that has no attempt in flight.
 struct CompletedRequest {
   enum class Disposition { kServed, kRefused, kFailed, kClientGone } disposition = Disposition::kClientGone;
   std::string_view id;
@@ -132,7 +132,8 @@
   // The client has disconnected; its request gets no response.
   void OnClientGone(const std::string& id);
 
-  // No response is due later than `deadline`; new requests get no more time than that.
+  // Requests that arrive, or whose body completes, from now on must be answered by `deadline`. Requests that
+  // are active already keep their deadlines until EnforceShutdownDeadline.
   void SetShutdownDeadline(Micros deadline);
   // Applies the shutdown deadline to the active requests too, and answers those that are due.
   void EnforceShutdownDeadline();
--- a/src/diameter/codec.hpp
+++ b/src/diameter/codec.hpp
@@ -156,7 +156,7 @@
 // Splits a byte stream into messages.
 class Framer {
  public:
-  // Larger messages are errors; at most kMaxMessageLength.
+  // Messages over `max_frame_bytes`, which is at most kMaxMessageLength, are framing errors.
   explicit Framer(std::size_t max_frame_bytes) : max_frame_bytes_(max_frame_bytes) {}
   void Feed(std::string_view bytes);
   // The next complete frame, valid until the next call. None if bytes are missing or the stream is invalid.
--- a/src/diameter/duplicate_cache.cpp
+++ b/src/diameter/duplicate_cache.cpp
@@ -7,7 +7,8 @@
 namespace merlinrun::diameter {
 namespace {
 
-// 64-bit FNV-1a. Detects reused ids; not collision resistant, as only listed peers can connect.
+// 64-bit FNV-1a. Tells an id that a client reused by mistake from a retransmission. It doesn't stop a
+// forger, who would have to be a listed peer.
 class Fnv1aHash {
  public:
   void Add(std::string_view bytes) {
--- a/src/diameter/io/connection.hpp
+++ b/src/diameter/io/connection.hpp
@@ -29,7 +29,7 @@
     std::size_t read_pause_bytes = std::size_t{256} << 10;
     std::size_t max_queued_bytes = std::size_t{4} << 20;
     Micros write_timeout = 5'000'000;  // longer writes close the connection
-    Micros close_timeout = 1'000'000;  // for flushing queued bytes on Close
+    Micros close_timeout = 1'000'000;  // on Close: for flushing, and for the peer to read it and to close
   };
   struct Events {
     std::function<void(std::string_view frame)> on_frame;
@@ -51,7 +51,7 @@
   bool MayHaveBeenSent(std::uint64_t end) const { return end <= write_started_; }
   // Stops events, flushes what is queued and closes.
   void Close();
-  // Closes at once with a TCP reset; queued bytes are lost.
+  // Stops events and closes at once with a TCP reset; queued bytes are lost.
   void Reset();
 
   bool closed() const { return closed_; }
--- a/src/diameter/io/downstream.cpp
+++ b/src/diameter/io/downstream.cpp
@@ -147,7 +147,8 @@
   });
 }
 
-// Waits for the CER of a new connection. Their number is bounded; the oldest one is closed to make room.
+// Waits for the CER of a new connection. The number of waiting connections is bounded, and the oldest is
+// closed to make room, so that clients that connect and send nothing don't lock out others.
 void Downstream::AwaitCer(const ConnectionPtr& connection) {
   if (unidentified_.size() >= limits_.max_unidentified) {
     unidentified_.begin()->second->connection->Close();
--- a/src/diameter/io/upstream.cpp
+++ b/src/diameter/io/upstream.cpp
@@ -154,9 +154,9 @@
       if (server->session != nullptr && !server->queued.empty()) server->session->Start();
     });
   } else if (!server.session->peer().Connected() && server.reported_usable) {
-    server.queued.push_back(attempt);  // being dialled
+    server.queued.push_back(attempt);  // being dialled, or closed at max_connections and not dialled
   } else {
-    ResolveLater(attempt, Result::kUnreachable);  // suspect, disconnecting or on probation
+    ResolveLater(attempt, Result::kUnreachable);  // nothing written: suspect, disconnecting, on probation
   }
   return attempt;
 }
--- a/src/diameter/io/upstream.hpp
+++ b/src/diameter/io/upstream.hpp
@@ -45,7 +45,7 @@
   Upstream& operator=(const Upstream&) = delete;
 
   // Applies an endpoint list, complete or with changed entries only. New, moved and restarted servers get a
-  // new session. Drained and removed ones get no new requests and are disconnected when their pending
+  // new session. Draining and removed ones get no new requests and are disconnected when their pending
   // requests are answered.
   void Apply(bool is_full_list, const std::vector<ServerAddress>& servers);
 
--- a/src/diameter/messages.hpp
+++ b/src/diameter/messages.hpp
@@ -26,7 +26,7 @@
   std::uint32_t vendor = 0;
   std::uint32_t state_id = 0;               // Origin-State-Id: increases with every start; 0 = not sent
   std::vector<std::string> addresses;       // Host-IP-Address data: family and address
-  std::vector<std::uint32_t> applications;  // kRelayApplication: any
+  std::vector<std::uint32_t> applications;  // Auth-Application-Ids; kRelayApplication stands for any
 };
 
 // A peer's capabilities from its CER or CEA.
--- a/src/diameter/peer.cpp
+++ b/src/diameter/peer.cpp
@@ -77,7 +77,7 @@
 
 void Peer::Elect(Micros now) {
   state_ = State::kWaitReturns;
-  if (!WinsElection()) return;  // the peer closes its own connection and answers the CER on this one
+  if (!WinsElection()) return;  // the peer closes its own connection and answers the CER on this node's
   sink_.Close(Side::kInitiator);
   AcceptResponder(now);
 }
--- a/src/diameter/peer.hpp
+++ b/src/diameter/peer.hpp
@@ -34,7 +34,7 @@
     kWaitConnAck,       // dialling
     kWaitICea,          // CER sent, waiting for the CEA
     kWaitConnAckElect,  // dialling, and the peer has connected meanwhile
-    kWaitReturns,       // both connections are open; the election is undecided
+    kWaitReturns,       // both connections are open; this node lost the election and waits for the CEA
     kROpen,
     kIOpen,
     kDraining,  // DPR received; the DPA is sent when pending requests are answered
--- a/src/diameter/relay.hpp
+++ b/src/diameter/relay.hpp
@@ -21,8 +21,9 @@
 // How a request is forwarded to a server.
 struct ForwardOptions {
   std::uint32_t hop_by_hop = 0;
-  std::string_view from;    // peer that sent it, for the Route-Record
-  bool retransmit = false;  // sets the T bit, as an earlier attempt may have run
+  std::string_view from;  // peer that sent it, for the Route-Record
+  // Sets the T bit, as an earlier attempt may have run. A T bit that the sender has set is kept in any case.
+  bool retransmit = false;
   // The deadline AVP and its new value in milliseconds; code 0: none.
   std::uint32_t deadline_code = 0;
   std::uint32_t deadline_vendor = 0;
--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -1,4 +1,5 @@
 // Reads batches from standard input and writes one flushed reply per batch to standard output.
+// Exit status: 0 at the end of input, 1 if a reply cannot be written, 2 on malformed input.
 #include <unistd.h>
 
 #include <cerrno>
--- a/src/fleet/peer_table.hpp
+++ b/src/fleet/peer_table.hpp
@@ -17,7 +17,7 @@
 
 class PeerTable {
  public:
-  // A report is ignored once it is this old.
+  // A report is ignored once it is this old, so that outdated reports neither cause nor delay a decision.
   static constexpr Micros kReportTtl = 2'500'000;
   // Evidence from a sender's own attempts is ignored once it is this old. The same for healthy and lost,
   // since otherwise healthy zones with some dead servers would look lost.
--- a/src/fleet/report.hpp
+++ b/src/fleet/report.hpp
@@ -21,7 +21,7 @@
 inline constexpr std::size_t kMaxDatagramBytes = 256;
 // Fits into a datagram with every number at its longest.
 inline constexpr std::size_t kMaxZones = 7;
-// Reported ages are capped at this, in milliseconds.
+// Reported ages are capped at this, in milliseconds; it also stands for never.
 inline constexpr Micros kMaxAgeMs = 600'000;
 
 struct ZoneReport {
--- a/src/fleet/report_exchange.hpp
+++ b/src/fleet/report_exchange.hpp
@@ -52,7 +52,8 @@
  private:
   PeerReport MakeReport(const std::vector<BalancerSnapshot::Zone>& zone_snapshots, std::uint64_t epoch,
                         std::int64_t generation) const;
-  // Whether the report has a change that peers act on: a zone lost or no longer lost, or returned to.
+  // Whether the report can't wait for a regular round: it is the first one, a zone is lost (repeated for
+  // kRepeatLossFor), no longer lost or returned to, or a zone answers that peers call lost.
   bool IsUrgent(Micros now, const PeerReport& current) const;
   // A loss is repeated for this long after its last evidence.
   static constexpr Micros kRepeatLossFor = 1'000'000;
--- a/src/handover/channel.cpp
+++ b/src/handover/channel.cpp
@@ -43,8 +43,8 @@
   return Descriptor();
 }
 
-// Whether a process listens at the path: the successor may have been replaced by another process before it
-// ended.
+// Whether a process listens at the path. Guards against taking the path and the clients back from a third
+// process to which the successor had already handed over before it ended.
 bool IsReachable(const std::string& path) { return static_cast<bool>(Connect(path)); }
 
 void LogError(const std::string& what) { std::fprintf(stderr, "handover: %.200s\n", what.c_str()); }
--- a/src/handover/messages.hpp
+++ b/src/handover/messages.hpp
@@ -32,7 +32,8 @@
 // the channel, listeners and the operators' connections.
 inline constexpr std::size_t kSuccessorDescriptors = 48;
 
-// The share of a limit that remains for one process while the other holds `others`; at least `minimum`.
+// The part of a limit that remains for one process while the other holds `others`; at least `minimum`, as a
+// process that may hold nothing could serve no client.
 constexpr std::size_t RemainingShare(std::size_t limit, std::size_t others, std::size_t minimum) {
   return limit > others + minimum ? limit - others : minimum;
 }
--- a/src/membership/list_retry.hpp
+++ b/src/membership/list_retry.hpp
@@ -1,5 +1,5 @@
-// Schedules the next request for the server list after a failure, with jitter, one at a time. Does no I/O and
-// has no clock or random source of its own.
+// Schedules the next request for the server list after a failure, one at a time. Jitter spreads requests,
+// as all sidecars may have lost the list together. Does no I/O and has no clock or random source of its own.
 #ifndef MERLINRUN_MEMBERSHIP_LIST_RETRY_HPP_
 #define MERLINRUN_MEMBERSHIP_LIST_RETRY_HPP_
 
--- a/src/mesh/consensus/election.cpp
+++ b/src/mesh/consensus/election.cpp
@@ -149,7 +149,8 @@
   }
   if (!m.entry.empty() && IdOf(m.entry[0]) == m.accepted && m.accepted > IdOf(newest_promised_))
     newest_promised_ = m.entry[0];
-  if (m.accepted > IdOf(newest_promised_)) return;  // newer than anything received so far
+  // The peer has accepted a newer entry that did not come with this promise, so the promise cannot count.
+  if (m.accepted > IdOf(newest_promised_)) return;
   granted_votes_.insert({from, m.storage_id});
   LeadIfElected();
 }
--- a/src/mesh/consensus/impl.hpp
+++ b/src/mesh/consensus/impl.hpp
@@ -219,7 +219,7 @@
 
   // Pre-vote, candidacy and leadership.
   std::uint64_t term_ = 0;               // of this replica as candidate or leader
-  std::uint64_t highest_term_seen_ = 0;  // by any replica
+  std::uint64_t highest_term_seen_ = 0;  // in any message received by this replica
   std::uint64_t pre_vote_round_ = 0;
   Votes granted_votes_;  // pre-votes, then promises
   Micros election_started_at_ = 0;
--- a/src/mesh/consensus/message.hpp
+++ b/src/mesh/consensus/message.hpp
@@ -40,7 +40,7 @@
   kAck = 3,              // to the leader: persisted state, round of the heartbeat
   kPreVote = 4,          // non-binding, before an election: round
   kPreVoteResponse = 5,  // flag: granted; leader, if known
-  kPrepare = 6,          // from a candidate: term, its accepted entry's id; flag: the previous leader agrees
+  kPrepare = 6,          // from a candidate: term, id of its newest entry; flag: the previous leader agrees
   kPromise = 7,          // flag: granted; accepted entry's id, with the entry if newer than the candidate's
   kTimeoutNow = 8,       // from the leader to its successor: start an election (leadership transfer)
   kJoin = 9,             // asks the leader to be added as a learner
--- a/src/mesh/consensus/replica.hpp
+++ b/src/mesh/consensus/replica.hpp
@@ -81,7 +81,8 @@
   // A voter that is silent for this long is replaced by a learner. Well below the setting catchUpS, after
   // which a second machine may fail.
   Micros replace_after = 2'000'000;
-  Micros remove_after = 12'000'000;  // as above, with no learner available; at least three voters remain
+  // A voter that is silent for this long is removed if no learner can replace it; at least three remain.
+  Micros remove_after = 12'000'000;
 };
 
 class Replica {
@@ -111,8 +112,8 @@
   // After PrepareShutdown: this replica is no voter any more, or no learner is available and all other voters
   // are caught up. May stay false without a leader, so the owner has to bound the wait.
   bool ReadyForShutdown(Micros now) const;
-  // The host of `peer` refused a connection, so its process is down. If it was the leader, an election (with
-  // pre-vote) starts early.
+  // The host of `peer` refused a connection, so its process is probably down. Only a hint: if `peer` was the
+  // leader, an election starts early, and its pre-vote fails if a majority still hears the leader.
   void OnConnectionRefused(Micros now, const ReplicaId& peer);
 
   bool is_leader() const;  // and has committed an entry of its own term
--- a/src/mesh/control/configuration_service.cpp
+++ b/src/mesh/control/configuration_service.cpp
@@ -104,7 +104,8 @@
 void ConfigurationService::OnConfirmed(Micros now, Outcome outcome) {
   Change& first = changes_.front();
   if (outcome != Outcome::kSuccess || first.base_index != host_.CommittedIndex()) {
-    // The state has changed since the evaluation, or leadership is lost: evaluates again.
+    // The state has changed since the evaluation, or leadership was not confirmed. Nothing was started, so
+    // the change is evaluated again, here or by the next leader.
     first.stage = Stage::kQueued;
     if (!host_.IsLeader() || first.base_index != host_.CommittedIndex()) Advance(now);
     return;
@@ -227,7 +228,8 @@
     if (proposed && !timed_out) {  // stays until OnOutcome
       ++i;
     } else {
-      // Removed with its response, so that a change that got 503 here is never committed later.
+      // A change that was not proposed is removed with its response, so that it is never committed after a
+      // 503. A proposed change whose outcome_timeout has passed is given up, and may still be committed.
       queued_bytes_ -= change.body->size();
       changes_.erase(changes_.begin() + static_cast<std::ptrdiff_t>(i));
     }
--- a/src/mesh/control/configuration_service.hpp
+++ b/src/mesh/control/configuration_service.hpp
@@ -33,7 +33,7 @@
   // See consensus::Replica; both finish with OnOutcome.
   virtual void Propose(std::uint64_t request_id, std::uint64_t base_index, std::string state) = 0;
   virtual void ConfirmLeadership(std::uint64_t request_id) = 0;
-  // Whether all active sidecars have applied the entry.
+  // Whether all sidecars that reported recently have applied the entry; silent ones are not waited for.
   virtual bool IsActiveOnSidecars(std::uint64_t index) const = 0;
 };
 
@@ -115,8 +115,9 @@
   std::uint64_t last_request_id_ = 0;
   std::deque<Change> changes_;                      // the first one is being processed
   std::deque<AwaitingSidecars> awaiting_sidecars_;  // committed, response pending
-  std::vector<Reader> queued_reads_;                // for the next confirmation round
-  std::vector<Reader> active_reads_;                // covered by the pending confirmation round
+  // For the next confirmation round: one that started before a read proves nothing for it.
+  std::vector<Reader> queued_reads_;
+  std::vector<Reader> active_reads_;  // covered by the pending confirmation round
   std::uint64_t read_request_id_ = 0;
   Micros read_round_deadline_ = 0;
   std::size_t queued_bytes_ = 0;  // of bodies in changes_
--- a/src/mesh/egress/http_server.cpp
+++ b/src/mesh/egress/http_server.cpp
@@ -204,7 +204,8 @@
       }
       if (error == http::error::need_more && consumed == 0) break;
     }
-    // The parser enforces its header limit on complete lines only.
+    // The parser enforces its header limit on complete lines only; without this check a client could send
+    // header bytes without end and fill the memory.
     if (!parser_->is_header_done() && read_buffer_.size() > owner_.limits_.max_header_bytes)
       return Reject(431, "the header is too large");
     if (parser_->is_done()) HandleRequest();
@@ -432,7 +433,7 @@
   if (sessions_.size() >= limits_.max_connections) {  // make room by closing the oldest idle connection
     const auto it =
         std::find_if(sessions_.begin(), sessions_.end(), [](const SessionPtr& s) { return s->idle(); });
-    if (it == sessions_.end()) return;  // the destructor closes the new socket
+    if (it == sessions_.end()) return;  // closes the new socket, from which nothing has been read
     const SessionPtr evicted = *it;
     evicted->Close();
   }
--- a/src/mesh/egress/http_server.hpp
+++ b/src/mesh/egress/http_server.hpp
@@ -68,7 +68,7 @@
   static void Abort(const SessionPtr& session);
   // Response bytes that have not been written to the socket yet.
   static std::size_t QueuedBytes(const SessionPtr& session);
-  // `drained` is called whenever all queued bytes have been written.
+  // `drained` is called whenever all queued bytes have been written, but not any more after Finish or Abort.
   static void OnDrained(const SessionPtr& session, std::function<void()> drained);
   // A value for the owner's use.
   static std::uint64_t& Tag(const SessionPtr& session);
--- a/src/mesh/egress/outbound_proxy.cpp
+++ b/src/mesh/egress/outbound_proxy.cpp
@@ -13,7 +13,7 @@
 
 constexpr Micros kMs = 1000;
 // Responses are buffered up to this size before the first byte goes to the client, so that a truncated
-// response can still be retried at another server.
+// response does not reach the client and can still be retried at another server.
 constexpr std::size_t kMaxBufferedResponse = std::size_t{1024} * 1024;
 // Reading from the server pauses while more than this is queued for a slow client.
 constexpr std::size_t kMaxQueuedBytes = std::size_t{256} * 1024;
@@ -413,7 +413,8 @@
   balancer_settings.warmup_time = settings_.warm_after;
   balancer_settings.cost_connection = 0.001;
   // Admission is decided by the inbound proxy, which knows the load of its server. The balancer's own
-  // admission control is off: it estimates the load from the small share of traffic that one sidecar sees.
+  // admission control is off: it estimates the load from the small share of traffic that one sidecar sees,
+  // so it would refuse many requests for which healthy servers have capacity, and not recover from that.
   balancer_settings.tuning.admission_target = balancer_settings.tuning.in_flight_shed_start =
       balancer_settings.tuning.capacity_loss_shed_start = kDisabled;
   balancer_settings.tuning.retry_base = kRetryBase;
--- a/src/mesh/egress/outbound_proxy.hpp
+++ b/src/mesh/egress/outbound_proxy.hpp
@@ -62,7 +62,8 @@
 
   // From now on all responses are sent by `shutdown_deadline`; it also limits the time of new requests.
   void SetShutdownDeadline(Micros shutdown_deadline);
-  // From now on new requests are refused with 503, because there is no time left to serve them.
+  // From now on new requests are refused at once with 503, which promises that they were not executed,
+  // because there is no time left to serve them.
   void RefuseNewRequests() { refuse_new_ = true; }
   // Responds to all requests in flight: 503 if the request is safe or was not sent, 504 if it may have been
   // executed.
@@ -96,7 +97,7 @@
   registry::Snapshot snapshot_;
   std::size_t rank_ = 0, sidecar_count_ = 1;
   std::unordered_map<std::string, std::string> proxy_of_;  // server id -> address of its inbound proxy
-  std::map<std::string, Micros> start_times_;              // server id -> start time; 0 if it is warm
+  std::map<std::string, Micros> start_times_;              // server id -> start time; 0 if first seen warm
   std::map<std::string, int> zone_index_;
   std::unordered_map<std::uint64_t, std::weak_ptr<PendingRequest>> pending_requests_;     // by sequence
   std::map<std::string, std::unique_ptr<ServiceContext>, std::less<>> service_contexts_;  // by service
--- a/src/mesh/gossip/view.cpp
+++ b/src/mesh/gossip/view.cpp
@@ -197,7 +197,7 @@
       return;
     }
     replaceable = std::move(pending_->neighbours_sent);
-    replaceable.push_back(from);  // it knows this node now
+    replaceable.push_back(from);  // it knows this node now, so the link may reverse (as in CYCLON)
     pending_.reset();
   }
   ++counters_.received;
--- a/src/mesh/gossip/view.hpp
+++ b/src/mesh/gossip/view.hpp
@@ -22,7 +22,7 @@
 using merlinrun::Micros;
 
 inline constexpr std::size_t kMaxNeighbours = 8;
-inline constexpr std::size_t kExchangeSize = 4;  // records per message; a requester counts as one itself
+inline constexpr std::size_t kExchangeSize = 4;  // sidecars per message; a requester counts as one itself
 inline constexpr std::size_t kMaxCoresPerMessage = 8;
 inline constexpr std::size_t kMaxCandidates = 8;
 inline constexpr std::size_t kMaxDatagramBytes = 1200;
--- a/src/mesh/ingress/inbound_proxy.hpp
+++ b/src/mesh/ingress/inbound_proxy.hpp
@@ -28,7 +28,8 @@
   struct Callbacks {
     // The local server instance with this id, or null if there is none.
     std::function<const registry::Server*(const std::string& id)> find_server;
-    // A connection to the server instance could not be established.
+    // A request could not be sent to the server instance: no connection could be established, or a pooled
+    // one was closed before a byte was written.
     std::function<void(const std::string& id)> on_unreachable;
     // False while the process shuts down: new attempts are rejected.
     std::function<bool()> accepts_new;
--- a/src/mesh/ingress/proxy_protocol.hpp
+++ b/src/mesh/ingress/proxy_protocol.hpp
@@ -88,7 +88,7 @@
 enum class RejectReason : std::uint8_t {
   kUnknownInstance = 1,
   kDraining,
-  kQueueFull,  // the attempt would not be forwarded before its queue timeout
+  kQueueFull,  // the queue is full, or the attempt would not leave it before its queue deadline
   kUnreachable,
   kWithdrawn,  // a status query was answered with "not forwarded"
   kDeadlineExceeded,
--- a/src/mesh/ingress/server_connection_pool.cpp
+++ b/src/mesh/ingress/server_connection_pool.cpp
@@ -145,7 +145,8 @@
 
   void Write() {
     if (closed_) return;
-    // Bytes that are already in the receive buffer belong to an earlier request; OnHead discards them by id.
+    // Bytes that are already in the socket's receive buffer belong to an earlier request, and more of them
+    // may still arrive after this; OnHead recognizes such a response by its id and discards it.
     const std::array<asio::const_buffer, 2> buffers{asio::buffer(request_head_), asio::buffer(request_body_)};
     ErrorCode error;
     std::size_t byte_count = socket_.write_some(buffers, error);
@@ -257,8 +258,8 @@
       if (status == 101) return Fail(Failure::kMalformed), false;
       return discarding_ = true;
     }
-    // A response with another id is a late one to an earlier request. A missing id is accepted for errors
-    // only.
+    // A response with another id is a late one to an earlier request. A missing id is accepted only with a
+    // status of 300 or more, which does not claim that the request succeeded.
     const auto response_id = head["Attempt-Id"];
     const bool matches = response_id == beast::string_view(id_) || (response_id.empty() && status >= 300);
     if (!matches || head.count("Attempt-Id") > 1) {
--- a/src/mesh/node/core.cpp
+++ b/src/mesh/node/core.cpp
@@ -447,8 +447,8 @@
   if (std::holds_alternative<control::Status>(command)) return reply({200, StatusText(), {}});
   if (const auto* events = std::get_if<control::ReadEvents>(&command))
     return event_waiters_.OnCall(loop_.Now(), *events, std::move(reply));
-  // Servers report to their own sidecar. A core would have to acknowledge a report that it does not record,
-  // so it rejects it.
+  // Servers report to their own sidecar, which informs the cores. A core does not record such a report, so
+  // acknowledging it would lose it: the core answers 503, and the server tries its next address.
   if (std::holds_alternative<control::InstanceHeartbeat>(command) ||
       std::holds_alternative<control::InstanceDeparture>(command)) {
     ++counters_.misdirected_reports;
--- a/src/mesh/node/peer_links.hpp
+++ b/src/mesh/node/peer_links.hpp
@@ -38,7 +38,7 @@
 
   // False if there is no link now (dialing starts unless backing off) or the peer's send queue is full.
   bool Send(const PeerId& to, std::string_view frame);
-  // Bytes queued_bytes to connected peers.
+  // Bytes queued for connected peers that they have not read yet.
   std::size_t queued_bytes() const;
   std::size_t size() const { return peers_.size(); }
   std::uint64_t dials() const { return dials_; }
--- a/src/mesh/node/sidecar.cpp
+++ b/src/mesh/node/sidecar.cpp
@@ -64,7 +64,8 @@
 constexpr Micros kFinishMarginDivisor = 7;
 // Time in which new requests are still accepted after clients have been sent elsewhere.
 constexpr Micros kLateRequestWindow = 700 * kMillisecond;
-// The process exits at the latest this long before the grace period ends.
+// The process exits at the latest this long, or half of the finish margin if that is less, before the grace
+// period ends.
 constexpr Micros kMaxExitMargin = 300 * kMillisecond;
 
 std::string Ip(const std::string& address) { return address.substr(0, address.rfind(':')); }
--- a/src/mesh/push/client.cpp
+++ b/src/mesh/push/client.cpp
@@ -249,8 +249,8 @@
   ReportTo(now, subscribed_, core_states_.at(subscribed_), false, false);
 }
 
-// Takes the leader named by most responsive cores, on a tie the one named most recently: a single core with a
-// stale view does not count.
+// Takes the leader named by the largest number of responsive cores, on a tie the one named most recently, so
+// that a single core with a stale view can't outvote the others.
 void Client::UpdateLeader(Micros now) {
   std::map<std::string, std::pair<int, Micros>> votes;
   for (const auto& [address, core] : core_states_) {
--- a/src/mesh/push/client.hpp
+++ b/src/mesh/push/client.hpp
@@ -93,7 +93,7 @@
   const registry::Snapshot& snapshot() const { return snapshot_; }
   const std::vector<std::string>& cores() const { return cores_; }
   const std::string& subscribed_core() const { return subscribed_; }  // address; empty = none
-  const std::string& leader() const { return leader_; }               // by majority of the responsive cores
+  const std::string& leader() const { return leader_; }               // named by most responsive cores
   static constexpr Micros kNever = std::numeric_limits<Micros>::min() / 4;
 
  private:
--- a/src/mesh/quota/quota.hpp
+++ b/src/mesh/quota/quota.hpp
@@ -68,7 +68,7 @@
   bool TryAcquire(Micros now, std::string_view tenant);
   // Time until a request is likely to be admitted, for Retry-After.
   Micros RetryAfter(Micros now, std::string_view tenant) const;
-  // Returns the demand since the last call.
+  // Returns the demand to report to the leader, and resets what is counted between two reports.
   std::vector<Demand> TakeDemand(Micros now);
   // The shares that are in force, to be reported to a new leader.
   std::vector<Share> HeldShares(Micros now) const;
--- a/src/mesh/storage/store.cpp
+++ b/src/mesh/storage/store.cpp
@@ -75,7 +75,8 @@
     const std::size_t page = static_cast<std::size_t>(sysconf(_SC_PAGESIZE));
     mdb_env_set_mapsize(env_, max_bytes_ / page * page);
     int code = mdb_env_open(env_, path_.c_str(), MDB_NOSUBDIR | MDB_NOLOCK | MDB_NOTLS | MDB_NORDAHEAD, 0600);
-    // Pages written before a crash may not be synced yet.
+    // A record written before a crash may be readable but not synced. Without this sync, the next power
+    // failure could lose it after it has been used.
     if (code == 0) code = mdb_env_sync(env_, 1);
     if (code == 0 && !IsComplete()) code = MDB_CORRUPTED;
     MDB_txn* txn = nullptr;
--- a/src/mesh/storage/store.hpp
+++ b/src/mesh/storage/store.hpp
@@ -18,9 +18,9 @@
 // All calls block on disk I/O. Not thread-safe.
 class Store {
  public:
-  // Opens the store in `folder`, or creates it. kDataLoss: no intact record is left; the corrupt files have
-  // been renamed to *.bad, and opening again gives an empty store. kUnavailable and kResourceExhausted: disk
-  // errors.
+  // Opens the store in `folder`, or creates it. kDataLoss: no intact record is left, so the replica has lost
+  // its promises and must not vote as the voter it was; the corrupt files have been renamed to *.bad, and
+  // opening again gives an empty store. kUnavailable and kResourceExhausted: disk errors.
   static absl::StatusOr<std::unique_ptr<Store>> Open(const std::string& folder, std::size_t max_bytes);
   ~Store();
   // The last written state; absent if there is none.
--- a/src/mesh/transport/codec.hpp
+++ b/src/mesh/transport/codec.hpp
@@ -104,7 +104,8 @@
   text.resize(a.ReadCount());
   a.ReadBytes(text.data(), text.size());
 }
-// Grows element by element: one may need far more memory than bytes in the frame.
+// Grows element by element instead of allocating for the claimed count: an element may need far more memory
+// than it takes bytes in the frame.
 template <class T, class Allocator>
 void CEREAL_LOAD_FUNCTION_NAME(Reader& a, std::vector<T, Allocator>& list) {
   list.clear();
--- a/src/net/downstream.cpp
+++ b/src/net/downstream.cpp
@@ -182,7 +182,8 @@
 
   static Clock::duration ToDuration(Micros time) { return std::chrono::microseconds(time); }
 
-  // True if the request takes longer than its header timeout or falls below the minimum body rate.
+  // True if the header takes too long, or the body pauses too long or falls below the minimum rate. Such a
+  // client would occupy a session with a request that it never finishes.
   bool IsTooSlow(Clock::time_point now) const {
     const Limits& limits = owner_.limits_;
     if (!parser_->parser.is_header_done()) return ElapsedInState(now, limits.header_timeout);
@@ -403,7 +404,8 @@
     return std::nullopt;
   }
 
-  // RFC 9110, 10.1.1. Best effort: without it clients send their body after a timeout.
+  // RFC 9110, 10.1.1. Written synchronously, as no other write is pending. Best effort: without it clients
+  // send their body after a timeout.
   void SendContinue() {
     ErrorCode ignored;
     socket_.write_some(asio::buffer(std::string_view("HTTP/1.1 100 Continue\r\n\r\n")), ignored);
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -257,7 +257,7 @@
   handover_timer_->Start(kDiscoveryWait, [this] { CompleteTakeover(); });
 }
 
-// Does nothing until servers are known, as the running process can still serve requests.
+// Does nothing until servers are known: this process would refuse requests that the predecessor can serve.
 void Sidecar::CompleteTakeover() {
   if (!taking_over_ || !upstream_.has_servers()) return;
   taking_over_ = false;
@@ -354,7 +354,7 @@
   request_manager_->OnServers({kind, list.generation, servers});
   if (!upstream_.has_servers()) return;
   if (!taking_over_) return lifecycle_->MarkReady();
-  // Not with the last known list, unless the wait for discovery times out.
+  // Not with the last known list, unless the wait for discovery times out or the predecessor has exited.
   if (kind != ListUpdate::Kind::kStale) CompleteTakeover();
 }
 
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -210,7 +210,8 @@
                       [self = shared_from_this()](ErrorCode error, std::size_t) { self->OnWritten(error); });
   }
 
-  // Fails the attempt if the server makes no progress with a large body.
+  // Closes the connection if the server makes no progress with a large body, which would otherwise hold
+  // memory, descriptors and the client. An attempt without a response yet fails.
   void ArmStallTimer() {
     timer_.expires_after(std::chrono::microseconds(pool_.limits_.stall_timeout));
     timer_.async_wait([weak = weak_from_this()](ErrorCode stopped) {
@@ -370,7 +371,8 @@
     return length ? static_cast<std::size_t>(*length) : ReservationFor(body_bytes);
   }
 
-  // Validates the length here, as eager parsing does not enforce the body limit (Boost 1.74).
+  // Validates the length here, as eager parsing does not enforce the body limit (Boost 1.74): a response
+  // with a Content-Length of 3 GB would be read until memory ran out.
   bool ProcessHeader() {
     if (!IsValidResponse(parser_->get())) return false;
     if (parser_->get().result_int() < 200) {  // 1xx: the final response follows
--- a/src/net/validate.cpp
+++ b/src/net/validate.cpp
@@ -81,7 +81,8 @@
   if (target.size() <= kScheme.size() || !beast::iequals(target.substr(0, kScheme.size()), kScheme)) return;
   const std::size_t path = target.find_first_of("/?", kScheme.size());
   const std::string host = target.substr(kScheme.size(), path - kScheme.size());
-  // Rejected as ambiguous: no host, or user information.
+  // Left unchanged, so that ValidateRequest rejects it: a missing host, or an '@', after which a second host
+  // could follow for which the request was not meant.
   if (host.empty() || host.find('@') != std::string::npos) return;
   std::string rest = path == std::string::npos ? "/" : target.substr(path);
   if (rest.front() == '?') rest.insert(0, 1, '/');
@@ -136,7 +137,8 @@
 }
 
 bool IsValidResponse(const ResponseHeader& header) {
-  // A response without a length could be truncated unnoticed, unless it announces the end of the connection.
+  // A response without a length could be truncated unnoticed. Accepted only if it announces the close: then
+  // only an orderly close ends the body, while a server that dies resets the connection.
   const bool length_optional = IsDelimitedByClose(header) || header.result_int() < 200 ||
                                header.result() == http::status::no_content ||
                                header.result() == http::status::not_modified;
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -32,9 +32,9 @@
 constexpr double kAdmitTargetBusy = 0.34;
 constexpr double kBusyFrom = 32;
 constexpr double kBusyFull = 48;
-// Limits recovery after a single fast response.
+// Below this share recovery no longer accelerates, so that one fast response does not cause a new overload.
 constexpr double kMinRecovery = 0.15;
-// Time constant with which an overload is forgotten.
+// Time constant with which an overload is forgotten, even without outcomes: queues have emptied by then.
 constexpr double kOverloadDecay = 2 * kSecond;
 // Reserve built up by fast responses, so that a single slow one causes no refusal.
 constexpr double kMaxAdmitted = 1.5;
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -1,5 +1,5 @@
 // Admission control. Under overload the least valuable work is refused first, before it queues at the
-// servers.
+// servers. Otherwise all responses would be late, and each be retried by its client on top of the load.
 #ifndef MERLINRUN_POLICY_ADMISSION_HPP_
 #define MERLINRUN_POLICY_ADMISSION_HPP_
 
--- a/src/policy/choice.cpp
+++ b/src/policy/choice.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-// In-flight attempts weighted by the latency of the server, and raised the longer it has not responded.
+// In-flight attempts weighted by latency, raised with silence: slow, stalled and vanished servers get less.
 double ServerSelector::LoadScore(const Server& server) const {
   const double usual = c_.pools[server.pool].usual_latency;
   const double silence =
@@ -93,7 +93,7 @@
   return first;
 }
 
-// Exponentially distributed by weight, so that a server gets its share of the keys.
+// Exponential with the weight as rate; the lowest is preferred, so that a server gets its share of the keys.
 double ServerSelector::HashScore(std::uint64_t key, const Server& server) const {
   const double unit = static_cast<double>((MixBits(key ^ server.hash) >> 11) + 1) * 0x1.0p-53;
   return -std::log(unit) / Weight(server);
--- a/src/policy/cold_start.cpp
+++ b/src/policy/cold_start.cpp
@@ -22,7 +22,7 @@
   return c_.set.cold_start_capacity + (1 - c_.set.cold_start_capacity) * progress;
 }
 
-// Credit grows with the average number of successes per server, scaled by the capacity share.
+// Grows with the mean successes per server and the capacity share: not all sidecars pick a new idle server.
 bool ColdStart::Accept(Server& server) {
   const double capacity = CapacityShare(server);
   if (capacity >= 1) return true;
--- a/src/policy/concurrency.cpp
+++ b/src/policy/concurrency.cpp
@@ -8,7 +8,7 @@
 
 // Usual number of attempts in flight from which the limit applies; below, random variation dominates.
 constexpr double kLimitFrom = 8;
-// Lower bound of the limit, as a share of the usual attempts in flight.
+// Lower bound of the expected attempts, as a share of the usual ones; a pause does not lower the limit.
 constexpr double kMinUsualShare = 0.75;
 // Below this share of the usual servers capacity counts as lost.
 constexpr double kIntactShare = 0.7;
@@ -78,7 +78,7 @@
   return baseline_.has_normal() && pool_.capacity.Share() < kIntactShare && !pool_.ring.empty();
 }
 
-// At the remaining servers.
+// At the remaining servers, so that the traffic of a lost zone is not pushed onto them at once.
 double Concurrency::Expected() const {
   return std::max(baseline_.normal_in_flight() * pool_.capacity.Share(), kMinExpected);
 }
--- a/src/policy/concurrency.hpp
+++ b/src/policy/concurrency.hpp
@@ -22,7 +22,7 @@
   // Recomputes the reachable capacity if it is due.
   void RefreshCapacity(const ColdStart& cold_start);
 
-  // From 0 to 1.
+  // Share of the arriving work that the limit admits, up to 1. Below 1 there is pressure, whatever the cause.
   double LimitShare() const;
   // Lower bound during a capacity loss, whatever the latency.
   double MinShare() const;
@@ -41,7 +41,7 @@
   Pool& pool_;
   Baseline baseline_;
   bool limited_ = false;
-  int unreachable_ = 0;  // attempts in flight at ejected zones
+  int unreachable_ = 0;  // attempts in flight at ejected zones or at servers outside of the ring
 };
 
 }  // namespace merlinrun
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -58,7 +58,7 @@
   } else if (outcome.result == Result::kCancelled || outcome.result == Result::kNeverSent) {
     return;
   }
-  // Ignores connection failures while the server also succeeds.
+  // Ignores a failure if the server succeeded since the one before: some connections break by themselves.
   const bool connection_failed = outcome.result == Result::kReset || outcome.result == Result::kUnreachable;
   if (connection_failed && server.last_success_at > std::exchange(server.connection_failed_at, c_.now))
     return;
--- a/src/policy/records.hpp
+++ b/src/policy/records.hpp
@@ -76,7 +76,7 @@
   std::size_t pool = 0;
   Micros arrived_at = 0;
   Micros deadline = 0;
-  bool uploading = false;  // the body is incomplete; no timeout applies yet
+  bool uploading = false;  // the body is incomplete; the latency target does not apply yet
   bool ended = false;
   bool cancelled = false;  // its attempts in flight have been cancelled
   int retries = 0;
--- a/src/policy/retry.hpp
+++ b/src/policy/retry.hpp
@@ -15,9 +15,10 @@
 Cause CauseOf(Result result);
 // Delay before the next attempt after n retries: exponential backoff with jitter.
 Micros RetryWait(const Tuning& tuning, int n, Random& random);
-// Attempts per request.
+// Limit of attempts per request; a delay because no server was usable counts as one.
 int AttemptLimit(const Settings& set);
-// Whether late responses have no value, so that attempts time out at the latency target.
+// Whether late responses have no value. Attempts then time out at the target, which also tells of hung
+// servers.
 bool TimesOutAtTarget(const RequestClass& c);
 // Whether a request that may have been executed can be sent again.
 bool MayRetry(const ActiveRequest& active, const RequestClass& c, Micros now);
--- a/src/policy/window.cpp
+++ b/src/policy/window.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-// Grows with the ratio of servers to sidecars and with the own traffic, not with the fleet size.
+// Grows with servers per sidecar, for a zone loss, and with the own traffic, but not with the fleet size.
 std::size_t Width(const Pool& pool, const Settings& set) {
   // Key affinity needs the same servers at all sidecars.
   if (set.warm_keys && set.cost_connection <= 0) return std::min(kAffinityWidth, pool.ring.size());
--- a/src/record/format.hpp
+++ b/src/record/format.hpp
@@ -1,5 +1,6 @@
 // The file format of request recordings: when each request of a sidecar arrived, its class, and how it ended.
-// Contains no bodies; ids and keys are only stored as salted hashes.
+// Contains no bodies; ids and keys are only stored as salted hashes, so that repeats can be recognized
+// without revealing whose requests they are.
 //
 // All numbers are little-endian. The file is a header (magic, version, length, checksum, then the hashed name
 // of the sidecar, the start time and the class names) followed by blocks (length, number of records, number
--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -72,7 +72,7 @@
 std::variant<RecordingSettings, std::string> ParseRecordingSettings(std::string_view text,
                                                                     const std::string& file) {
   constexpr std::int64_t kMaxMegabytes = 1 << 20;
-  constexpr std::size_t kMinSaltBytes = 16;  // shorter salts can be guessed
+  constexpr std::size_t kMinSaltBytes = 16;  // shorter salts can be guessed, and then the hashed ids
   try {
     const toml::table root = toml::parse(text, file);
     RecordingSettings out;
--- a/src/stats/trace.hpp
+++ b/src/stats/trace.hpp
@@ -47,7 +47,8 @@
 std::string TraceLine(Micros at, const Settings& settings, const IntervalStats& interval_stats,
                       const BalancerSnapshot& snapshot, const RuntimeCounts& runtime, bool servers);
 
-// Writes the lines to standard error. Registers itself with RequestManager::OnAttemptCompleted.
+// Writes the lines to standard error. Registers itself with RequestManager::OnAttemptCompleted, which
+// replaces any handler that was set there before.
 class Trace {
  public:
   // `loop` and `request_manager` must outlive this.
--- a/src/zones/zones.cpp
+++ b/src/zones/zones.cpp
@@ -13,7 +13,8 @@
 constexpr std::size_t kDeadToEject = 3;
 // Evidence from a window with fewer servers of the zone is ignored.
 constexpr std::size_t kMinWindowServers = 2;
-// A zone is ejected only if at least this share of the window is in other zones.
+// A zone is ejected only if at least this share of the window is in other zones. Below it, ejection on mere
+// suspicion could leave no servers to send to.
 constexpr double kMinRemainingShare = 0.25;
 // Timeouts are evidence only if no server of the zone has responded for this long. Guards against slow
 // requests and short network interruptions.
@@ -142,7 +143,8 @@
     it->second.probe_after = std::min(it->second.probe_after, now);
 }
 
-// The connectivity of this sidecar was at fault, so the failures in other zones prove nothing either.
+// Called when a zone with enough failures for ejection responds: the connectivity of this sidecar was at
+// fault, so the failures in other zones prove nothing either.
 void Zones::ClearEvidence() {
   for (auto& [id, zone] : zones_) zone.dead_servers.clear();
 }
@@ -182,7 +184,8 @@
   return now - zone.report_at < kReportLifetime ? zone.peer_report : ZonePeerReport();
 }
 
-// Number of failed servers needed for ejection, reduced by the reports of many peers.
+// Number of failed servers needed for ejection: 1 if many peers report the loss, 0 if even more do and this
+// sidecar has no recent response either, and more than usual if a quorum of peers has responses.
 std::size_t Zones::DeadServersNeeded(Micros now, const Zone& zone) const {
   const ZonePeerReport report = CurrentReport(now, zone);
   if (report.reporting_lost >= kManyReports &&
--- a/tools/mesh/retrying_client.hpp
+++ b/tools/mesh/retrying_client.hpp
@@ -40,7 +40,8 @@
 ExitStatus ExitStatusFor(unsigned status);
 
 // Tries the cores in turn, doubling the backoff after each attempt; a longer Retry-After is honored up to
-// max_backoff. Timeouts, 5xx, 408, 429 and redirects that cannot be followed are retried at the next core.
+// max_backoff. Connection failures, incomplete responses, timeouts, 5xx, 408, 429 and redirects that cannot
+// be followed are retried at the next core.
 // Every attempt sends the same bytes, so a core that has applied the call recognizes the repeat.
 class RetryingClient : public std::enable_shared_from_this<RetryingClient> {
  public:
