--- a/bench/mesh/control_scale.cpp
+++ b/bench/mesh/control_scale.cpp
@@ -418,19 +418,18 @@
     else
       rest.push_back(one);
   }
-  const auto minimum = [&](double IdleRates::*field) {
+  const auto min_max = [&](double IdleRates::*field) {
     std::vector<double> all;
     for (const IdleRates& r : rest) all.push_back(r.*field);
     return std::pair(Quantile(all, 0), Quantile(all, 1));
   };
-  const auto [core_s, core_most] = minimum(&IdleRates::core);
-  const auto [other_s, other_most] = minimum(&IdleRates::other);
-  const auto [side_s, side_most] = minimum(&IdleRates::sidecars);
+  const auto [core_s, core_most] = min_max(&IdleRates::core);
+  const auto [other_s, other_most] = min_max(&IdleRates::other);
+  const auto [side_s, side_most] = min_max(&IdleRates::sidecars);
   if (discarded > 0)
     std::printf("N %zu: %d windows discarded, in which the sidecars got too little CPU\n", n, discarded);
   std::printf(
-      "N %zu\n  idle: leader with subscribers: %.4f of a CPU (max of %zu: %.4f), %.1f us/s a "
-      "second a "
+      "N %zu\n  idle: leader with subscribers: %.4f of a CPU (max of %zu: %.4f), %.1f us/s per "
       "sidecar\n",
       n, core_s, kRepeats, core_most, core_s * 1e6 / count);
   std::printf("        other core: %.4f of a CPU (%.4f), %.1f us a second per sidecar\n", other_s, other_most,
@@ -440,9 +439,9 @@
   std::printf(
       "        bytes/s per sidecar: to the leader %.0f, from it %.0f (frames %.2f, %.2f); other core: %.0f, "
       "%.0f\n",
-      minimum(&IdleRates::in).first / count, minimum(&IdleRates::out).first / count,
-      minimum(&IdleRates::frames_in).first / count, minimum(&IdleRates::frames_out).first / count,
-      minimum(&IdleRates::other_in).first / count, minimum(&IdleRates::other_out).first / count);
+      min_max(&IdleRates::in).first / count, min_max(&IdleRates::out).first / count,
+      min_max(&IdleRates::frames_in).first / count, min_max(&IdleRates::frames_out).first / count,
+      min_max(&IdleRates::other_in).first / count, min_max(&IdleRates::other_out).first / count);
   double side_kb = 0;
   for (const pid_t process : sidecars) side_kb += MemoryKb(process, "VmRSS");
   std::printf(
@@ -523,10 +522,7 @@
   }
   std::printf(
       "  all restarted at once: all have snapshot and state after %.0f ms (max of %zu: %.0f); core %.0f ms "
-      "of CPU, "
-      "processor, "
-      "a sidecar "
-      "%.2f ms; %.0f bytes to each; core's peak memory %.0f KB\n",
+      "of CPU, a sidecar %.2f ms; %.0f bytes to each; core's peak memory %.0f KB\n",
       Quantile(took, 0), kRepeats, Quantile(took, 1), Quantile(cpu, 0), Quantile(side, 0), Quantile(bytes, 0),
       MemoryKb(::getpid(), "VmHWM"));
   for (const pid_t process : sidecars) End(process);
--- a/bench/mesh/order_cost.cpp
+++ b/bench/mesh/order_cost.cpp
@@ -151,7 +151,7 @@
         rest_cpu.all.push_back((ProcessCpuSeconds() - before) * 1e6 / 20);
         rest_messages = static_cast<double>(simulation.messages - m) / 20;
         rest_bytes = static_cast<double>(simulation.bytes - b) / 20;
-        double total = 0, idle_seconds = 0;
+        double total = 0, elapsed_seconds = 0;
         m = simulation.messages, b = simulation.bytes;
         for (int i = 0; i < kChanges; ++i) {
           SimulatedReplica* leader = simulation.Leader();
@@ -175,14 +175,15 @@
               5'000'000);
           all.push_back(static_cast<double>(simulation.now - began) / 1000);
           total += ProcessCpuSeconds() - before;
-          idle_seconds += static_cast<double>(simulation.now - began) * 1e-6;
+          elapsed_seconds += static_cast<double>(simulation.now - began) * 1e-6;
           simulation.RunUntil(none, 137 * kMs);  // not in phase with the heartbeats
-          idle_seconds += 0.137;
+          elapsed_seconds += 0.137;
         }
         cpu.all.push_back(total * 1e6 / kChanges);
-        messages =
-            static_cast<double>(simulation.messages - m) / kChanges - rest_messages * idle_seconds / kChanges;
-        bytes = static_cast<double>(simulation.bytes - b) / kChanges - rest_bytes * idle_seconds / kChanges;
+        messages = static_cast<double>(simulation.messages - m) / kChanges -
+                   rest_messages * elapsed_seconds / kChanges;
+        bytes =
+            static_cast<double>(simulation.bytes - b) / kChanges - rest_bytes * elapsed_seconds / kChanges;
       }
       std::printf(
           "  %d %4zu | %7.0f (%.0f) %6.1f %9.0f | %5.1f %5.1f %6.1f %6.1f | %6.0f (%.0f) %5.1f %7.0f\n",
--- a/include/merlinrun/balancer.hpp
+++ b/include/merlinrun/balancer.hpp
@@ -246,7 +246,7 @@
 
 // What other sidecars currently report about a zone, each from its own attempts. It is advisory: it may speed
 // up or delay this sidecar's ejection of the zone, and does not affect the retry rules of a request.
-struct ZonePeerReport {
+struct ZonePeerSummary {
   int zone = -1;
   int reporting = 0;          // sidecars with a recent report
   int reporting_lost = 0;     // of those, sidecars whose last attempt there got no response
@@ -296,7 +296,7 @@
     int in_flight = 0;         // this sidecar's attempts
     double latency_ratio = 1;  // latency divided by the usual latency
     double error_rate = 0;     // share of recent responses that were errors
-    int consecutive_failures = 0;
+    int consecutive_ejections = 0;
     // Remaining ejection time. At 0 a server with consecutive failures still gets one attempt at a time.
     Micros ejected_for = 0;
     double capacity_share = 1;  // share of its full capacity, below 1 during warm-up
@@ -310,7 +310,7 @@
     std::size_t dead_servers = 0;  // distinct servers without a response since the zone's last response
     // Time since the last response, or since the last failure if dead_servers > 0; -1 = none yet.
     Micros since_last_evidence = -1;
-    ZonePeerReport peer_report;  // empty if there is no recent report
+    ZonePeerSummary peer_report;  // empty if there is no recent report
   };
   std::vector<Zone> zones;
   std::uint64_t zones_epoch = 0;  // incremented when a zone is ejected or restored
@@ -351,7 +351,7 @@
   void OnProbeResult(Micros now, const ProbeResult& probe);
   void OnPeerMessage(Micros now, std::uint32_t sender, std::string_view bytes);
   // Replaces the previous report about the zone and expires after one second.
-  void OnZonePeerReport(Micros now, const ZonePeerReport& report);
+  void OnZonePeerSummary(Micros now, const ZonePeerSummary& report);
   // Replaces all overrides; zones that are not listed have none.
   void OnZoneOverrides(Micros now, std::span<const ZoneOverride> overrides);
 
--- a/model/compare.hpp
+++ b/model/compare.hpp
@@ -58,7 +58,7 @@
   std::function<void(std::size_t side, const DayResult& day)> on_day;
 };
 
-Comparison Compare(const ComparisonPlan& plan, const CompletedDays& known, const RunHooks& hooks);
+Comparison Compare(const ComparisonPlan& plan, const CompletedDays& completed, const RunHooks& hooks);
 
 }  // namespace merlinrun::model
 
--- a/model/main.cpp
+++ b/model/main.cpp
@@ -140,7 +140,7 @@
       ->check(CLI::Range(0.01, 100.0))
       ->capture_default_str();
   run_command->add_option("--seed", plan.first_seed, "the first day's seed")->capture_default_str();
-  run_command->add_option("--days", plan.max_pairs, "most days per side")
+  run_command->add_option("--days", plan.max_pairs, "maximum days per side")
       ->check(CLI::Range(2, 100'000))
       ->capture_default_str();
   run_command->add_option("--first-look", plan.first_look, "days before the first interim analysis")
--- a/model/replay.cpp
+++ b/model/replay.cpp
@@ -41,8 +41,8 @@
                                 Micros length) {
   std::vector<Replay::Item> out;
   for (const Replay::Item& item : items) {
-    const double period = std::floor(scale);
-    const auto copies = static_cast<int>(period) + (draws.Bernoulli(scale - period) ? 1 : 0);
+    const double whole_copies = std::floor(scale);
+    const auto copies = static_cast<int>(whole_copies) + (draws.Bernoulli(scale - whole_copies) ? 1 : 0);
     for (int i = 0; i < copies; ++i) {
       const Micros delay = i == 0 ? 0 : static_cast<Micros>(draws.UniformBelow(kSegment));
       if (item.at + delay < length) out.push_back({item.at + delay, item.class_index});
--- a/model/server.cpp
+++ b/model/server.cpp
@@ -41,11 +41,11 @@
     return condition ? now - start : -1;
   };
   const Micros crowded = since(waiting > parameters_.choke_at * cores, crowded_since_);
-  const Micros idle = since(static_cast<double>(occupancy()) <= parameters_.choke_below * cores, idle_since_);
+  const Micros calm = since(static_cast<double>(occupancy()) <= parameters_.choke_below * cores, calm_since_);
   if (!choked_ && crowded >= parameters_.choke_after) {
     choked_ = true;
     choked_at_ = now;
-  } else if (choked_ && (idle >= parameters_.choke_recovery || now - choked_at_ >= parameters_.choke_max)) {
+  } else if (choked_ && (calm >= parameters_.choke_recovery || now - choked_at_ >= parameters_.choke_max)) {
     choked_ = false;
     crowded_since_ = -1;
   }
--- a/model/server.hpp
+++ b/model/server.hpp
@@ -113,7 +113,7 @@
   double rate_ = 0;             // rate of work_per_item_ per microsecond
   Micros updated_at_ = 0;
   Micros crowded_since_ = -1;  // -1 if it is not
-  Micros idle_since_ = -1;
+  Micros calm_since_ = -1;
   Micros choked_at_ = 0;
   bool choked_ = false;
   Micros paused_until_ = 0;
--- a/model/simulation.cpp
+++ b/model/simulation.cpp
@@ -124,7 +124,7 @@
   std::uint32_t class_index = 0;
   std::uint32_t sidecar = 0;
   std::uint64_t random_key = 0;  // key of its random streams
-  std::uint32_t warm_key = 0;    // key rank, from 1; 0 = none
+  std::uint32_t key_rank = 0;    // from 1; 0 = none
   Micros requested_at = 0;
   int tries = 0;
   int tries_left = 0;
@@ -162,7 +162,7 @@
   std::uint32_t server = 0;
   std::uint32_t server_generation = 0;
   std::uint32_t class_index = 0;
-  std::uint32_t warm_key = 0;
+  std::uint32_t key_rank = 0;
   Micros sent = 0;
   Micros deadline = 0;
   Micros return_delay = 0;  // network delay of the response
@@ -180,7 +180,7 @@
   std::unique_ptr<Server> server;
   std::uint32_t generation = 1;  // incremented at each start and stop
   bool up = true;
-  bool crashed = false;
+  bool crashed_by_overload = false;
   std::string id;
   std::size_t kind = 0;
   int zone = 0;
@@ -531,7 +531,7 @@
     RandomStream draws(seed_, Purpose::kRequest, client_request.random_key);
     if (key_distribution_.enabled()) {
       RandomStream key_draws(seed_, Purpose::kKey, client_request.random_key);
-      client_request.warm_key = key_distribution_(key_draws);
+      client_request.key_rank = key_distribution_(key_draws);
     }
     const double which = draws.Uniform();
     while (client_request.class_index + 1 < cumulative_class_share_.size() &&
@@ -587,8 +587,8 @@
     request.request_class = static_cast<int>(client_request.class_index);
     request.budget = client_try.deadline - now_;
     request.write = c.repeat != RetrySafety::kSafe;
-    const TableId warm_key(client_request.warm_key, 1);
-    if (client_request.warm_key > 0) request.key = warm_key.text();
+    const TableId key(client_request.key_rank, 1);
+    if (client_request.key_rank > 0) request.key = key.text();
     sidecars_->OnRequest(client_request.sidecar, now_, request);
   }
 
@@ -771,7 +771,7 @@
     const Micros request_delay = delay();
     attempt.return_delay = delay();
     attempt.class_index = client_request.class_index;
-    attempt.warm_key = client_request.warm_key;
+    attempt.key_rank = client_request.key_rank;
     attempt.dependency_wait = client_request.dependency_wait;
     attempt.work = client_request.work * attempt_noise_[client_request.class_index](draws);
     attempt.returns_error = draws.Bernoulli(machine.error_rate);
@@ -968,7 +968,7 @@
       client_try->executed_zone = machines_[attempt.server].zone;
       client_try->executed_at = now_;
     }
-    if (attempt.warm_key > 0 && machines_[attempt.server].key_cache.Access(attempt.warm_key, now_))
+    if (attempt.key_rank > 0 && machines_[attempt.server].key_cache.Access(attempt.key_rank, now_))
       attempt.work *= 1 - day_.warm_gain.low;
     Push(now_ + static_cast<Micros>(attempt.dependency_wait), kDependencyDone, row,
          attempts_.generation(row));
@@ -1017,16 +1017,15 @@
 
   // The attempt was cancelled: the server stops its work.
   void CancelAtServer(std::uint32_t row, Attempt& attempt) {
-    const Attempt::Stage expected_stage = attempt.stage;
+    const Attempt::Stage stage = attempt.stage;
     const std::uint32_t index = attempt.server;
     const bool server_alive = machines_[index].generation == attempt.server_generation && machines_[index].up;
-    if (expected_stage == Attempt::Stage::kGone) return;
-    if (expected_stage == Attempt::Stage::kInTransit) return RemoveFromServer(row, attempt);
+    if (stage == Attempt::Stage::kGone) return;
+    if (stage == Attempt::Stage::kInTransit) return RemoveFromServer(row, attempt);
     RemoveFromServer(row, attempt);
     if (!server_alive) return;
-    if (expected_stage == Attempt::Stage::kQueue) machines_[index].server->AbandonQueue(now_);
-    if (expected_stage != Attempt::Stage::kQueue)
-      StartNextQueued(index, expected_stage == Attempt::Stage::kOnCores);
+    if (stage == Attempt::Stage::kQueue) machines_[index].server->AbandonQueue(now_);
+    if (stage != Attempt::Stage::kQueue) StartNextQueued(index, stage == Attempt::Stage::kOnCores);
     ScheduleWorkCheck(index);
   }
 
@@ -1089,7 +1088,7 @@
     ++scorer_.result().overload_crashes;
     if (machine.informed_cold_work >= machine.cold_work * 2 / 3)
       scorer_.RecordViolation(4, "a cold server was pushed over");
-    machine.crashed = true;
+    machine.crashed_by_overload = true;
     TerminateServer(attempt.server);
     AnnounceChange(attempt.server, ServerInfo::State::kGone, day_.silent_notice_s.low);
   }
@@ -1256,7 +1255,7 @@
   }
 
   void RestartServer(std::uint32_t index) {
-    if (!machines_[index].up && !machines_[index].crashed) BootServer(index);
+    if (!machines_[index].up && !machines_[index].crashed_by_overload) BootServer(index);
   }
 
   // The server finishes its requests and stops after all sidecars were told.
--- a/model/statistics.cpp
+++ b/model/statistics.cpp
@@ -93,9 +93,9 @@
   const double z = boost::math::quantile(boost::math::complement(distribution, level / 2));
   double spent_level = 0;
   for (const std::size_t n : pairs_) {
-    const double information = static_cast<double>(n) / static_cast<double>(pairs_.back());
+    const double information_fraction = static_cast<double>(n) / static_cast<double>(pairs_.back());
     const double cumulative_level =
-        2 * boost::math::cdf(boost::math::complement(distribution, z / std::sqrt(information)));
+        2 * boost::math::cdf(boost::math::complement(distribution, z / std::sqrt(information_fraction)));
     levels_.push_back(std::max(cumulative_level - spent_level, 1e-12));
     spent_level = cumulative_level;
   }
--- a/rig/cluster/cluster.cpp
+++ b/rig/cluster/cluster.cpp
@@ -180,7 +180,7 @@
 std::string Cluster::Violations() {
   std::string out;
   for (const std::string& line : env_.checker.violations()) out += line + "\n";
-  for (const std::string& id : env_.checker.Unanswered(env_.loop.Now() + 60'000'000))
+  for (const std::string& id : env_.checker.Overdue(env_.loop.Now() + 60'000'000))
     out += id + " has no response\n";
   return out;
 }
--- a/rig/demo.cpp
+++ b/rig/demo.cpp
@@ -23,7 +23,7 @@
     std::printf("%-12s %7lu %7lu %8lu %7lu %7lu %9.1f %9.1f\n", name.c_str(), row.sent, row.served,
                 row.refused, row.failed, row.executed, static_cast<double>(row.Quantile(0.5)) / 1000,
                 static_cast<double>(row.Quantile(0.99)) / 1000);
-  const std::size_t overdue = checker.Unanswered(now).size();
+  const std::size_t overdue = checker.Overdue(now).size();
   std::printf("\ninvariants: %lu violations, %zu responses overdue\n", checker.violation_count(), overdue);
   for (const std::string& line : checker.violations()) std::printf("  %s\n", line.c_str());
 }
--- a/rig/invariant_checker.cpp
+++ b/rig/invariant_checker.cpp
@@ -103,7 +103,7 @@
   ReportViolation(4, server + " was overloaded while cold");
 }
 
-std::vector<std::string> InvariantChecker::Unanswered(Micros now) const {
+std::vector<std::string> InvariantChecker::Overdue(Micros now) const {
   std::vector<std::string> out;
   for (const auto& [id, entry] : entries_)
     if (entry.responses_due > 0 && now > entry.sent_at + entry.traffic_class.deadline + kDeadlineGrace)
--- a/rig/invariant_checker.hpp
+++ b/rig/invariant_checker.hpp
@@ -65,7 +65,7 @@
   void OnOverload(const std::string& server);
 
   // Ids of requests whose response is overdue at `now`. Must be empty at the end of a run.
-  std::vector<std::string> Unanswered(Micros now) const;
+  std::vector<std::string> Overdue(Micros now) const;
   // One line for each violation, at most kMaxViolationLines of them.
   const std::vector<std::string>& violations() const { return violations_; }
   std::uint64_t violation_count() const { return violation_count_; }
--- a/rig/soak/consistency_checker.cpp
+++ b/rig/soak/consistency_checker.cpp
@@ -40,7 +40,7 @@
     if (at + kApplyTimeout < sent) due = std::max(due, acknowledged);
   if (version < due)
     ReportViolation(machine + " returned version " + std::to_string(version) + ", " + std::to_string(due) +
-                    " was acknowledged more than " + std::to_string(kApplyTimeout.count()) + " ms");
+                    " was acknowledged more than " + std::to_string(kApplyTimeout.count()) + " ms before");
   const auto known = sent_.find(version);
   if (known == sent_.end())
     ReportViolation(machine + " returned version " + std::to_string(version) + ", which was never sent");
--- a/rig/soak/main.cpp
+++ b/rig/soak/main.cpp
@@ -25,7 +25,7 @@
 using fennelhollow::rig::soak::RunOptions;
 
 // About eleven processes per run, so at most about 200 at a time.
-constexpr std::uint64_t kMostJobs = 16;
+constexpr std::uint64_t kMaxJobs = 16;
 
 struct Arguments {
   RunOptions run;
@@ -60,7 +60,7 @@
     else if (name == "--seeds")
       out.seeds = *value;
     else if (name == "--jobs")
-      out.jobs = std::clamp<std::uint64_t>(*value, 1, kMostJobs);
+      out.jobs = std::clamp<std::uint64_t>(*value, 1, kMaxJobs);
     else
       return std::nullopt;
   }
@@ -68,7 +68,7 @@
 }
 
 // Forks a process for each run. Returns the number of failed ones.
-int PlayAll(const Arguments& arguments) {
+int RunAllSeeds(const Arguments& arguments) {
   std::uint64_t running = 0;
   int failed_runs = 0;
   const auto wait = [&] {
@@ -107,7 +107,7 @@
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   std::signal(SIGPIPE, SIG_IGN);
   if (arguments->seeds == 1) return Run(arguments->run) ? 0 : 1;
-  const int failed_runs = PlayAll(*arguments);
+  const int failed_runs = RunAllSeeds(*arguments);
   std::printf("%lu runs, %d failed\n", arguments->seeds, failed_runs);
   return failed_runs == 0 ? 0 : 1;
 }
--- a/rig/test_environment.cpp
+++ b/rig/test_environment.cpp
@@ -12,7 +12,7 @@
 namespace merlinrun::rig {
 namespace {
 
-constexpr std::size_t kMostServers = 1000;
+constexpr std::size_t kMaxServers = 1000;
 
 // The example configuration in deploy/.
 nlohmann::json Example() {
@@ -70,7 +70,7 @@
   auto read = diameter::ParseApplication(diameter_file, "diameter.toml", ModuleSettings(), "n0");
   if (const auto* error = std::get_if<std::string>(&read)) throw std::invalid_argument(*error);
   application = std::get<diameter::Application>(std::move(read));
-  if (static_cast<std::size_t>(count) > kMostServers) throw std::invalid_argument("too many servers");
+  if (static_cast<std::size_t>(count) > kMaxServers) throw std::invalid_argument("too many servers");
   for (int i = 0; i < count; ++i) {
     options.id = "s-" + std::to_string(i);
     servers.push_back(std::make_unique<Server>(io, loop, checker,
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -33,7 +33,7 @@
                                      server.in_flight,
                                      server.latency_ratio,
                                      server.error_rate,
-                                     server.consecutive_failures};
+                                     server.consecutive_ejections};
       entry.ejected_for = std::max<Micros>(server.ejected_until - now, 0);
       entry.capacity_share = cold_start_.CapacityShare(server);
       const Pool& pool = c_.pools[server.pool];
@@ -107,9 +107,9 @@
 }
 void Balancer::OnProbeResult(Micros now, const ProbeResult&) { state_->Advance(now); }
 void Balancer::OnPeerMessage(Micros now, std::uint32_t, std::string_view) { state_->Advance(now); }
-void Balancer::OnZonePeerReport(Micros now, const ZonePeerReport& report) {
+void Balancer::OnZonePeerSummary(Micros now, const ZonePeerSummary& report) {
   state_->Advance(now);
-  state_->OnZonePeerReport(report);
+  state_->OnZonePeerSummary(report);
 }
 void Balancer::OnZoneOverrides(Micros now, std::span<const ZoneOverride> overrides) {
   state_->Advance(now);
--- a/src/core/request_manager.cpp
+++ b/src/core/request_manager.cpp
@@ -83,7 +83,7 @@
   EraseIfComplete(id);
 }
 
-void RequestManager::OnRequestComplete(const std::string& id) {
+void RequestManager::OnUploadComplete(const std::string& id) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || it->second.response_sink == nullptr) return;
   ActiveRequest& active = it->second;
--- a/src/core/request_manager.hpp
+++ b/src/core/request_manager.hpp
@@ -79,7 +79,7 @@
   int tenant = -1;
   std::optional<Micros> cost;
   std::optional<Micros> client_timeout;  // as the client states it
-  Micros upload_time = 0;  // the body may take this long, and OnRequestComplete follows; 0: it is complete
+  Micros upload_time = 0;  // the body may take this long, and OnUploadComplete follows; 0: it is complete
   bool is_retry = false;
   bool write = false;
   std::string key;   // the object that it concerns; empty = none
@@ -128,7 +128,7 @@
   // Starts a request of a known class. Its final response may be delivered from inside this call.
   void Submit(IncomingRequest incoming);
   // The body of a request with an upload time is complete: its budget counts from now.
-  void OnRequestComplete(const std::string& id);
+  void OnUploadComplete(const std::string& id);
   // The client has disconnected; its request gets no response.
   void OnClientGone(const std::string& id);
 
@@ -141,7 +141,7 @@
   void OnEmpty(std::function<void()> empty) { on_empty_ = std::move(empty); }
   // `completed` is called from the loop for each completed request and must not call back into this. Set it
   // before the first request or not at all.
-  void OnRequestCompleted(std::function<void(const CompletedRequest&)> completed) {
+  void SetCompletionObserver(std::function<void(const CompletedRequest&)> completed) {
     on_request_completed_ = std::move(completed);
   }
   // The same for each attempt.
@@ -157,7 +157,7 @@
   void OnZoneOverrides(std::span<const ZoneOverride> overrides) {
     balancer_->OnZoneOverrides(loop_.Now(), overrides);
   }
-  void OnZonePeerReport(const ZonePeerReport& report) { balancer_->OnZonePeerReport(loop_.Now(), report); }
+  void OnZonePeerSummary(const ZonePeerSummary& report) { balancer_->OnZonePeerSummary(loop_.Now(), report); }
 
   const Settings& settings() const { return settings_; }
 
@@ -185,7 +185,7 @@
     int request_class = 0;
     std::vector<Attempt> attempts;
     std::unique_ptr<Timer> timer;
-    std::unique_ptr<CompletionRecord> record;  // set only if OnRequestCompleted was
+    std::unique_ptr<CompletionRecord> record;  // set only if SetCompletionObserver was
 
     bool HasAttemptInFlight() const;
   };
--- a/src/diameter/application.cpp
+++ b/src/diameter/application.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kMaxObjectSize = 1024;
 constexpr Micros kMillisecond = 1000;
 
-bool IsToken(std::string_view text, std::size_t max_size) {
+bool IsIdentifier(std::string_view text, std::size_t max_size) {
   return !text.empty() && text.size() <= max_size &&
          std::all_of(text.begin(), text.end(), [](unsigned char c) {
            return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.' || c == ':';
@@ -44,7 +44,7 @@
         ResultCode::kMissingAvp,
         AvpWriter().Add(mapping.idempotency.code, "", kMandatoryBit, mapping.idempotency.vendor).Take(),
         "the class needs a key"};
-  if (!IsToken(key->data, kMaxKeySize)) return Invalid(*key, "the key is no name");
+  if (!IsIdentifier(key->data, kMaxKeySize)) return Invalid(*key, "the key is no name");
   return std::nullopt;
 }
 
@@ -92,7 +92,7 @@
     out.deadline = milliseconds * kMillisecond;
   }
   if (const auto id = FindMapped(request, mapping->id)) {
-    if (!IsToken(id->data, kMaxIdSize)) return Invalid(*id, "the id is no name");
+    if (!IsIdentifier(id->data, kMaxIdSize)) return Invalid(*id, "the id is no name");
     out.id = std::string(id->data);
   }
   return out;
--- a/src/diameter/io/downstream.cpp
+++ b/src/diameter/io/downstream.cpp
@@ -36,7 +36,7 @@
   std::string host;
   bool tls = false;
   std::unique_ptr<PeerSession> session;
-  std::uint64_t open_count = 0;
+  std::uint64_t open_generation = 0;
   std::uint64_t connection = 0;      // number of the open connection; 0 = none
   std::size_t pending_requests = 0;  // unanswered requests of the open connection
 };
@@ -339,9 +339,9 @@
 
 void Downstream::OnSessionChanged(Client& client) {
   const Peer& peer = client.session->peer();
-  if (peer.open_count() != client.open_count || (!peer.Connected() && client.connection != 0)) {
+  if (peer.open_generation() != client.open_generation || (!peer.Connected() && client.connection != 0)) {
     by_connection_.erase(std::exchange(client.connection, 0));
-    client.open_count = peer.open_count();
+    client.open_generation = peer.open_generation();
     client.pending_requests = 0;
     if (peer.Connected()) by_connection_[client.connection = ++last_connection_] = &client;
   }
--- a/src/diameter/io/upstream.cpp
+++ b/src/diameter/io/upstream.cpp
@@ -48,7 +48,7 @@
   std::unique_ptr<core::Timer> redial;
   std::vector<AttemptId> queued;
   std::unordered_map<std::uint32_t, AttemptId> in_flight;  // by hop-by-hop id
-  std::uint64_t open_count = 0;
+  std::uint64_t open_generation = 0;
   bool reported_usable = true;
   bool needed = false;  // has had requests, so it is redialled
 
@@ -83,7 +83,7 @@
       loop_, self_, application_.dictionary, std::move(settings),
       [this, &server, name](auto done) { return connector_(server.address, name, std::move(done)); },
       std::move(events));
-  server.open_count = 0;
+  server.open_generation = 0;
   server.needed = false;
   server.reported_usable = true;
 }
@@ -240,7 +240,7 @@
   if (peer.state() == Peer::State::kClosed || (peer.Open() && !peer.usable()))
     for (const AttemptId attempt : std::exchange(server.queued, {}))
       ResolveLater(attempt, Result::kUnreachable);
-  if (peer.open_count() != server.open_count || !peer.Connected()) {
+  if (peer.open_generation() != server.open_generation || !peer.Connected()) {
     // Attempts on a closed connection may have run, unless they weren't sent completely.
     const ConnectionPtr& now = server.session->open_connection();
     for (const auto& [hop_by_hop, attempt] : server.in_flight) {
@@ -249,7 +249,7 @@
       const bool may_have_run = pending.connection->MayHaveBeenSent(pending.write_end);
       ResolveLater(attempt, may_have_run ? Result::kReset : Result::kUnreachable);
     }
-    server.open_count = peer.open_count();
+    server.open_generation = peer.open_generation();
   }
   UpdateUsable(server);
   if (peer.state() == Peer::State::kDraining) DisconnectIfIdle(server);
--- a/src/diameter/peer.hpp
+++ b/src/diameter/peer.hpp
@@ -1,7 +1,7 @@
 // The peer state machine of RFC 6733, section 5.6, with the watchdog of RFC 3539. Has no socket, clock or
 // thread. The owner reports events of up to two connections to one peer (one opened by each side) and carries
-// out the calls to the sink. After each call the owner has to look at `usable`, `open_count` and `due`, which
-// may have changed.
+// out the calls to the sink. After each call the owner has to look at `usable`, `open_generation` and `due`,
+// which may have changed.
 #ifndef MERLINRUN_DIAMETER_PEER_HPP_
 #define MERLINRUN_DIAMETER_PEER_HPP_
 
@@ -97,7 +97,7 @@
   // Whether there is a connection on which answers may be sent and received.
   bool Connected() const { return Open() || state_ == State::kDraining || state_ == State::kClosing; }
   // Number of connections opened so far; requests sent on an earlier one get no answer.
-  std::uint64_t open_count() const { return open_count_; }
+  std::uint64_t open_generation() const { return open_count_; }
   // The peer's capabilities when it was last opened.
   const PeerCapabilities& remote() const { return remote_; }
 
--- a/src/fleet/io/udp_report_exchange.cpp
+++ b/src/fleet/io/udp_report_exchange.cpp
@@ -65,7 +65,7 @@
 void UdpReportExchange::Tick() {
   const std::vector<BalancerSnapshot::Zone> zones = request_manager_.TakeZoneSnapshots();
   for (const BalancerSnapshot::Zone& zone : zones)
-    request_manager_.OnZonePeerReport(exchange_.Summarize(loop_.Now(), zone.zone));
+    request_manager_.OnZonePeerSummary(exchange_.Summarize(loop_.Now(), zone.zone));
   // A new snapshot, as the peers' reports may have changed a zone.
   const auto outgoing = exchange_.NextReport(loop_.Now(), request_manager_.TakeZoneSnapshots(),
                                              request_manager_.zones_epoch(), generation_());
--- a/src/fleet/peer_table.cpp
+++ b/src/fleet/peer_table.cpp
@@ -69,12 +69,12 @@
   }));
 }
 
-ZonePeerReport PeerTable::Summarize(Micros now, int zone) const {
+ZonePeerSummary PeerTable::Summarize(Micros now, int zone) const {
   return SummarizeExcept(now, zone, nullptr);
 }
 
-ZonePeerReport PeerTable::SummarizeExcept(Micros now, int zone, const Peer* excluded) const {
-  ZonePeerReport out;
+ZonePeerSummary PeerTable::SummarizeExcept(Micros now, int zone, const Peer* excluded) const {
+  ZonePeerSummary out;
   out.zone = zone;
   std::vector<Micros> return_times;
   for (const Peer* peer : recent_) {
@@ -103,7 +103,7 @@
 void PeerTable::UpdateCredibility(Micros now, Peer& peer) const {
   bool contradicts = false;
   for (const ZoneReport& zone_report : peer.report.zones) {
-    const ZonePeerReport others = SummarizeExcept(now, zone_report.zone, &peer);
+    const ZonePeerSummary others = SummarizeExcept(now, zone_report.zone, &peer);
     const Verdict verdict = VerdictOf(zone_report, 0);
     contradicts |= verdict == Verdict::kLost && others.reporting_healthy >= zones::kQuorum &&
                    others.reporting_healthy > 4 * others.reporting_lost &&
--- a/src/fleet/peer_table.hpp
+++ b/src/fleet/peer_table.hpp
@@ -40,7 +40,7 @@
   PeerTable& operator=(const PeerTable&) = delete;
   ReportOutcome OnReport(Micros now, const PeerReport& report);
   // Aggregates what recent, credible peers report about the zone.
-  ZonePeerReport Summarize(Micros now, int zone) const;
+  ZonePeerSummary Summarize(Micros now, int zone) const;
   // Number of peers with a report younger than kReportTtl.
   std::size_t RecentPeerCount(Micros now) const;
   // Peer restarts seen: reports with a newer incarnation than the one before.
@@ -56,7 +56,7 @@
     double credibility = 1;  // falls with each report that contradicts most others
     bool recent = false;
   };
-  ZonePeerReport SummarizeExcept(Micros now, int zone, const Peer* peer) const;
+  ZonePeerSummary SummarizeExcept(Micros now, int zone, const Peer* peer) const;
   void UpdateCredibility(Micros now, Peer& peer) const;
 
   const std::uint32_t self_;
--- a/src/fleet/report_exchange.hpp
+++ b/src/fleet/report_exchange.hpp
@@ -44,7 +44,7 @@
   Outgoing NextReport(Micros now, const std::vector<BalancerSnapshot::Zone>& zone_snapshots,
                       std::uint64_t epoch, std::int64_t generation);
   // What the peers report about a zone.
-  ZonePeerReport Summarize(Micros now, int zone) const { return peer_table_.Summarize(now, zone); }
+  ZonePeerSummary Summarize(Micros now, int zone) const { return peer_table_.Summarize(now, zone); }
 
   const PeerTable& peer_table() const { return peer_table_; }
   const DatagramCounters& counters() const { return counters_; }
--- a/src/mesh/consensus/leading.cpp
+++ b/src/mesh/consensus/leading.cpp
@@ -302,8 +302,8 @@
   if (now_ - last_heartbeat_at_ >= settings_.heartbeat_interval ||
       (round_pending_ && now_ - last_heartbeat_at_ >= kRoundResendInterval))
     SendHeartbeats();
-  const bool disk_unhealthy = write_failed_ || (writing_ && now_ - writing_since_ > kStalledWrite);
-  if ((transferring_ || disk_unhealthy) && TryTransferLeadership()) return;
+  const bool disk_stalled = write_failed_ || (writing_ && now_ - writing_since_ > kStalledWrite);
+  if ((transferring_ || disk_stalled) && TryTransferLeadership()) return;
   if (transferring_ && now_ - transfer_started_at_ > kTransferTimeout) StepDown("ends, without a successor");
 }
 
--- a/src/mesh/control/configuration_service.cpp
+++ b/src/mesh/control/configuration_service.cpp
@@ -37,7 +37,7 @@
 
 void ConfigurationService::Advance(Micros now) {
   while (!changes_.empty() && changes_.front().stage == Stage::kQueued) {
-    if (!host_.IsLeader()) return FailPending();
+    if (!host_.IsLeader()) return HandBackUnproposed();
     Change& first = changes_.front();
     if (first.result && first.base_index == host_.CommittedIndex()) return ExecuteResult(now);
     first.result.reset();
@@ -135,7 +135,7 @@
 
 void ConfigurationService::AwaitSidecars(Micros now, std::uint64_t index) {
   Change& first = changes_.front();
-  if (first.done && !host_.IsActiveOnSidecars(index)) {
+  if (first.done && !host_.IsAppliedBySidecars(index)) {
     awaiting_sidecars_.push_back(
         {index, std::min(now + limits_.ack_timeout, first.deadline), std::move(first.done)});
     first.done = nullptr;
@@ -150,7 +150,7 @@
   if (done) done(std::move(response));
 }
 
-void ConfigurationService::FailPending() {
+void ConfigurationService::HandBackUnproposed() {
   // A proposed change may still be committed: OnOutcome completes it.
   std::deque<Change> failed;
   if (!changes_.empty() && changes_.front().stage == Stage::kProposing) {
@@ -195,13 +195,13 @@
 }
 
 void ConfigurationService::OnLeadership(Micros now) {
-  if (!host_.IsLeader()) return FailPending();
+  if (!host_.IsLeader()) return HandBackUnproposed();
   Advance(now);
 }
 
 void ConfigurationService::OnSidecarAck(Micros now) {
   for (std::size_t i = 0; i < awaiting_sidecars_.size();) {
-    const bool applied = host_.IsActiveOnSidecars(awaiting_sidecars_[i].index);
+    const bool applied = host_.IsAppliedBySidecars(awaiting_sidecars_[i].index);
     if (!applied && now < awaiting_sidecars_[i].ack_deadline) {
       ++i;
       continue;
@@ -251,7 +251,7 @@
     std::move(active_reads_.begin(), active_reads_.end(), std::back_inserter(queued_reads_));
     active_reads_.clear();
   }
-  if (!host_.IsLeader()) return FailPending();
+  if (!host_.IsLeader()) return HandBackUnproposed();
   Advance(now);
   StartReadRound(now);
 }
--- a/src/mesh/control/configuration_service.hpp
+++ b/src/mesh/control/configuration_service.hpp
@@ -34,7 +34,7 @@
   virtual void Propose(std::uint64_t request_id, std::uint64_t base_index, std::string state) = 0;
   virtual void ConfirmLeadership(std::uint64_t request_id) = 0;
   // Whether all sidecars that reported recently have applied the entry; silent ones are not waited for.
-  virtual bool IsActiveOnSidecars(std::uint64_t index) const = 0;
+  virtual bool IsAppliedBySidecars(std::uint64_t index) const = 0;
 };
 
 // Changes are processed one at a time, each evaluated against the result of those before it, so only one of
@@ -106,7 +106,7 @@
   // The first change is committed in entry `index`: responds once sidecars have applied it.
   void AwaitSidecars(Micros now, std::uint64_t index);
   // After loss of leadership: completes everything that was not proposed with nullopt.
-  void FailPending();
+  void HandBackUnproposed();
   void RespondToFirst(std::optional<Response> response);
   void StartReadRound(Micros now);
 
--- a/src/mesh/control/control_replica.cpp
+++ b/src/mesh/control/control_replica.cpp
@@ -303,7 +303,7 @@
   ScheduleDeferred();
 }
 
-bool ControlReplica::IsActiveOnSidecars(std::uint64_t index) const {
+bool ControlReplica::IsAppliedBySidecars(std::uint64_t index) const {
   const Micros now = host_.Now();
   return publisher_.ActiveSidecarsWith(now, index) >= publisher_.ActiveSidecars(now);
 }
--- a/src/mesh/control/control_replica.hpp
+++ b/src/mesh/control/control_replica.hpp
@@ -124,7 +124,7 @@
                       std::shared_ptr<const std::string> body) override;
   void Propose(std::uint64_t request_id, std::uint64_t base_index, std::string state) override;
   void ConfirmLeadership(std::uint64_t request_id) override;
-  bool IsActiveOnSidecars(std::uint64_t index) const override;
+  bool IsAppliedBySidecars(std::uint64_t index) const override;
 
   // CallForwarderHost
   ReplicaId KnownLeader() const override;
--- a/src/mesh/egress/http_server.cpp
+++ b/src/mesh/egress/http_server.cpp
@@ -32,7 +32,7 @@
 
 using merlinrun::net::ToStringView;
 
-bool IsConnectionHeader(beast::string_view name) {
+bool IsNotForwarded(beast::string_view name) {
   return transport::IsHopByHop(name) || beast::iequals(name, "proxy-authorization") ||
          beast::iequals(name, "expect") || beast::iequals(name, "http2-settings");
 }
@@ -252,7 +252,7 @@
       connection_options.emplace_back(ToStringView(token));
     for (const auto& field : head) {
       const std::string_view name = ToStringView(field.name_string());
-      if (IsConnectionHeader(field.name_string())) continue;
+      if (IsNotForwarded(field.name_string())) continue;
       const bool is_connection_option =
           std::any_of(connection_options.begin(), connection_options.end(), [&](const std::string& option) {
             return option.size() == name.size() &&
--- a/src/mesh/egress/inbound_proxy_client.hpp
+++ b/src/mesh/egress/inbound_proxy_client.hpp
@@ -11,7 +11,7 @@
 #include <string>
 
 #include "core/loop.hpp"
-#include "mesh/ingress/proxy_protocol.hpp"
+#include "mesh/ingress/attempt_protocol.hpp"
 #include "mesh/transport/link.hpp"
 
 namespace fennelhollow::egress {
--- a/src/mesh/egress/lookup.cpp
+++ b/src/mesh/egress/lookup.cpp
@@ -15,11 +15,11 @@
                                               400, 500, 700, 1000, 1500, 2500, 5000};
 constexpr int kLatencyTargetCount = static_cast<int>(std::size(kLatencyTargetsMs));
 constexpr int kPriorities = 4;
-// Worth of a request by its priority; the balancer refuses requests with the least worth first.
-constexpr double kWorth[kPriorities] = {4, 2, 1, 0.5};
-// Fraction of the worth that remains after the latency target is missed. Above 0, so that an attempt is not
+// Value of a request by its priority; the balancer refuses requests of the lowest value first.
+constexpr double kValueByPriority[kPriorities] = {4, 2, 1, 0.5};
+// Fraction of the value that remains after the latency target is missed. Above 0, so that an attempt is not
 // abandoned at that point.
-constexpr double kLateWorth = 0.3;
+constexpr double kLateValue = 0.3;
 constexpr std::int64_t kMaxDeadlineMs = 600'000;
 
 bool EqualsIgnoreCase(std::string_view a, std::string_view b) {
@@ -144,8 +144,8 @@
                  std::to_string(priority) + "-" + std::to_string(target_ms);
         c.latency_target = target_ms * 1000;
         c.deadline = kMaxDeadlineMs * 1000;
-        c.value = kWorth[priority];
-        c.late_value = kLateWorth;
+        c.value = kValueByPriority[priority];
+        c.late_value = kLateValue;
         c.retry_safety = repeat;
         out.push_back(c);
       }
--- a/src/mesh/egress/outbound_proxy.cpp
+++ b/src/mesh/egress/outbound_proxy.cpp
@@ -29,7 +29,7 @@
 constexpr std::int64_t kMinQueueTimeMs = 40;
 // Each step of lower priority moves the due time back by this fraction of the latency target.
 constexpr double kDueFactorPerPriority = 0.25;
-// Lowest priority that the proxy protocol can carry.
+// Lowest priority that the attempt protocol can carry.
 constexpr int kLowestPriority = 255;
 constexpr double kWindowsPerServer = 60;
 // Threshold that is never reached; switches off the balancer's own admission control.
@@ -427,8 +427,8 @@
   service_context->egress = std::make_unique<Egress>(*this, *service_context);
   service_context->request_manager = std::make_unique<core::RequestManager>(
       loop_, balancer_settings, random_.Next(), [] {}, [](std::string_view) {});
-  auto& causes = counters_.refusals_by_cause[service];
-  service_context->request_manager->OnRequestCompleted(
+  auto& causes = counters_.requests_by_end_cause[service];
+  service_context->request_manager->SetCompletionObserver(
       [this, &causes](const core::CompletedRequest& completed) {
         if (completed.end_cause) ++causes[static_cast<std::size_t>(*completed.end_cause)];
         OnCompleted(completed);
@@ -470,7 +470,7 @@
     service_context->request_manager->SetShutdownDeadline(shutdown_deadline);
 }
 
-void OutboundProxy::FinishInFlight() {
+void OutboundProxy::TerminateInFlight() {
   for (auto& [service, service_context] : service_contexts_)
     service_context->request_manager->EnforceShutdownDeadline();
 }
--- a/src/mesh/egress/outbound_proxy.hpp
+++ b/src/mesh/egress/outbound_proxy.hpp
@@ -41,7 +41,7 @@
                   no_key = 0, over_quota = 0, malformed = 0, not_ready = 0, client_disconnects = 0,
                   attempts_sent = 0, rejected = 0, resets = 0, withdrawn = 0, retry_budget_exhausted = 0;
     // Refused and failed requests by service and then by the balancer's Cause.
-    std::map<std::string, std::array<std::uint64_t, merlinrun::kCauseCount>> refusals_by_cause;
+    std::map<std::string, std::array<std::uint64_t, merlinrun::kCauseCount>> requests_by_end_cause;
   };
 
   // The references must outlive the proxy.
@@ -67,7 +67,7 @@
   void RefuseNewRequests() { refuse_new_ = true; }
   // Responds to all requests in flight: 503 if the request is safe or was not sent, 504 if it may have been
   // executed.
-  void FinishInFlight();
+  void TerminateInFlight();
 
   std::size_t in_flight() const { return pending_requests_.size(); }
   const Counters& counters() const { return counters_; }
--- a/src/mesh/ingress/admission_queue.hpp
+++ b/src/mesh/ingress/admission_queue.hpp
@@ -16,10 +16,10 @@
 #include <vector>
 
 #include "merlinrun/balancer.hpp"
+#include "mesh/ingress/attempt_protocol.hpp"
 #include "mesh/ingress/fair_queue.hpp"
 #include "mesh/ingress/flow.hpp"
 #include "mesh/ingress/flow_stats.hpp"
-#include "mesh/ingress/proxy_protocol.hpp"
 
 namespace fennelhollow::ingress {
 
--- a/src/mesh/ingress/proxy_protocol.hpp
+++ b/src/mesh/ingress/attempt_protocol.hpp
@@ -1,8 +1,8 @@
 // Protocol between the outbound proxy of a caller and the inbound proxy of a server. A link carries one
 // attempt at a time, so that a slow reader delays its own response only and a reset affects a single request.
 // The first byte of a frame is its FrameType, followed by the cereal encoding of the matching struct.
-#ifndef FENNELHOLLOW_MESH_INGRESS_PROXY_PROTOCOL_HPP_
-#define FENNELHOLLOW_MESH_INGRESS_PROXY_PROTOCOL_HPP_
+#ifndef FENNELHOLLOW_MESH_INGRESS_ATTEMPT_PROTOCOL_HPP_
+#define FENNELHOLLOW_MESH_INGRESS_ATTEMPT_PROTOCOL_HPP_
 
 #include <absl/status/statusor.h>
 
@@ -171,4 +171,4 @@
 
 }  // namespace fennelhollow::ingress
 
-#endif  // FENNELHOLLOW_MESH_INGRESS_PROXY_PROTOCOL_HPP_
+#endif  // FENNELHOLLOW_MESH_INGRESS_ATTEMPT_PROTOCOL_HPP_
--- a/src/mesh/ingress/fair_queue.hpp
+++ b/src/mesh/ingress/fair_queue.hpp
@@ -17,8 +17,8 @@
 #include <vector>
 
 #include "merlinrun/balancer.hpp"
+#include "mesh/ingress/attempt_protocol.hpp"
 #include "mesh/ingress/flow.hpp"
-#include "mesh/ingress/proxy_protocol.hpp"
 
 namespace fennelhollow::ingress {
 
--- a/src/mesh/ingress/flow_stats.cpp
+++ b/src/mesh/ingress/flow_stats.cpp
@@ -14,7 +14,7 @@
 // An interval is checked once both the flow's attempts and its minimum share have reached this number.
 constexpr double kMinSamples = 16;
 // Fraction of the minimum share that still passes the check; allows for random variation.
-constexpr double kTolerance = 0.25;
+constexpr double kMinShareFraction = 0.25;
 // A flow starves after this many consecutive rejections ...
 constexpr std::uint64_t kStarvingRejections = 2;
 // ... while at least this many attempts of other flows were forwarded.
@@ -24,7 +24,7 @@
 
 bool FlowInterval::ReceivedMinimumShare() const {
   const double expected = std::min(static_cast<double>(arrivals), minimum_share);
-  return capacity_rejections == 0 || static_cast<double>(forwarded) >= kTolerance * expected;
+  return capacity_rejections == 0 || static_cast<double>(forwarded) >= kMinShareFraction * expected;
 }
 
 void FlowStats::BeginInterval(Record& record) const {
--- a/src/mesh/ingress/inbound_proxy.hpp
+++ b/src/mesh/ingress/inbound_proxy.hpp
@@ -12,7 +12,7 @@
 
 #include "core/loop.hpp"
 #include "mesh/ingress/admission_queue.hpp"
-#include "mesh/ingress/proxy_protocol.hpp"
+#include "mesh/ingress/attempt_protocol.hpp"
 #include "mesh/ingress/server_connection_pool.hpp"
 #include "mesh/registry/registry.hpp"
 #include "mesh/transport/link.hpp"
--- a/src/mesh/ingress/server_connection_pool.cpp
+++ b/src/mesh/ingress/server_connection_pool.cpp
@@ -35,7 +35,7 @@
 // Responses to other requests that are skipped on a connection before it is closed.
 constexpr int kMaxStrayResponses = 4;
 
-bool IsConnectionHeader(beast::string_view name) {
+bool IsNotForwarded(beast::string_view name) {
   return transport::IsHopByHop(name) || beast::iequals(name, "proxy-authenticate");
 }
 
@@ -286,7 +286,7 @@
     }
     Headers headers;
     for (const auto& field : head)
-      if (!IsConnectionHeader(field.name_string()))
+      if (!IsNotForwarded(field.name_string()))
         headers.emplace_back(std::string(field.name_string()), std::string(field.value()));
     std::int64_t body_length = -1;
     if (const auto declared_length = parser_->content_length())
--- a/src/mesh/ingress/server_connection_pool.hpp
+++ b/src/mesh/ingress/server_connection_pool.hpp
@@ -10,7 +10,7 @@
 #include <memory>
 #include <string>
 
-#include "mesh/ingress/proxy_protocol.hpp"
+#include "mesh/ingress/attempt_protocol.hpp"
 #include "net/protocol.hpp"
 
 namespace fennelhollow::ingress {
--- a/src/mesh/metrics/invariants.cpp
+++ b/src/mesh/metrics/invariants.cpp
@@ -8,7 +8,7 @@
 
 std::string_view NameOf(Invariant invariant) {
   switch (invariant) {
-    case Invariant::kAdmissionLeastShare:
+    case Invariant::kAdmissionMinimumShare:
       return "admission_least_share";
     case Invariant::kConfigurationMonotonic:
       return "configuration_monotonic";
--- a/src/mesh/metrics/invariants.hpp
+++ b/src/mesh/metrics/invariants.hpp
@@ -16,8 +16,8 @@
 
 enum class Invariant {
   // Admission control: while a server admits requests, a kind of request that keeps being rejected for lack
-  // of capacity still gets at least a part of its guaranteed share.
-  kAdmissionLeastShare,
+  // of capacity still gets at least a part of its minimum share.
+  kAdmissionMinimumShare,
   // Within one incarnation of a sidecar the configuration in force never goes back.
   kConfigurationMonotonic,
   // Within one incarnation of a core the committed entry never goes back.
--- a/src/mesh/node/sidecar.cpp
+++ b/src/mesh/node/sidecar.cpp
@@ -225,7 +225,7 @@
                             {"malformed", gossip_view_.counters().malformed},
                             {"overRate", gossip_view_.counters().over_rate},
                             {"lostNeighbours", gossip_view_.counters().lost_neighbours}}}};
-    for (const auto& [service, causes] : outbound_counters.refusals_by_cause) {
+    for (const auto& [service, causes] : outbound_counters.requests_by_end_cause) {
       nlohmann::json& to = out["refusedFor"][service] = nlohmann::json::object();
       for (std::size_t i = 0; i < causes.size(); ++i)
         if (causes[i] > 0) to[std::string(merlinrun::kCauseNames[i])] = causes[i];
@@ -319,7 +319,7 @@
   }
 
   void CheckMinimumShare(const ingress::FlowInterval& interval) {
-    invariants_.Check(metrics::Invariant::kAdmissionLeastShare, interval.ReceivedMinimumShare(), [&] {
+    invariants_.Check(metrics::Invariant::kAdmissionMinimumShare, interval.ReceivedMinimumShare(), [&] {
       return absl::StrCat("route ", interval.flow.route, ", priority ", interval.flow.priority, ": received ",
                           interval.arrivals, ", forwarded ", interval.forwarded, ", rejected ",
                           interval.capacity_rejections, ", entitled to ", interval.minimum_share, " of ",
@@ -377,8 +377,8 @@
       gossip_view_.SetLocalState(now, client_.entry(), client_.ResponsiveCores(now));
       gossip_view_.OnTick(now);
     }
-    if (now - client_ticked_at_ > 1000 * kMillisecond) {
-      client_ticked_at_ = now;
+    if (now - inbound_proxy_client_ticked_at_ > 1000 * kMillisecond) {
+      inbound_proxy_client_ticked_at_ = now;
       inbound_proxy_client_.OnTick(now);
     }
     if (stopping_ && !ContinueStop(now)) return;
@@ -401,7 +401,7 @@
     // are answered before the process exits, whatever their servers do.
     if (elapsed >= readiness_delay + kLateRequestWindow) outbound_proxy_.RefuseNewRequests();
     if (elapsed >= grace - FinishMargin() && !std::exchange(finishing_, true))
-      outbound_proxy_.FinishInFlight();
+      outbound_proxy_.TerminateInFlight();
     const bool idle = (outbound_listener_ == nullptr || outbound_listener_->busy() == 0) &&
                       outbound_proxy_.in_flight() == 0 && inbound_proxy_.in_flight() == 0;
     if ((elapsed < readiness_delay + kRemovalPropagation || !idle) && elapsed < grace - ExitMargin())
@@ -546,7 +546,7 @@
   std::unique_ptr<ControlListener> control_listener_;
   std::unique_ptr<HttpServer> outbound_listener_, readiness_listener_;
   std::unique_ptr<merlinrun::core::Timer> tick_timer_;
-  Micros client_ticked_at_ = 0, stop_requested_at_ = 0;
+  Micros inbound_proxy_client_ticked_at_ = 0, stop_requested_at_ = 0;
   bool stopping_ = false, leave_sent_ = false, refuse_attempts_ = false, finishing_ = false;
   std::function<void()> on_stopped_;
   std::uint64_t rejected_links_ = 0, malformed_updates_ = 0;
--- a/src/net/http_listener.cpp
+++ b/src/net/http_listener.cpp
@@ -107,7 +107,7 @@
       downstream_(io, options, limits, budget, counters,
                   {[this](const Downstream::SessionPtr& session, Downstream::Request request,
                           int request_class) { OnRequest(session, std::move(request), request_class); },
-                   [this](const std::string& id) { request_manager_.OnRequestComplete(id); },
+                   [this](const std::string& id) { request_manager_.OnUploadComplete(id); },
                    [this](const RequestHeader& header) {
                      return core::ClassIndex(request_manager_.settings(), ToStringView(header[kClassHeader]));
                    },
--- a/src/net/http_listener.hpp
+++ b/src/net/http_listener.hpp
@@ -18,7 +18,7 @@
 class HttpEgress : public core::Egress {
  public:
   explicit HttpEgress(Upstream& upstream) : upstream_(upstream) {}
-  AttemptId Send(const std::string& server, const core::Message& request, const SendOptions& order,
+  AttemptId Send(const std::string& server, const core::Message& request, const SendOptions& options,
                  Done done) override;
   void CancelAttempt(AttemptId attempt) override { upstream_.CancelAttempt(attempt); }
 
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -127,7 +127,7 @@
   if (!config_.fleet_file.empty()) StartPeerExchange();
   if (!config_.zone_overrides_file.empty()) request_manager_->OnZoneOverrides(ReadZoneOverrides(config_));
   if (recorder_ != nullptr || trace_ != nullptr)
-    request_manager_->OnRequestCompleted([this](const core::CompletedRequest& completed) {
+    request_manager_->SetCompletionObserver([this](const core::CompletedRequest& completed) {
       if (recorder_ != nullptr) AddRecord(*recorder_, loop_.Now(), completed);
       if (trace_ != nullptr) trace_->Add(completed);
     });
@@ -169,9 +169,9 @@
       std::make_unique<stats::Trace>(loop_, *request_manager_, std::get<stats::TraceSettings>(read), [this] {
         stats::RuntimeCounts counts{request_manager_->active_requests(),
                                     http_ == nullptr ? 0 : http_->sessions(), upstream_.open_connections()};
-        if (talk_ == nullptr) return counts;
-        const fleet::DatagramCounters& t = talk_->exchange().counters();
-        counts.peer_messages = {talk_->exchange().peer_table().RecentPeerCount(loop_.Now()),
+        if (report_exchange_ == nullptr) return counts;
+        const fleet::DatagramCounters& t = report_exchange_->exchange().counters();
+        counts.peer_messages = {report_exchange_->exchange().peer_table().RecentPeerCount(loop_.Now()),
                                 t.accepted,
                                 t.stale,
                                 t.wrong_address,
@@ -198,9 +198,9 @@
                       std::to_string(config_.wire.settings.sidecar_count) + " sidecars");
   fleet::PeerAddresses peers{udp("peer_listen", config_.peer_listen), {}};
   for (const std::string& peer : config_.peers) peers.by_number.push_back(udp("peers", peer));
-  talk_ = std::make_unique<fleet::UdpReportExchange>(io_, loop_, *request_manager_, std::move(peers),
-                                                     std::get<fleet::ReportSettings>(read), config_.seed,
-                                                     [this] { return generation_; });
+  report_exchange_ = std::make_unique<fleet::UdpReportExchange>(
+      io_, loop_, *request_manager_, std::move(peers), std::get<fleet::ReportSettings>(read), config_.seed,
+      [this] { return generation_; });
 }
 
 std::size_t Sidecar::MaxHttpSessions(const Config& config) const {
@@ -233,7 +233,7 @@
   OnList(ListUpdate::Kind::kStale, config_.last_known_endpoints);
   if (config_.last_known_endpoints.endpoints.empty()) generation_ = Discovery::kUnknownGeneration;
   if (!config_.wire.settings.must_subscribe) discovery_.Watch(generation_);
-  if (talk_ != nullptr) talk_->Start(/*share_address=*/config_.ops.has_value());
+  if (report_exchange_ != nullptr) report_exchange_->Start(/*share_address=*/config_.ops.has_value());
   if (!taking_over_) StartHandoverServer();
 }
 
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -59,8 +59,10 @@
   std::optional<Tcp::endpoint> ops_address() const;
   const stats::Counters& counters() const { return counters_; }
   const record::Recorder* recorder() const { return recorder_.get(); }  // null if it is off
-  const fleet::UdpReportExchange* talk() const { return talk_.get(); }  // null if it is off
-  diameter::Node* diameter() { return diameter_.get(); }                // null if it is off
+  const fleet::UdpReportExchange* report_exchange() const {
+    return report_exchange_.get();
+  }                                                       // null if it is off
+  diameter::Node* diameter() { return diameter_.get(); }  // null if it is off
 
  private:
   void OnList(ListUpdate::Kind kind, const EndpointList& list);
@@ -90,8 +92,8 @@
   stats::Counters counters_;                    // declared before its users
   std::unique_ptr<record::Recorder> recorder_;  // null if it is off; outlives request_manager_
   std::unique_ptr<core::RequestManager> request_manager_;
-  std::unique_ptr<stats::Trace> trace_;             // null if it is off
-  std::unique_ptr<fleet::UdpReportExchange> talk_;  // null if it is off
+  std::unique_ptr<stats::Trace> trace_;                        // null if it is off
+  std::unique_ptr<fleet::UdpReportExchange> report_exchange_;  // null if it is off
   Upstream upstream_;
   HttpEgress http_egress_;
   Discovery discovery_;
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -73,7 +73,7 @@
     server.latency_ratio += (latency_ratio - server.latency_ratio) / LatencyWindow(c_.pools[server.pool]);
   if (outcome.result == Result::kSuccess) {
     if (outcome.elapsed >= c_.ClassOf(active).latency_target) return;
-    server.consecutive_failures = 0;
+    server.consecutive_ejections = 0;
     server.last_success_at = c_.now;
   } else if (outcome.result != Result::kRefused) {
     RecordFailure(server, sent, outcome.result == Result::kUnreachable);
@@ -90,12 +90,13 @@
   double limit = c_.set.tuning.max_ejected_share * static_cast<double>(width);
   if (!dead) limit = std::min(limit, std::max(1.0, kMaxLateEjectedShare * static_cast<double>(width)));
   if (static_cast<double>(ejected + 1) > limit) return;
-  server.ejected_until = c_.now + c_.random.Upto(ExponentialBackoff(
-                                      kEjectionBase, server.consecutive_failures++, c_.set.tuning.retry_cap));
+  server.ejected_until =
+      c_.now + c_.random.Upto(ExponentialBackoff(kEjectionBase, server.consecutive_ejections++,
+                                                 c_.set.tuning.retry_cap));
 }
 
 bool Health::IsEjected(const Server& server) const {
-  return c_.now < server.ejected_until || (server.consecutive_failures > 0 && server.in_flight > 0);
+  return c_.now < server.ejected_until || (server.consecutive_ejections > 0 && server.in_flight > 0);
 }
 
 // Guards against limits on one class, full servers, and servers that look idle because they fail fast.
--- a/src/policy/records.hpp
+++ b/src/policy/records.hpp
@@ -35,10 +35,10 @@
   double latency_ratio = 1;     // latency divided by the usual latency of the class
   std::vector<double> refused;  // by class: share of recent requests that it refused
   double error_rate = 0;        // share of recent requests that failed
-  int consecutive_failures = 0;
+  int consecutive_ejections = 0;
   Micros last_success_at = 0;       // when it last responded within the latency target
   Micros connection_failed_at = 0;  // when a connection last broke or could not be established
-  Micros ejected_until = 0;         // then one attempt at a time while consecutive_failures > 0
+  Micros ejected_until = 0;         // then one attempt at a time while consecutive_ejections > 0
   // Used by Admission.
   std::uint64_t counted_streak = 0;  // the last streak in which it was counted
   // Used by ColdStart.
--- a/src/policy/requests.cpp
+++ b/src/policy/requests.cpp
@@ -109,7 +109,7 @@
   SendOrWait(it);
 }
 
-void Requests::OnZonePeerReport(const ZonePeerReport& report) {
+void Requests::OnZonePeerSummary(const ZonePeerSummary& report) {
   if (c_.zones.OnPeerReport(c_.now, report, WindowOf(report.zone, c_))) c_.InvalidateCapacity();
 }
 
--- a/src/policy/requests.hpp
+++ b/src/policy/requests.hpp
@@ -29,7 +29,7 @@
   void OnOutcome(const Outcome& outcome);
   void OnClientGone(std::string_view request);
   void OnTimer(std::uint64_t token);
-  void OnZonePeerReport(const ZonePeerReport& report);
+  void OnZonePeerSummary(const ZonePeerSummary& report);
 
   std::size_t size() const { return requests_.size(); }
 
--- a/src/policy/retry.hpp
+++ b/src/policy/retry.hpp
@@ -17,8 +17,7 @@
 Micros RetryWait(const Tuning& tuning, int n, Random& random);
 // Limit of attempts per request; a delay because no server was usable counts as one.
 int AttemptLimit(const Settings& set);
-// Whether late responses have no value. Attempts then time out at the target, which also tells of hung
-// servers.
+// Whether late responses have no value. Attempts then time out at the target, which also detects hangs.
 bool TimesOutAtTarget(const RequestClass& c);
 // Whether a request that may have been executed can be sent again.
 bool MayRetry(const ActiveRequest& active, const RequestClass& c, Micros now);
--- a/src/policy/window.cpp
+++ b/src/policy/window.cpp
@@ -11,7 +11,7 @@
 // Largest window with key affinity.
 constexpr std::size_t kAffinityWidth = 64;
 // Largest window due to Tuning::windows_per_server.
-constexpr std::size_t kMaxWidth = 16;
+constexpr std::size_t kMaxSharedWidth = 16;
 // Cost from which other zones serve only what the own zone cannot.
 constexpr double kCrossZoneCostly = 0.05;
 
@@ -24,7 +24,7 @@
   const double shared =
       set.tuning.windows_per_server * static_cast<double>(pool.ring.size()) / set.sidecar_count;
   const std::size_t min_width =
-      std::max(set.tuning.window_width, static_cast<std::size_t>(std::min<double>(shared, kMaxWidth)));
+      std::max(set.tuning.window_width, static_cast<std::size_t>(std::min<double>(shared, kMaxSharedWidth)));
   const double per_in_flight =
       set.cost_connection > 0 ? set.tuning.servers_per_in_flight : kServersPerInFlightFree;
   return std::min(std::max(min_width, static_cast<std::size_t>(per_in_flight * pool.peak_in_flight)),
--- a/src/stats/trace.cpp
+++ b/src/stats/trace.cpp
@@ -69,7 +69,7 @@
     out[std::string(s.id)] = {
         {"state", NameOf(s.state)},           {"out", s.in_flight},
         {"slow", Rounded(s.latency_ratio)},   {"failing", Rounded(s.error_rate)},
-        {"strikes", s.consecutive_failures},  {"left_alone", s.ejected_for / kMillisecond},
+        {"strikes", s.consecutive_ejections}, {"left_alone", s.ejected_for / kMillisecond},
         {"warmth", Rounded(s.capacity_share)}};
   }
   for (const auto& [id, s] : interval_stats.servers) {
@@ -131,7 +131,7 @@
   Json& zones = line["zones"] = {{"epoch", snapshot.zones_epoch}};
   for (const BalancerSnapshot::Zone& zone : snapshot.zones) {
     zones["stages"][std::to_string(zone.zone)] = kZoneStageNames[static_cast<std::size_t>(zone.stage)];
-    if (const ZonePeerReport& report = zone.peer_report; report.reporting > 0)
+    if (const ZonePeerSummary& report = zone.peer_report; report.reporting > 0)
       zones["told"][std::to_string(zone.zone)] = {
           {"heard", report.reporting}, {"lost", report.reporting_lost}, {"well", report.reporting_healthy}};
   }
--- a/src/zones/zones.cpp
+++ b/src/zones/zones.cpp
@@ -149,7 +149,7 @@
   for (auto& [id, zone] : zones_) zone.dead_servers.clear();
 }
 
-bool Zones::OnPeerReport(Micros now, const ZonePeerReport& report, const Window& window) {
+bool Zones::OnPeerReport(Micros now, const ZonePeerSummary& report, const Window& window) {
   if (report.zone < 0) return false;
   Zone& zone = zones_[report.zone];
   zone.peer_report = report;
@@ -180,14 +180,14 @@
   }
 }
 
-ZonePeerReport Zones::CurrentReport(Micros now, const Zone& zone) const {
-  return now - zone.report_at < kReportLifetime ? zone.peer_report : ZonePeerReport();
+ZonePeerSummary Zones::CurrentReport(Micros now, const Zone& zone) const {
+  return now - zone.report_at < kReportLifetime ? zone.peer_report : ZonePeerSummary();
 }
 
 // Number of failed servers needed for ejection: 1 if many peers report the loss, 0 if even more do and this
 // sidecar has no recent response either, and more than usual if a quorum of peers has responses.
 std::size_t Zones::DeadServersNeeded(Micros now, const Zone& zone) const {
-  const ZonePeerReport report = CurrentReport(now, zone);
+  const ZonePeerSummary report = CurrentReport(now, zone);
   if (report.reporting_lost >= kManyReports &&
       report.reporting_lost >= kLostToHealthyRatio * report.reporting_healthy)
     return report.reporting_lost >= kOverwhelmingReports && now - zone.last_response_at >= kRecentResponse
@@ -239,7 +239,7 @@
 }
 
 bool Zones::IsMyProbeRound(Micros now, int id, const Zone& zone) const {
-  const ZonePeerReport report = CurrentReport(now, zone);
+  const ZonePeerSummary report = CurrentReport(now, zone);
   if (report.reporting < kQuorum || report.reporting_healthy >= kQuorum ||
       now - zone.stage_since >= kMaxProbeWait)
     return true;
--- a/src/zones/zones.hpp
+++ b/src/zones/zones.hpp
@@ -65,7 +65,7 @@
 
   // Stores a peer report for one second. Own responses outweigh it, and below a quorum it has no effect.
   // Returns as above.
-  bool OnPeerReport(Micros now, const ZonePeerReport& report, const Window& window);
+  bool OnPeerReport(Micros now, const ZonePeerSummary& report, const Window& window);
 
   // Replaces the operator overrides, which take precedence. A zone whose override ends may be probed at once.
   void OnOverrides(Micros now, std::span<const ZoneOverride> overrides);
@@ -97,7 +97,7 @@
     int in_flight = 0;
     Window window;  // as of the last failure or peer report
     ZoneOverride::Kind override_kind = ZoneOverride::Kind::kNone;
-    ZonePeerReport peer_report;
+    ZonePeerSummary peer_report;
     Micros report_at = -kReportLifetime;
     bool probe_hastened = false;  // a peer quorum has responses, so the probe was moved forward
   };
@@ -106,7 +106,7 @@
   static constexpr Micros kReportLifetime = 1'000'000;
 
   static void Enter(Micros now, Zone& zone, Stage stage);
-  ZonePeerReport CurrentReport(Micros now, const Zone& zone) const;
+  ZonePeerSummary CurrentReport(Micros now, const Zone& zone) const;
   std::size_t DeadServersNeeded(Micros now, const Zone& zone) const;
   bool IsMyProbeRound(Micros now, int id, const Zone& zone) const;
   void ClearEvidence();
--- a/tests/causes_test.cpp
+++ b/tests/causes_test.cpp
@@ -81,7 +81,7 @@
   Resolve("r1", 0, Result::kUnreachable);
   const BalancerSnapshot after = balancer_->TakeSnapshot(now_);
   for (const BalancerSnapshot::Server& server : after.servers)
-    EXPECT_EQ(server.consecutive_failures, server.id == sent[0].server ? 1 : 0) << server.id;
+    EXPECT_EQ(server.consecutive_ejections, server.id == sent[0].server ? 1 : 0) << server.id;
 }
 
 }  // namespace
--- a/tests/diameter/peer_test.cpp
+++ b/tests/diameter/peer_test.cpp
@@ -180,12 +180,12 @@
   a.Open(0, b);
   EXPECT_EQ(a.peer->OnIncoming(1, MakeCer(b), CapabilitiesOf(b)), Peer::IncomingResult::kRejected);
   EXPECT_TRUE(a.closed.empty());
-  const auto opens_before = a.peer->open_count();
+  const auto opens_before = a.peer->open_generation();
   b.state_id = 2;
   EXPECT_EQ(a.peer->OnIncoming(2, MakeCer(b), CapabilitiesOf(b)), Peer::IncomingResult::kReplaced);
   EXPECT_EQ(a.closed, std::vector{Side::kInitiator});
   EXPECT_EQ(a.peer->state(), Peer::State::kROpen);
-  EXPECT_EQ(a.peer->open_count(), opens_before + 1);
+  EXPECT_EQ(a.peer->open_generation(), opens_before + 1);
   EXPECT_EQ(a.peer->remote().state_id, 2U);
 }
 
--- a/tests/fuzz/words_fuzz.cpp
+++ b/tests/fuzz/words_fuzz.cpp
@@ -29,7 +29,7 @@
   peer_table.OnReport(now, *report);
   Check(peer_table.known_peers() < kSidecarCount);
   for (const auto& zone : report->zones) {
-    const merlinrun::ZonePeerReport summary = peer_table.Summarize(now, zone.zone);
+    const merlinrun::ZonePeerSummary summary = peer_table.Summarize(now, zone.zone);
     Check(summary.reporting_lost + summary.reporting_healthy <= summary.reporting &&
           summary.reporting <= static_cast<int>(kSidecarCount));
   }
--- a/tests/mesh/control_configuration_service_test.cpp
+++ b/tests/mesh/control_configuration_service_test.cpp
@@ -63,7 +63,7 @@
   bool IsLeader() const override { return is_leader; }
   std::uint64_t CommittedIndex() const override { return committed_index; }
   std::string ConfigurationText() const override { return committed.empty() ? "" : committed.back(); }
-  bool IsActiveOnSidecars(std::uint64_t n) const override { return applied_index >= n; }
+  bool IsAppliedBySidecars(std::uint64_t n) const override { return applied_index >= n; }
   bool EvaluateChange(std::uint64_t request_id, bool, std::shared_ptr<const std::string> body) override {
     const int base = std::stoi(*body), next = std::stoi(body->substr(body->find('>') + 1));
     ChangeResult result;
--- a/tests/mesh/egress_outbound_test.cpp
+++ b/tests/mesh/egress_outbound_test.cpp
@@ -439,7 +439,7 @@
   REQUIRE(RunUntil(mesh.io, [&] { return mesh.arrivals.size() == 2; }));
   mesh.outbound_proxy->SetShutdownDeadline(mesh.loop.Now());
   mesh.outbound_proxy->RefuseNewRequests();
-  mesh.outbound_proxy->FinishInFlight();
+  mesh.outbound_proxy->TerminateInFlight();
   const auto answered = [](const RawConnectionPtr& connection) {
     return connection->received.find("\r\n\r\n") != std::string::npos;
   };
--- a/tests/mesh/metrics_invariants_test.cpp
+++ b/tests/mesh/metrics_invariants_test.cpp
@@ -16,13 +16,13 @@
   Invariants invariants(registry, Invariants::OnViolation::kCount);
   int described = 0;
   const auto describe = [&] { return "the " + std::to_string(++described) + ". time"; };
-  invariants.Check(Invariant::kAdmissionLeastShare, true, describe);
+  invariants.Check(Invariant::kAdmissionMinimumShare, true, describe);
   CHECK(described == 0);
-  for (int i = 0; i < 3; ++i) invariants.Check(Invariant::kAdmissionLeastShare, false, describe);
+  for (int i = 0; i < 3; ++i) invariants.Check(Invariant::kAdmissionMinimumShare, false, describe);
   CHECK(described == 1);
   invariants.Check(Invariant::kConfigurationMonotonic, false, describe);
   CHECK(described == 2);
-  CHECK(invariants.violations(Invariant::kAdmissionLeastShare) == 3);
+  CHECK(invariants.violations(Invariant::kAdmissionMinimumShare) == 3);
   CHECK(invariants.violations(Invariant::kCommittedEntryMonotonic) == 0);
   const std::string text = prometheus::TextSerializer().Serialize(registry.Collect());
   INFO(text);
--- a/tests/net/sidecar_test.cpp
+++ b/tests/net/sidecar_test.cpp
@@ -342,7 +342,7 @@
   EXPECT_LT(stalled.requests() - before - held, 10);
 }
 
-// Unanswered requests must not cause load shedding while the servers are idle.
+// Overdue requests must not cause load shedding while the servers are idle.
 TEST_F(SidecarTest, UnansweredRequestsCauseNoLoadSheddingAtLowLoad) {
   std::vector<Peer*> waiting;
   bool answers = true;
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -161,7 +161,7 @@
     const BalancerSnapshot snapshot = balancer_->TakeSnapshot(now_);
     return std::count_if(
         snapshot.servers.begin(), snapshot.servers.end(),
-        [](const BalancerSnapshot::Server& server) { return server.consecutive_failures > 0; });
+        [](const BalancerSnapshot::Server& server) { return server.consecutive_ejections > 0; });
   }
 };
 
@@ -185,7 +185,7 @@
   now_ += 1500 * kMs;
   balancer_->OnOutcome(now_, {ids[1], 0, Result::kSuccess, 1500 * kMs, true, {}});
   balancer_->OnOutcome(now_, {ids[0], 0, Result::kTimeout, 1500 * kMs});
-  EXPECT_EQ(balancer_->TakeSnapshot(now_).servers.at(0).consecutive_failures, 0);
+  EXPECT_EQ(balancer_->TakeSnapshot(now_).servers.at(0).consecutive_ejections, 0);
 }
 
 }  // namespace
--- a/tests/rig/fixture.hpp
+++ b/tests/rig/fixture.hpp
@@ -162,9 +162,9 @@
     for (const std::string& line : env->checker.violations()) out += line + "\n";
     return out;
   }
-  std::string Unanswered() const {
+  std::string Overdue() const {
     std::string out;
-    for (const std::string& id : env->checker.Unanswered(env->loop.Now() + 60'000'000)) out += id + " ";
+    for (const std::string& id : env->checker.Overdue(env->loop.Now() + 60'000'000)) out += id + " ";
     return out;
   }
   const TrafficClass& FindClass(const std::string& name) const {
--- a/tests/rig/mixed_test.cpp
+++ b/tests/rig/mixed_test.cpp
@@ -15,7 +15,7 @@
   client->SendRequest(FindClass("number-port"));
   ASSERT_TRUE(env->RunUntil([&] { return client->answers() == 1; }));
   EXPECT_EQ(diameter::ResultCodeOf(client->last()), ResultCode::kSuccess);
-  EXPECT_EQ(Violations() + Unanswered(), "");
+  EXPECT_EQ(Violations() + Overdue(), "");
   EXPECT_EQ(env->checker.Summary()["number-port"].served, 1U);
   EXPECT_EQ(sidecar->active_requests(), 0U);
 }
@@ -53,7 +53,7 @@
   };
   EXPECT_TRUE(env->RunUntil(all_idle));
   EXPECT_TRUE(killed);
-  EXPECT_EQ(Violations() + Unanswered(), "");
+  EXPECT_EQ(Violations() + Overdue(), "");
   std::uint64_t sent = 0;
   std::uint64_t served = 0;
   for (const auto& [name, row] : env->checker.Summary()) {
--- a/tests/rig/operation_test.cpp
+++ b/tests/rig/operation_test.cpp
@@ -51,7 +51,7 @@
     });
     std::string out = idle ? "" : "a client waits for a response\n";
     for (const std::string& line : env.checker.violations()) out += line + "\n";
-    for (const std::string& id : env.checker.Unanswered(env.loop.Now() + 60'000'000))
+    for (const std::string& id : env.checker.Overdue(env.loop.Now() + 60'000'000))
       out += "overdue: " + id + "\n";
     return out;
   }
